--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -3,10 +3,13 @@
 import (
 	"bytes"
 	"crypto/x509"
+	"fmt"
 	"os"
 	"path/filepath"
+	"strings"
 
 	"foxcross.dev/foxcross/internal/command"
+	"foxcross.dev/foxcross/internal/golden"
 	"foxcross.dev/foxcross/internal/keys"
 	_ "foxcross.dev/foxcross/platform" // registers its driver
 
@@ -21,22 +24,32 @@
 	return code, o.String(), f.String()
 }
 
-// equalsGolden compares with a file; UPDATE_GOLDEN writes it.
-func equalsGolden(name, got string) {
-	path := filepath.Join("testdata", name)
-	if os.Getenv("UPDATE_GOLDEN") != "" {
-		Expect(os.WriteFile(path, []byte(got), 0o644)).To(Succeed())
-	}
-	want, err := os.ReadFile(path)
-	Expect(err).NotTo(HaveOccurred())
-	Expect(got).To(Equal(string(want)))
-}
-
 var _ = Describe("Main", func() {
 	It("prints help", func() {
 		code, out, _ := run("tree", "--help")
 		Expect(code).To(Equal(command.ExitOK))
-		equalsGolden("help.golden", out)
+		golden.Compare(GinkgoT(), "help.golden", out)
+	})
+
+	It("prints the recorded help of every command", func() {
+		var all strings.Builder
+		for _, line := range []string{
+			"", "run", "serve", "check", "explain",
+			"tree", "tree get", "tree put", "tree set", "tree remove", "tree diff", "tree history", "tree rollback",
+			"keys", "keys authority", "keys issue", "keys hash",
+		} {
+			arguments := append(strings.Fields(line), "--help")
+			code, out, _ := run(arguments...)
+			Expect(code).To(Equal(command.ExitOK))
+			fmt.Fprintf(&all, "$ foxcross-entry %s\n%s\n", strings.Join(arguments, " "), out)
+		}
+		for _, arguments := range [][]string{{"--help"}, {"run", "--help"}} {
+			var out bytes.Buffer
+			code := command.Main("foxcross-agent", &command.Agent{}, arguments, &out, &out)
+			Expect(code).To(Equal(command.ExitOK))
+			fmt.Fprintf(&all, "$ foxcross-agent %s\n%s\n", strings.Join(arguments, " "), out.String())
+		}
+		golden.Compare(GinkgoT(), "help-all.golden", all.String())
 	})
 
 	It("fails on an unknown command", func() {
@@ -66,7 +79,7 @@
 		GinkgoT().Setenv("FOXCROSS_CONFIG", "../../platform/testdata/settings.json")
 		code, out, _ := run("check", "--platform", "fleet")
 		Expect(code).To(Equal(command.ExitOK))
-		equalsGolden("check.golden", out)
+		golden.Compare(GinkgoT(), "check.golden", out)
 		path := filepath.Join(GinkgoT().TempDir(), "settings.json")
 		Expect(os.WriteFile(path, []byte(`{"nodeName":"a"}`), 0o600)).To(Succeed())
 		GinkgoT().Setenv("FOXCROSS_CONFIG", path)
--- /dev/null
+++ b/internal/entry/golden_test.go
@@ -0,0 +1,28 @@
+package entry
+
+import (
+	"fmt"
+	"net/http/httptest"
+	"net/http/httputil"
+	"strings"
+	"testing"
+	"time"
+
+	"foxcross.dev/coord/result"
+	"foxcross.dev/foxcross/internal/golden"
+)
+
+// TestGoldenAnswers holds the answer for each code to what callers know.
+func TestGoldenAnswers(t *testing.T) {
+	var got strings.Builder
+	for _, e := range result.Table {
+		w := httptest.NewRecorder()
+		writeFailure(w, &result.Error{Code: e.Code, Run: result.NotRun, Reason: "why", RetryAfter: 1234 * time.Millisecond})
+		answer, err := httputil.DumpResponse(w.Result(), true)
+		if err != nil {
+			t.Fatal(err)
+		}
+		fmt.Fprintf(&got, "%s\n----\n", answer)
+	}
+	golden.Compare(t, "answers.golden", got.String())
+}
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -2,18 +2,14 @@
 
 import (
 	"bytes"
-	"flag"
 	"os"
 	"strings"
 	"testing"
 
 	"foxcross.dev/foxcross/internal/explain"
+	"foxcross.dev/foxcross/internal/golden"
 )
 
-var update = flag.Bool("update", false, "write the golden file anew")
-
-const golden = "testdata/story.golden"
-
 func TestStory(t *testing.T) {
 	log, err := os.Open("testdata/entry.log")
 	if err != nil {
@@ -25,18 +21,7 @@
 	if err != nil || !found {
 		t.Fatalf("found %v: %v", found, err)
 	}
-	if *update {
-		if err := os.WriteFile(golden, out.Bytes(), 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(golden)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if out.String() != string(want) {
-		t.Errorf("got:\n%s\nwant:\n%s", out.String(), want)
-	}
+	golden.Compare(t, "story.golden", out.String())
 }
 
 func TestUnknownRequest(t *testing.T) {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"encoding/json"
 	"fmt"
 	"io"
 	"net/http"
@@ -13,6 +14,7 @@
 	trees "foxcross.dev/foxcross/examples/settings"
 	"foxcross.dev/foxcross/internal/caller"
 	"foxcross.dev/foxcross/internal/fleet"
+	"foxcross.dev/foxcross/internal/golden"
 	"foxcross.dev/foxcross/internal/standin"
 
 	"foxcross.dev/coord/result"
@@ -32,6 +34,7 @@
 	var (
 		f      *fleet.Fleet
 		entry  *fleet.Entry
+		hall   *fleet.Agent
 		engine *standin.Engine
 		ctx    context.Context
 	)
@@ -46,7 +49,7 @@
 		DeferCleanup(f.Close)
 		Expect(f.Put(ctx, trees.Ovenhuis)).To(Succeed())
 		engine = &standin.Engine{Card: standin.Card{Step: 2 * time.Millisecond}}
-		_, err = f.AddAgent("hall", "gent", fleet.Local{Target: "glaze-8b", Handler: engine.Handler()})
+		hall, err = f.AddAgent("hall", "gent", fleet.Local{Target: "glaze-8b", Handler: engine.Handler()})
 		Expect(err).NotTo(HaveOccurred())
 		_, err = f.AddAgent("app", "gent", fleet.Local{Target: settings.ServiceTarget("bookings"), Handler: &standin.Service{}})
 		Expect(err).NotTo(HaveOccurred())
@@ -76,6 +79,14 @@
 		Expect(a.Body).To(Equal(standin.AnswerText([]string{"which glaze"}, 0)))
 	})
 
+	It("shows the recorded fields in the state dumps", func() {
+		for name, dump := range map[string]any{"entry.golden": entry.Dump(), "agent.golden": hall.Dump()} {
+			data, err := json.Marshal(dump)
+			Expect(err).NotTo(HaveOccurred())
+			golden.Compare(GinkgoT(), name, golden.Keys(GinkgoT(), data))
+		}
+	})
+
 	It("gives many callers their own answers", func() {
 		var all sync.WaitGroup
 		for n := range 60 {
--- a/internal/gateway/export_test.go
+++ b/internal/gateway/export_test.go
@@ -1,5 +1,11 @@
 package gateway
 
+import (
+	"net/http"
+
+	"foxcross.dev/coord/result"
+)
+
 // Refusing tells whether new requests are refused near the end of a stop.
 func (g *Gateway) Refusing() bool { return g.refuse.Load() }
 
@@ -8,3 +14,6 @@
 	g.life.Stop()
 	g.refuse.Store(true)
 }
+
+// WriteFailure writes the answer to a request that failed.
+func WriteFailure(w http.ResponseWriter, f *result.Error) { writeFailure(w, f) }
--- /dev/null
+++ b/internal/gateway/golden_test.go
@@ -0,0 +1,140 @@
+package gateway_test
+
+import (
+	"bufio"
+	"fmt"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"net/http/httputil"
+	"regexp"
+	"strings"
+	"time"
+
+	"foxcross.dev/coord/result"
+	"foxcross.dev/foxcross/internal/gateway"
+	"foxcross.dev/foxcross/internal/golden"
+	"foxcross.dev/foxcross/internal/standin/fleet"
+
+	. "github.com/onsi/ginkgo/v2"
+	. "github.com/onsi/gomega"
+)
+
+// deadlineLeft is the one value of a request's head that depends on the clock.
+var deadlineLeft = regexp.MustCompile(fleet.DeadlineField + `: \d+`)
+
+// recorder is an endpoint that keeps the bytes of each request it gets and
+// answers the first one with half a stream.
+type recorder struct {
+	listener net.Listener
+	received chan string
+}
+
+func newRecorder(received chan string) *recorder {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	Expect(err).NotTo(HaveOccurred())
+	r := &recorder{listener: l, received: received}
+	DeferCleanup(l.Close)
+	go r.run()
+	return r
+}
+
+func (r *recorder) run() {
+	for {
+		c, err := r.listener.Accept()
+		if err != nil {
+			return
+		}
+		go r.serve(c)
+	}
+}
+
+func (r *recorder) serve(c net.Conn) {
+	defer func() { _ = c.Close() }()
+	var raw strings.Builder
+	reader := bufio.NewReader(&tee{c, &raw})
+	for {
+		q, err := http.ReadRequest(reader)
+		if err != nil {
+			return
+		}
+		if _, err := httputil.DumpRequest(q, true); err != nil { // reads the body
+			return
+		}
+		r.received <- deadlineLeft.ReplaceAllString(raw.String(), fleet.DeadlineField+": N")
+		raw.Reset()
+		head := "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: s\r\n"
+		id := q.Header.Get(fleet.RequestIDField)
+		if strings.HasPrefix(q.URL.Path, "/chat/") && q.Header.Get(fleet.LastEventField) == "" {
+			_, _ = fmt.Fprintf(c, head+"Transfer-Encoding: chunked\r\n\r\n10\r\nid: 1\ndata: a\n\n\r\n", fleet.RequestIDField, id, fleet.SealField)
+			time.Sleep(50 * time.Millisecond) // the event is to arrive before the end
+			return
+		}
+		_, _ = fmt.Fprintf(c, head+"Content-Length: 0\r\n\r\n", fleet.RequestIDField, id, fleet.SealField)
+	}
+}
+
+// tee keeps what is read from a connection.
+type tee struct {
+	net.Conn
+	kept *strings.Builder
+}
+
+func (t *tee) Read(b []byte) (int, error) {
+	n, err := t.Conn.Read(b)
+	t.kept.Write(b[:n])
+	return n, err
+}
+
+var _ = Describe("what goes over the wire", func() {
+	It("is the recorded head and body towards an endpoint", func() {
+		w := start()
+		received := make(chan string, 8)
+		for n, r := range []*recorder{newRecorder(received), newRecorder(received)} {
+			w.store.Put(fmt.Sprintf("servers/i-%d", n+1), map[string]any{
+				"backend": service, "address": r.listener.Addr().String(), "zone": "zone-1", "slots": 8, "state": "ready",
+			})
+		}
+		Eventually(func() int { return len(w.gateway.Dump().Endpoints) }, "10s").Should(Equal(2))
+		var got strings.Builder
+		next := func() {
+			got.WriteString(strings.ReplaceAll(<-received, "i-2", "i-1") + "\n----\n")
+		}
+		post := w.request(http.MethodPost, "/book/a%2Fb/../c?page=3&sort=new", "the body")
+		post.Header.Set("X-Own", "kept")
+		post.Header.Set("User-Agent", "caller")
+		post.Header.Set("Connection", "X-Hop")
+		post.Header.Set("X-Hop", "dropped")
+		w.do(post).whole(200)
+		next()
+		get := w.request(http.MethodGet, "/open/page", "")
+		get.Header.Set("User-Agent", "caller")
+		w.do(get).whole(200)
+		next()
+		chat := w.request(http.MethodPost, "/chat/x", "question")
+		chat.Header.Set("User-Agent", "caller")
+		chat.Header.Set("X-Token-Usage", "120,40")
+		chat.Header.Set("X-Prefix-Hash", "00ab:100,00cd:20")
+		w.do(chat).whole(200)
+		next()
+		next()
+		golden.Compare(GinkgoT(), "endpoint_requests.golden", got.String())
+	})
+
+	It("is the recorded answer for each code", func() {
+		var got strings.Builder
+		for _, e := range result.Table {
+			for _, f := range []*result.Error{
+				{Code: e.Code, Run: result.NotRun, Reason: "why", RetryAfter: 1234 * time.Millisecond},
+				{Code: e.Code, Run: result.Unknown},
+			} {
+				w := httptest.NewRecorder()
+				gateway.WriteFailure(w, f)
+				answer, err := httputil.DumpResponse(w.Result(), true)
+				Expect(err).NotTo(HaveOccurred())
+				fmt.Fprintf(&got, "%s\n----\n", answer)
+			}
+		}
+		golden.Compare(GinkgoT(), "answers.golden", got.String())
+	})
+})
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -5,12 +5,12 @@
 	"crypto/tls"
 	"encoding/hex"
 	"fmt"
-	"os"
 	"strings"
 	"time"
 
 	"foxcross.dev/coord/message"
 	"foxcross.dev/coord/result"
+	"foxcross.dev/foxcross/internal/golden"
 	"foxcross.dev/foxcross/internal/keys"
 	"foxcross.dev/foxcross/internal/link"
 
@@ -18,8 +18,6 @@
 	. "github.com/onsi/gomega"
 )
 
-const golden = "testdata/frames.golden"
-
 var samples = []message.Message{
 	message.Hello{Name: "entry-1", DataCentre: "gent", Settings: 7},
 	message.Offer{Request: 9, Attempt: 1, Target: "glaze-8b", Age: time.Millisecond, PromptTokens: 100, Prefix: []uint64{1, 2},
@@ -47,12 +45,7 @@
 			lines = append(lines, fmt.Sprintf("%T %s", m, hex.EncodeToString(data)))
 		}
 		got := strings.Join(lines, "\n") + "\n"
-		if os.Getenv("UPDATE_GOLDEN") != "" {
-			Expect(os.WriteFile(golden, []byte(got), 0o644)).To(Succeed())
-		}
-		want, err := os.ReadFile(golden)
-		Expect(err).NotTo(HaveOccurred())
-		Expect(got).To(Equal(string(want)))
+		golden.Compare(GinkgoT(), "frames.golden", got)
 	})
 
 	It("keeps an offer small", func() {
--- /dev/null
+++ b/internal/peers/golden_test.go
@@ -0,0 +1,103 @@
+package peers
+
+import (
+	"encoding/hex"
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+	"time"
+
+	"foxcross.dev/coord/placement"
+	"foxcross.dev/coord/settings"
+	"foxcross.dev/foxcross/internal/directory"
+	"foxcross.dev/foxcross/internal/golden"
+	"foxcross.dev/foxcross/internal/site"
+
+	"github.com/fxamacker/cbor/v2"
+)
+
+// sampleJob has every field set.
+var sampleJob = placement.Job{
+	Service: "pool",
+	Prompt: placement.Prompt{
+		Tokens: 120, MostOut: 40, LikelyOut: 30,
+		Parts: []placement.Part{{ID: 0xab, Tokens: 100}, {ID: 0xcd, Tokens: 20}},
+	},
+	Aim:      250 * time.Millisecond,
+	Pause:    150 * time.Millisecond,
+	Priority: 2,
+	Left:     12 * time.Second,
+}
+
+// TestPacketsOnTheWire holds the datagrams between entries to those of former
+// versions, so that entries of both run side by side.
+func TestPacketsOnTheWire(t *testing.T) {
+	var got strings.Builder
+	for _, s := range []struct {
+		name   string
+		packet packet
+	}{
+		{"placed", packet{Owner: 7, Version: 3, Revision: 9, Notes: []Note{{Kind: Placed, Number: 5, Endpoint: "i-1", Job: &sampleJob, AgeMS: 2}}}},
+		{"placed, least", packet{Owner: 7, Notes: []Note{{Kind: Placed, Number: 5, Endpoint: "i-1", Job: &placement.Job{Service: "app"}}}}},
+		{"begun and ended", packet{Owner: 7, Notes: []Note{{Kind: Begun, Number: 5}, {Kind: Ended, Number: 5, Outcome: placement.Unreachable}}}},
+		{"heartbeat", packet{Owner: 7, Version: 3, Revision: 9, Heartbeat: &heartbeat{
+			Name: "entry-1", Members: []string{"10.0.0.1:7340"}, Leaving: true, ConfirmMS: 12, SourceMS: -1, Asking: true, Lost: true,
+		}}},
+		{"first heartbeat", packet{Owner: 7, Heartbeat: &heartbeat{Name: "entry-1", ConfirmMS: -1, SourceMS: -1}}},
+	} {
+		data, err := cbor.Marshal(s.packet)
+		if err != nil {
+			t.Fatal(err)
+		}
+		fmt.Fprintf(&got, "%s: %s\n", s.name, hex.EncodeToString(data))
+	}
+	golden.Compare(t, "packets.golden", got.String())
+}
+
+// TestStateOnTheWire holds what one entry fetches from another, and how it asks.
+func TestStateOnTheWire(t *testing.T) {
+	tier := 1
+	// One node, since the order of several is not fixed.
+	tree := settings.NewTree(map[string]settings.Node{"": {Set: settings.Fields{Tier: &tier}}})
+	d := directory.New(func(directory.InForce) {}, func([]placement.Endpoint) {})
+	d.SetBounds(site.Bounds{LeaveWithin: time.Second})
+	first := placement.Endpoint{ID: "i-1", Service: "pool", Address: "10.0.0.1:80", DataCentre: "z", Slots: 4, Leaving: true, Engine: true}
+	d.TakeEndpoints(site.Endpoints{Revision: 5, List: []placement.Endpoint{first}}, "test")
+	d.TakeSettings(3, tree, "test")
+	d.Apply(site.Change{Revision: 6, Changed: []placement.Endpoint{{ID: "i-2", Service: "app", Address: "10.0.0.2:80"}}})
+	d.Apply(site.Change{Revision: 7, Gone: []string{"i-1"}})
+	if version, revision := d.Versions(); version != 3 || revision != 7 {
+		t.Fatalf("got version %d, revision %d", version, revision)
+	}
+	server := httptest.NewServer(StateHandler(d))
+	defer server.Close()
+	var got strings.Builder
+	for _, query := range []string{"", "?version=3&revision=5", "?version=2&revision=4", "?version=x&revision=y"} {
+		answer, err := http.Get(server.URL + statePath + query)
+		if err != nil {
+			t.Fatal(err)
+		}
+		body, err := io.ReadAll(answer.Body)
+		if err != nil {
+			t.Fatal(err)
+		}
+		_ = answer.Body.Close()
+		var shown any
+		if err := cbor.Unmarshal(body, &shown); err != nil {
+			t.Fatal(err)
+		}
+		fmt.Fprintf(&got, "%s%s\n%s\n%v\n", statePath, query, hex.EncodeToString(body), shown)
+	}
+	asked := make(chan string, 1)
+	other := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		asked <- r.Method + " " + r.URL.String()
+		w.WriteHeader(http.StatusTeapot)
+	}))
+	defer other.Close()
+	_ = FetchState(t.Context(), d, strings.TrimPrefix(other.URL, "http://")) // only the question matters
+	fmt.Fprintf(&got, "%s\n", <-asked)
+	golden.Compare(t, "state.golden", got.String())
+}
--- /dev/null
+++ b/internal/process/golden_test.go
@@ -0,0 +1,141 @@
+package process_test
+
+import (
+	"bufio"
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"slices"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"foxcross.dev/foxcross/internal/golden"
+	"foxcross.dev/foxcross/internal/process"
+	"foxcross.dev/foxcross/internal/standin/fleet"
+)
+
+// entryVariable makes the test's own program an entry.
+const entryVariable = "FOXCROSS_TEST_ENTRY"
+
+func TestMain(m *testing.M) {
+	if os.Getenv(entryVariable) == "" {
+		os.Exit(m.Run())
+	}
+	if err := process.RunGateway("fleet"); err != nil {
+		os.Stderr.WriteString(err.Error() + "\n")
+		os.Exit(1)
+	}
+}
+
+// figureNames returns the kinds, names and labels of a page of figures, without
+// the values.
+func figureNames(page string) string {
+	var names []string
+	for line := range strings.Lines(page) {
+		line = strings.TrimSpace(line)
+		if strings.HasPrefix(line, "# HELP") || line == "" {
+			continue
+		}
+		if !strings.HasPrefix(line, "#") {
+			line = line[:strings.LastIndexByte(line, ' ')]
+		}
+		names = append(names, line)
+	}
+	slices.Sort(names)
+	return strings.Join(names, "\n") + "\n"
+}
+
+// requestLines returns the keys of the log lines of ended requests, in order.
+func requestLines(t *testing.T, log []byte) string {
+	t.Helper()
+	var got strings.Builder
+	scanner := bufio.NewScanner(bytes.NewReader(log))
+	for scanner.Scan() {
+		var line struct {
+			Fields map[string]any `json:"fields"`
+		}
+		if err := json.Unmarshal(scanner.Bytes(), &line); err != nil {
+			t.Fatalf("%q: %v", scanner.Text(), err)
+		}
+		if line.Fields["request"] != nil {
+			fmt.Fprintf(&got, "%v %v\n%s\n", line.Fields["request"], line.Fields["result"], golden.Keys(t, scanner.Bytes()))
+		}
+	}
+	return got.String()
+}
+
+// TestGoldenProcess runs an entry as a program of its own and holds its figures,
+// its state and the log lines of two requests to what they were.
+func TestGoldenProcess(t *testing.T) {
+	store := fleet.NewStore()
+	defer store.Close()
+	runner := fleet.NewRunner("i-1", "pool", fleet.Events{To: 3, Pause: 2 * time.Millisecond})
+	defer runner.Close()
+	store.Enter(runner, "ready")
+	store.Configure(map[string]any{
+		"version":  1,
+		"routes":   []map[string]any{{"name": "r", "hostname": "h.example", "pathPrefix": "/chat/", "routeType": "streaming", "timeoutMs": 5000, "latencyGoalMs": 500, "itlTargetMs": 200, "backend": "pool", "maxAttempts": 1, "public": true}},
+		"backends": []map[string]any{{"name": "pool", "maxConns": 10}},
+	})
+	ip := fmt.Sprintf("127.2.%d.%d", os.Getpid()>>8&255, os.Getpid()&255)
+	data, err := json.Marshal(map[string]any{
+		"nodeName": "entry-1", "zone": "z", "ip": ip, "portRange": []int{7340, 7355},
+		"listen":   map[string]any{"frontend": ip + ":8227", "readiness": ip + ":8220"},
+		"bounds":   map[string]any{"graceS": 2, "retryRatio": 0.2, "retryWindowS": 10, "retrySlack": 50},
+		"platform": map[string]any{"address": store.Address()},
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	path := filepath.Join(t.TempDir(), "settings.json")
+	if err := os.WriteFile(path, data, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	var log, failures bytes.Buffer
+	c := exec.Command(os.Args[0])
+	c.Env = append(os.Environ(), entryVariable+"=1", "FOXCROSS_CONFIG="+path)
+	c.Stdout, c.Stderr = &log, &failures
+	if err := c.Start(); err != nil {
+		t.Fatal(err)
+	}
+	ended := false
+	defer func() {
+		if !ended {
+			_ = c.Process.Kill()
+			_ = c.Wait()
+		}
+	}()
+	eventually(t, "readiness", func() bool {
+		s, _ := fetch(t, get(t, ip+":8220/foxcross/readyz"))
+		return s == http.StatusOK
+	})
+	for _, target := range []string{"/chat/a", "/nothing"} {
+		q := get(t, ip+":8227"+target)
+		q.Host = "h.example"
+		q.Header.Set(fleet.RequestIDField, target)
+		fetch(t, q)
+	}
+	var figures string
+	eventually(t, "the figures", func() bool {
+		_, figures = fetch(t, get(t, ip+":9464/metrics"))
+		return strings.Contains(figures, "not_found") && strings.Contains(figures, "first_seconds") && strings.Contains(figures, "live_entries")
+	})
+	_, state := fetch(t, get(t, ip+":9464/state"))
+	if err := c.Process.Signal(syscall.SIGTERM); err != nil {
+		t.Fatal(err)
+	}
+	err = c.Wait()
+	ended = true
+	if err != nil {
+		t.Errorf("ended with %v: %s", err, failures.String())
+	}
+	golden.Compare(t, "figures.golden", figureNames(figures))
+	golden.Compare(t, "state.golden", golden.Keys(t, []byte(state)))
+	golden.Compare(t, "requests.golden", requestLines(t, log.Bytes()))
+}
