--- a/coord/binding/binding_test.go
+++ b/coord/binding/binding_test.go
@@ -62,6 +62,9 @@
 	return id, starts[0]
 }
 
+// open returns how many requests are not finished.
+func open(c *binding.Core) int { return len(c.Dump(now).Requests) }
+
 var _ = Describe("Core", func() {
 	It("starts a request once however many agents are ready", func() {
 		c := coreWithFree(0, "a", "b", "c")
@@ -139,7 +142,7 @@
 		finish := of[binding.Finish](c.PeerDown(now, s.Peer))
 		Expect(finish).To(HaveLen(1))
 		Expect(finish[0].Code).To(Equal(result.Unresumable))
-		Expect(c.Open()).To(BeZero())
+		Expect(open(c)).To(BeZero())
 		Expect(id).NotTo(BeZero())
 	})
 
@@ -187,7 +190,7 @@
 		c := newCore("a", "b")
 		id, actions := c.Accept(now, request(true))
 		at := now
-		for n := 0; n < 1000 && c.Open() > 0; n++ {
+		for n := 0; n < 1000 && open(c) > 0; n++ {
 			for _, s := range of[binding.Send](actions) {
 				o, isOffer := s.Message.(message.Offer)
 				if !isOffer {
@@ -203,7 +206,7 @@
 				actions = c.Tick(at)
 			}
 		}
-		Expect(c.Open()).To(BeZero())
+		Expect(open(c)).To(BeZero())
 	})
 
 	It("counts only failures against the attempts of a request", func() {
@@ -268,6 +271,6 @@
 		c := newCore("a", "b")
 		id, s := started(c, request(true))
 		Expect(of[binding.Cancel](c.Hangup(id))).To(ConsistOf(binding.Cancel{Peer: s.Peer, Request: id, Attempt: 1}))
-		Expect(c.Open()).To(BeZero())
+		Expect(open(c)).To(BeZero())
 	})
 })
--- a/coord/binding/choose.go
+++ b/coord/binding/choose.go
@@ -26,9 +26,6 @@
 
 // choose returns up to count untried agents for the request, best first.
 func (c *Core) choose(now time.Time, r *request, count int) []*route {
-	if c.Choose != nil {
-		return c.chooseBaseline(now, r, count)
-	}
 	defer c.markSeen(r)()
 	home := c.home(r)
 	clock := now.UnixNano()
@@ -153,33 +150,3 @@
 	over := float64(o.load.Between-t.BetweenTokens) / float64(t.BetweenTokens)
 	return time.Duration(min(4, over) * float64(t.FirstToken))
 }
-
-// Candidate is what a baseline chooser sees of an agent.
-type Candidate struct {
-	Name string
-	Load message.Load // as last reported
-}
-
-// Chooser picks one of the candidates by index; it stands in for late binding
-// in measurements.
-type Chooser func([]Candidate) int
-
-// chooseBaseline asks the baseline for one agent and never for more.
-func (c *Core) chooseBaseline(now time.Time, r *request, count int) []*route {
-	if r.waiting() > 0 {
-		return nil
-	}
-	var open []*route
-	var seen []Candidate
-	for _, o := range c.routes[r.Target] {
-		if r.tried(o.peer.name) || !o.peer.mayOffer(now) {
-			continue
-		}
-		open = append(open, o)
-		seen = append(seen, Candidate{Name: o.peer.name, Load: o.load})
-	}
-	if len(open) == 0 || count == 0 {
-		return nil
-	}
-	return []*route{open[c.Choose(seen)]}
-}
--- a/coord/binding/core.go
+++ b/coord/binding/core.go
@@ -31,9 +31,8 @@
 // Core decides for one entry. Rand must be set.
 type Core struct {
 	Rand     *rand.Rand
-	Fanout   int     // agents offered at once, 0 for DefaultFanout
-	Requests int     // most requests held, 0 for DefaultRequests
-	Choose   Chooser // a baseline for measurements, else nil
+	Fanout   int // agents offered at once, 0 for DefaultFanout
+	Requests int // most requests held, 0 for DefaultRequests
 
 	peers    map[string]*peer
 	routes   map[string][]*route
@@ -220,9 +219,6 @@
 // Drain refuses new requests from now on.
 func (c *Core) Drain() { c.draining = true }
 
-// Open returns how many requests are not finished.
-func (c *Core) Open() int { return len(c.requests) }
-
 // Targets returns how many targets some agent serves.
 func (c *Core) Targets() int { return len(c.routes) }
 
--- a/coord/dispatch/core.go
+++ b/coord/dispatch/core.go
@@ -18,7 +18,6 @@
 type Core struct {
 	Hold  time.Duration // how long a slot waits for its start
 	Bound int           // most queued offers per target
-	FIFO  bool          // serve in order of arrival; a baseline for measurements
 
 	pools   map[string]*pool
 	names   []string // targets in the order they were added
@@ -36,7 +35,7 @@
 	p, ok := c.pools[d.Target]
 	if !ok {
 		p = &pool{target: d.Target, classes: map[string]int{}}
-		p.queue = queue.Queue{Bound: c.Bound, FIFO: c.FIFO}
+		p.queue = queue.Queue{Bound: c.Bound}
 		c.pools[d.Target] = p
 		c.names = append(c.names, d.Target)
 	}
@@ -119,9 +118,6 @@
 // preempt holds slots on lower-tier work for offers that would else miss their
 // target. Nothing is stopped before the start comes.
 func (c *Core) preempt(now time.Time, p *pool) {
-	if c.FIFO {
-		return
-	}
 	for tier := range message.Tiers - 1 {
 		for {
 			item := p.queue.PeekTier(tier, now)
--- a/coord/queue/queue.go
+++ b/coord/queue/queue.go
@@ -12,8 +12,7 @@
 // Queue holds the waiting offers of one target. The zero value is an empty
 // queue with the default bound. It is not safe for concurrent use.
 type Queue struct {
-	Bound int  // most items held
-	FIFO  bool // serve in order of arrival; a baseline for measurements
+	Bound int // most items held
 
 	items   map[Key]*Item
 	classes []*class // by tier, then by name
@@ -143,9 +142,6 @@
 
 // Peek returns the item to serve next, or nil.
 func (q *Queue) Peek(now time.Time, r Room) *Item {
-	if q.FIFO {
-		return q.first()
-	}
 	for _, c := range q.classes {
 		c.expire(now)
 	}
@@ -251,18 +247,3 @@
 	}
 	return false
 }
-
-// first returns the item that arrived here first.
-func (q *Queue) first() *Item {
-	var oldest *Item
-	for _, l := range q.recent {
-		if l.Len() == 0 {
-			continue
-		}
-		i := l.Front().Value.(*Item)
-		if oldest == nil || i.Queued.Before(oldest.Queued) {
-			oldest = i
-		}
-	}
-	return oldest
-}
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -42,7 +42,6 @@
 	Heartbeat  time.Duration // between reports to each entry, 0 for DefaultHeartbeat
 	Hold       time.Duration // how long a slot waits for its start, 0 for the default
 	QueueBound int           // offers per target, 0 for the default
-	FIFO       bool          // serve in order of arrival; a baseline for measurements
 	Locals     []Local
 	Metrics    tally.Scope
 	Versions   Versions
@@ -86,7 +85,7 @@
 		drivers: map[string]endpoint.Driver{},
 		life:    lifecycle.New(),
 		metrics: o.Metrics,
-		core:    dispatch.Core{Hold: o.Hold, Bound: o.QueueBound, FIFO: o.FIFO},
+		core:    dispatch.Core{Hold: o.Hold, Bound: o.QueueBound},
 		owners:  map[uint64]*owner{},
 		runs:    map[queue.Key]*run{},
 		kick:    make(chan struct{}, 1),
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -43,14 +43,13 @@
 	Members    environment.Members
 	Settings   *versions.Holder
 	Metrics    tally.Scope
-	Seed       uint64          // of the choice among equals
-	MostBody   int             // bytes, 0 for DefaultMostBody
-	Requests   int             // most requests at once, 0 for the default
-	Agents     int             // most agents connected to, 0 for subset.Default
-	Fanout     int             // agents offered at once, 0 for the default
-	ListEvery  time.Duration   // how often the member list is read, 0 for DefaultListEvery
-	Claims     Claims          // nil: idempotency keys are refused
-	Choose     binding.Chooser // a baseline for measurements, else nil
+	Seed       uint64        // of the choice among equals
+	MostBody   int           // bytes, 0 for DefaultMostBody
+	Requests   int           // most requests at once, 0 for the default
+	Agents     int           // most agents connected to, 0 for subset.Default
+	Fanout     int           // agents offered at once, 0 for the default
+	ListEvery  time.Duration // how often the member list is read, 0 for DefaultListEvery
+	Claims     Claims        // nil: idempotency keys are refused
 }
 
 // Claims takes idempotency keys for requests that may not be repeated.
@@ -110,7 +109,6 @@
 		Rand:     rand.New(rand.NewPCG(o.Seed, o.Seed+1)),
 		Fanout:   o.Fanout,
 		Requests: o.Requests,
-		Choose:   o.Choose,
 	}
 	e.pool.Most = o.Requests // an attempt never waits for a worker
 	if e.metrics == nil {
--- a/internal/standin/card.go
+++ b/internal/standin/card.go
@@ -18,7 +18,6 @@
 	Prefill float64       // prompt bytes a second, 0 for a million
 	Most    int           // requests in the batch, the others wait by priority; 0 for no bound
 	Lag     time.Duration // age of the load that is reported
-	Cache   int           // blocks of prompts kept, 0 for the default of package affinity
 
 	// OnStart, if set, is called with the prompt of each request that is begun.
 	OnStart func(prompt string)
@@ -209,7 +208,6 @@
 	if rate <= 0 {
 		rate = 1e6
 	}
-	c.cached.Bound = c.Cache
 	cached := float64(c.cached.Longest(chain)[cardHolder]) * affinity.BlockTokens * bytesPerToken
 	c.cached.Put(chain, cardHolder)
 	bytes := float64(len(text)) - (1-cachedShare)*cached
--- a/internal/trial/chaos_test.go
+++ b/internal/trial/chaos_test.go
@@ -64,7 +64,7 @@
 }
 
 func chaosRun(t *testing.T, seed uint64) {
-	r, err := trial.New(trees.Ovenhuis, trial.Late, oneWay)
+	r, err := trial.New(trees.Ovenhuis, oneWay)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -81,7 +81,7 @@
 		c.faults.Go(fault)
 	}
 	var load sync.WaitGroup
-	load.Go(func() { r.Load(context.Background(), seed, chaosLength, ovenhuisLoad(0.2, 0.1, 0.1)()) })
+	load.Go(func() { r.Load(context.Background(), seed, chaosLength, ovenhuisLoad(0.2, 0.1, 0.1)) })
 	load.Go(c.bookings)
 	load.Wait()
 	c.faults.Wait()
--- a/internal/trial/promise_test.go
+++ b/internal/trial/promise_test.go
@@ -20,6 +20,11 @@
 	"foxcross.dev/coord/settings"
 )
 
+const (
+	oneWay = 500 * time.Microsecond // delay of a message between processes
+	settle = 2 * time.Minute        // virtual time in which timers of closed connections run out
+)
+
 // background is the context of requests that nobody gives up.
 var background = context.Background()
 
@@ -27,7 +32,7 @@
 func deployment(t *testing.T, tree []byte, f func(r *trial.Trial) history.Rules) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		r, err := trial.New(tree, trial.Late, oneWay)
+		r, err := trial.New(tree, oneWay)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -46,6 +51,20 @@
 	return &standin.Engine{Card: standin.Card{Step: 10 * time.Millisecond}}
 }
 
+// meanTokens is the mean length of an answer of a load.
+const meanTokens = 60
+
+// ovenhuisLoad is a mix as a share of what the engines can do at the strictest
+// target, about 80 requests a second.
+func ovenhuisLoad(glaze, plan, check float64) []trial.Kind {
+	const capacity = 80
+	return []trial.Kind{
+		{Class: "glaze-question", Teams: []string{"gent", "leuven", "namur"}, Rate: capacity * glaze, Prompt: 400, Tokens: meanTokens},
+		{Class: "firing-plan", Teams: []string{"gent", "leuven", "mons"}, Rate: capacity * plan, Prompt: 1200, Tokens: meanTokens},
+		{Class: "load-check", Teams: []string{"technicians"}, Rate: capacity * check, Prompt: 800, Tokens: meanTokens},
+	}
+}
+
 // ready waits until the entries know the agents.
 func ready() { time.Sleep(3 * time.Second) }
 
@@ -120,7 +139,7 @@
 		ready()
 		var all sync.WaitGroup
 		all.Go(func() {
-			for _, f := range r.Load(background, 1, 30*time.Second, ovenhuisLoad(0.3, 0.2, 0.1)()) {
+			for _, f := range r.Load(background, 1, 30*time.Second, ovenhuisLoad(0.3, 0.2, 0.1)) {
 				if f.OK != f.Sent {
 					t.Errorf("%s: %d of %d answered: %v", f.Class, f.OK, f.Sent, f.Codes)
 				}
@@ -309,7 +328,7 @@
 				r.Recorder.Add(history.Accepted{Version: root.Version, At: time.Now()})
 			}
 		}()
-		for _, f := range r.Load(background, 1, 12*time.Second, ovenhuisLoad(0.1, 0.1, 0.1)()) {
+		for _, f := range r.Load(background, 1, 12*time.Second, ovenhuisLoad(0.1, 0.1, 0.1)) {
 			if f.OK != f.Sent {
 				t.Errorf("%s: %d of %d answered: %v", f.Class, f.OK, f.Sent, f.Codes)
 			}
@@ -347,7 +366,7 @@
 		var all sync.WaitGroup
 		all.Go(func() {
 			r.Load(background, 1, 2*time.Minute, []trial.Kind{
-				{Class: "member-chat", Teams: []string{"members"}, Rate: trial.Steady(14), Prompt: 200, Tokens: 60},
+				{Class: "member-chat", Teams: []string{"members"}, Rate: 14, Prompt: 200, Tokens: 60},
 			})
 		})
 		time.Sleep(10 * time.Second)
@@ -381,7 +400,7 @@
 			r.Kill(agents[0])
 			r.Kill(agents[1])
 		}()
-		figures := r.Load(background, 1, 15*time.Second, ovenhuisLoad(0.5, 0.3, 0.2)())
+		figures := r.Load(background, 1, 15*time.Second, ovenhuisLoad(0.5, 0.3, 0.2))
 		sent, executed := 0, 0
 		for _, f := range figures {
 			sent += f.Sent
@@ -427,7 +446,7 @@
 		r.AddEntry("e1")
 		ready()
 		f := r.Load(background, 1, 20*time.Second, []trial.Kind{
-			{Class: "member-chat", Teams: []string{"board"}, Rate: trial.Steady(60), Prompt: 100, Tokens: 5},
+			{Class: "member-chat", Teams: []string{"board"}, Rate: 60, Prompt: 100, Tokens: 5},
 		})[0]
 		if want := 20 * 20; f.OK < want*9/10 || f.OK > want*11/10+20 {
 			t.Errorf("%d requests were served, the limit is about %d", f.OK, want)
@@ -464,7 +483,7 @@
 				}
 				time.Sleep(time.Second)
 				all.Go(func() { f(r, leaving) })
-				all.Go(func() { r.Load(background, 1, 8*time.Second, ovenhuisLoad(0.1, 0.1, 0.1)()) })
+				all.Go(func() { r.Load(background, 1, 8*time.Second, ovenhuisLoad(0.1, 0.1, 0.1)) })
 				all.Wait()
 				return history.Rules{LeaveWithin: within[name]}
 			})
--- a/internal/trial/trial.go
+++ b/internal/trial/trial.go
@@ -22,19 +22,10 @@
 	"foxcross.dev/foxcross/internal/standin"
 	"foxcross.dev/foxcross/internal/versions"
 
-	"foxcross.dev/coord/binding"
 	"foxcross.dev/coord/dispatch"
 	"foxcross.dev/coord/settings"
 )
 
-// Variant is a way to choose agents and to order their queues.
-type Variant struct {
-	Name   string
-	Fanout int                             // agents offered at once
-	Choose func(entry int) binding.Chooser // baseline, nil for late binding
-	FIFO   bool
-}
-
 // idMark stands on both sides of a request's id in its text.
 const idMark = "~"
 
@@ -45,7 +36,6 @@
 	Recorder history.Recorder
 	Snapshot settings.Snapshot
 
-	variant Variant
 	mu      sync.Mutex // guards what follows
 	ctx     context.Context
 	cancel  context.CancelFunc
@@ -78,8 +68,8 @@
 }
 
 // New returns a trial with the tree in force.
-func New(tree []byte, v Variant, delay time.Duration) (*Trial, error) {
-	t := &Trial{variant: v, agents: map[string]*Agent{}}
+func New(tree []byte, delay time.Duration) (*Trial, error) {
+	t := &Trial{agents: map[string]*Agent{}}
 	t.Network.Delay = delay
 	t.Store.ListLag = listLag
 	t.ctx, t.cancel = context.WithCancel(context.Background())
@@ -114,7 +104,7 @@
 
 // AddAgent starts an agent with engines for a model.
 func (t *Trial) AddAgent(name, model string, engines ...*standin.Engine) *Agent {
-	o := agent.Options{Name: name, FIFO: t.variant.FIFO}
+	o := agent.Options{Name: name}
 	for n, e := range engines {
 		e.OnStart = func(prompt string) { t.executed(prompt, name) }
 		o.Locals = append(o.Locals, agent.Local{
@@ -128,7 +118,7 @@
 // AddService starts an agent with a plain service.
 func (t *Trial) AddService(name, service string, s *standin.Service) *Agent {
 	s.OnStart = func(call string) { t.executed(call, name) }
-	return t.startAgent(agent.Options{Name: name, FIFO: t.variant.FIFO, Locals: []agent.Local{{
+	return t.startAgent(agent.Options{Name: name, Locals: []agent.Local{{
 		Description: dispatch.Endpoint{Name: name + "-0", Target: settings.ServiceTarget(service)},
 		Driver:      endpoint.Driver(s),
 	}}}, nil)
@@ -256,12 +246,8 @@
 		Members:  &t.Store,
 		Settings: h,
 		Seed:     uint64(len(t.entries) + 1),
-		Fanout:   t.variant.Fanout,
 		Claims:   batcher,
 	}
-	if t.variant.Choose != nil {
-		o.Choose = t.variant.Choose(len(t.entries))
-	}
 	e.Entry = entry.New(o)
 	e.Store.Watches = e.Watches
 	e.Caller = caller.Caller{URL: "http://" + name, Client: caller.Direct(e.Handler())}
@@ -368,13 +354,7 @@
 	Copies int    // how often the same key is sent, 0 for once
 	Prompt int    // bytes
 	Tokens int    // of the answer
-	Group  int    // requests of a group share the beginning of their prompts, 0 for none
 }
 
 // text returns the prompt.
-func (q Ask) text() string {
-	if q.Group == 0 {
-		return standin.Prompt(Mark(q.ID), q.Prompt)
-	}
-	return standin.Prompt(fmt.Sprintf("records of group %d:", q.Group), q.Prompt) + Mark(q.ID)
-}
+func (q Ask) text() string { return standin.Prompt(Mark(q.ID), q.Prompt) }
