--- /dev/null
+++ b/coord/placement/bench_test.go
@@ -0,0 +1,55 @@
+package placement_test
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"foxcross.dev/coord/placement"
+)
+
+// BenchmarkDecision measures what one request costs an entry that knows 200
+// engines and 2,000 running requests: choose, place, first event, end.
+func BenchmarkDecision(b *testing.B) {
+	const endpoints, running = 200, 2000
+	now := time.Unix(1_000_000, 0)
+	var t placement.Table
+	t.Self = 1
+	t.ReuseLife = 10 * time.Second
+	t.SetServices([]placement.Service{{Name: "pool", MemoryTokens: 500_000, EventTokens: 6, Pause: 150 * time.Millisecond}})
+	list := make([]placement.Endpoint, endpoints)
+	for n := range list {
+		list[n] = placement.Endpoint{ID: fmt.Sprint("i-", n), Service: "pool", Slots: 48, Engine: true}
+	}
+	t.SetEndpoints(list)
+	random := rand.New(rand.NewPCG(1, 2))
+	job := func(n int) placement.Job {
+		tokens := 600
+		if n%4 == 0 {
+			tokens = 6000
+		}
+		return placement.Job{
+			Service: "pool", Aim: 250 * time.Millisecond, Pause: 150 * time.Millisecond, Priority: n % 3,
+			Prompt: placement.Prompt{Tokens: tokens, MostOut: 300, Parts: []placement.Part{{ID: uint64(n % 50), Tokens: 200}, {ID: uint64(1000 + n), Tokens: tokens - 200}}},
+		}
+	}
+	place := func(n int) {
+		now = now.Add(time.Millisecond)
+		c, ok := t.Choose(now, job(n), func(string) bool { return false }, random)
+		if !ok {
+			b.Fatal("no endpoint")
+		}
+		id := placement.JobID{Owner: 1, Number: uint64(n)}
+		t.Place(now, id, c.Endpoint.ID, job(n))
+		t.Begin(now.Add(20*time.Millisecond), id)
+	}
+	for n := range running {
+		place(n)
+	}
+	b.ReportAllocs()
+	for n := running; b.Loop(); n++ {
+		place(n)
+		t.End(now, placement.JobID{Owner: 1, Number: uint64(n - running)}, placement.Succeeded)
+	}
+}
--- /dev/null
+++ b/coord/placement/golden_test.go
@@ -0,0 +1,147 @@
+package placement_test
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"strings"
+	"testing"
+	"time"
+
+	"foxcross.dev/coord/placement"
+)
+
+const decisionsFile = "testdata/decisions.golden"
+
+// TestGoldenDecisions plays a recorded series of unlike requests, endpoints that
+// come, go, fail and slow down, and another entry's work, and holds each choice
+// and refusal to what it was.
+func TestGoldenDecisions(t *testing.T) {
+	const requests = 900
+	table := fleetOf(12)
+	table.SetServices([]placement.Service{
+		{Name: "pool", MemoryTokens: 120_000, EventTokens: 6, Pause: 150 * time.Millisecond, Most: 40},
+		{Name: "app", Most: 20},
+	})
+	endpoints := engines(12)
+	endpoints[3].DataCentre = "zone-2"
+	for n := range 3 {
+		endpoints = append(endpoints, placement.Endpoint{ID: fmt.Sprint("app-", n), Service: "app", DataCentre: "zone-1", Slots: 6})
+	}
+	table.SetEndpoints(endpoints)
+	random := rand.New(rand.NewPCG(1, 2))
+	now := origin
+	var open []run
+	var got strings.Builder
+	for n := range requests {
+		now = now.Add(time.Duration(1+n%9) * time.Millisecond)
+		q := recordedJob(n, random)
+		c, ok := table.Choose(now, q, func(id string) bool { return n%11 == 0 && id == "e-1" }, random)
+		if !ok {
+			fmt.Fprintf(&got, "%d none\n", n)
+			continue
+		}
+		retry, admitted := c.Admit(q, q.Left)
+		fmt.Fprintf(&got, "%d %s cost=%.3f wait=%.1f first=%.1f read=%d again=%d long=%t pool=%d taken=%.3f factor=%.3f admitted=%t retry=%s terms=%.3f\n",
+			n, c.Endpoint.ID, c.Cost, c.WaitMS, c.FirstMS, c.Uncached, c.Again, c.Long, c.Pool, c.Taken, c.Factor, admitted, retry.Round(time.Millisecond), c.Terms)
+		if !admitted {
+			continue
+		}
+		id := placement.JobID{Owner: 1 + uint64(n%2), Number: uint64(n)}
+		table.Place(now, id, c.Endpoint.ID, q)
+		begins := now.Add(time.Duration((c.FirstMS + slow(c.Endpoint.ID, q)) * float64(time.Millisecond)))
+		open = append(open, run{id: id, number: n, begins: begins, ends: begins.Add(time.Duration(300+n%500) * time.Millisecond)})
+		open = playOn(table, now, open)
+		if n == requests/2 { // one leaves, another has left the list
+			endpoints[5].Leaving = true
+			table.SetEndpoints(endpoints[:len(endpoints)-1])
+		}
+		if n%50 == 0 {
+			table.Expire(now)
+		}
+		if n == 700 {
+			table.DropOwner(now, 2)
+		}
+	}
+	for _, s := range table.States(now) {
+		fmt.Fprintf(&got, "%s requests=%d reading=%.1f factor=%.3f errors=%.3f kept=%d\n", s.ID, s.Requests, s.ReadingMS, s.Factor, s.Errors, s.Kept)
+	}
+	if os.Getenv("UPDATE_GOLDEN") != "" {
+		if err := os.WriteFile(decisionsFile, []byte(got.String()), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(decisionsFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	wanted := strings.Split(string(want), "\n")
+	for n, line := range strings.Split(got.String(), "\n") {
+		if n >= len(wanted) || line != wanted[n] {
+			t.Fatalf("line %d differs\ngot:  %s\nwant: %s", n+1, line, wanted[min(n, len(wanted)-1)])
+		}
+	}
+}
+
+// slow returns by how many ms the first event is later than expected: one engine
+// reads at a third of the speed, and each event takes its way.
+func slow(endpoint string, q placement.Job) float64 {
+	const way, perToken = 3, 0.04
+	if endpoint != "e-2" {
+		return way
+	}
+	return way + perToken*float64(q.Prompt.Tokens)
+}
+
+// recordedJob returns the nth request: short chats, long prompts that share
+// their beginnings, and calls of a plain service.
+func recordedJob(n int, random *rand.Rand) placement.Job {
+	var q placement.Job
+	switch n % 5 {
+	case 0:
+		q = chat(uint64(1000 + n))
+	case 1, 2:
+		q = plan(uint64(50+random.IntN(4)), uint64(1000+n))
+	case 3:
+		q = chat(uint64(1000 + n))
+		q.Priority, q.Pause, q.Aim = 5, 0, 400*time.Millisecond
+	default:
+		q = placement.Job{Service: "app", Aim: 300 * time.Millisecond}
+	}
+	q.Left = 12 * time.Second
+	return q
+}
+
+// run is an open request of the recorded series.
+type run struct {
+	id     placement.JobID
+	number int
+	begins time.Time // its first event
+	heard  bool
+	ends   time.Time
+}
+
+// playOn lets the open requests begin, go on and end when they are due, and
+// returns those that are still open.
+func playOn(table *placement.Table, now time.Time, open []run) []run {
+	outcomes := []placement.Outcome{
+		placement.Succeeded, placement.Succeeded, placement.Succeeded, placement.Succeeded, placement.Succeeded,
+		placement.Abandoned, placement.Rejected, placement.Errored, placement.Broken, placement.Unreachable,
+	}
+	var left []run
+	for _, r := range open {
+		if !r.heard && !now.Before(r.begins) {
+			r.heard = true
+			table.Begin(r.begins, r.id)
+		}
+		if now.Before(r.ends) {
+			if r.heard {
+				table.Hear(now, r.id)
+			}
+			left = append(left, r)
+			continue
+		}
+		table.End(now, r.id, outcomes[r.number%len(outcomes)])
+	}
+	return left
+}
