--- a/cmd/foxcross-entry/main.go
+++ b/cmd/foxcross-entry/main.go
@@ -5,8 +5,8 @@
 	"os"
 
 	"foxcross.dev/foxcross/internal/command"
-	_ "foxcross.dev/foxcross/internal/environment/httpkv" // registers its driver
-	_ "foxcross.dev/foxcross/platform"                    // registers its driver
+	_ "foxcross.dev/foxcross/internal/relay/kv/httpkv" // registers its driver
+	_ "foxcross.dev/foxcross/platform"                 // registers its driver
 )
 
 func main() {
--- a/examples/load/main.go
+++ b/examples/load/main.go
@@ -10,9 +10,9 @@
 	"sync"
 	"time"
 
-	"foxcross.dev/foxcross/internal/caller"
 	"foxcross.dev/foxcross/internal/command"
-	"foxcross.dev/foxcross/internal/standin"
+	"foxcross.dev/foxcross/internal/testing/caller"
+	"foxcross.dev/foxcross/internal/testing/standin"
 
 	"foxcross.dev/coord/result"
 )
--- a/examples/local/deployment.go
+++ b/examples/local/deployment.go
@@ -8,22 +8,22 @@
 	"time"
 
 	trees "foxcross.dev/foxcross/examples/settings"
-	"foxcross.dev/foxcross/internal/fleet"
-	"foxcross.dev/foxcross/internal/history"
-	"foxcross.dev/foxcross/internal/standin"
+	"foxcross.dev/foxcross/internal/testing/deployment"
+	"foxcross.dev/foxcross/internal/testing/history"
+	"foxcross.dev/foxcross/internal/testing/standin"
 
 	"foxcross.dev/coord/settings"
 )
 
-// deployment is one user's fleet and its mix of requests.
-type deployment struct {
+// user is one user of foxcross: its instances, endpoints and mix of requests.
+type user struct {
 	name     string
 	tree     []byte
 	model    string
 	service  string
 	centres  []string
 	mix      []kind
-	fleet    *fleet.Fleet
+	fleet    *deployment.Deployment
 	recorder history.Recorder
 	engines  []*standin.Engine
 	services []*standin.Service
@@ -40,8 +40,8 @@
 	path   string  // plain services
 }
 
-func deployments() []*deployment {
-	return []*deployment{
+func users() []*user {
+	return []*user{
 		{
 			name: "Ovenhuis", tree: trees.Ovenhuis, model: "glaze-8b", service: "bookings",
 			centres: []string{"gent", "leuven", "namur", "mechelen"},
@@ -69,8 +69,8 @@
 
 // start brings up an agent with a new and an old card and a service in each
 // data centre, and two entries.
-func (d *deployment) start(ctx context.Context) error {
-	f, err := fleet.New()
+func (d *user) start(ctx context.Context) error {
+	f, err := deployment.New()
 	if err != nil {
 		return err
 	}
@@ -93,7 +93,7 @@
 	return f.WaitReady(ctx)
 }
 
-func (d *deployment) addAgents(centre string) error {
+func (d *user) addAgents(centre string) error {
 	fresh := &standin.Engine{Card: standin.Card{Step: 4 * time.Millisecond, Batch: 16}}
 	old := &standin.Engine{Card: standin.Card{Step: 10 * time.Millisecond, Batch: 8}}
 	for _, e := range []*standin.Engine{fresh, old} {
@@ -101,8 +101,8 @@
 		e.OnStart = func(prompt string) { d.executed(prompt, centre) }
 	}
 	_, err := d.fleet.AddAgent("runner-"+centre, centre,
-		fleet.Local{Target: d.model, Handler: fresh.Handler()},
-		fleet.Local{Target: d.model, Handler: old.Handler()})
+		deployment.Local{Target: d.model, Handler: fresh.Handler()},
+		deployment.Local{Target: d.model, Handler: old.Handler()})
 	if err != nil {
 		return err
 	}
@@ -110,20 +110,20 @@
 	service.OnStart = func(call string) { d.executed(call, centre) }
 	d.services = append(d.services, service)
 	_, err = d.fleet.AddAgent("app-"+centre, centre,
-		fleet.Local{Target: settings.ServiceTarget(d.service), Handler: service})
+		deployment.Local{Target: settings.ServiceTarget(d.service), Handler: service})
 	return err
 }
 
 // executed records that an endpoint began to work on a request. The request's
 // id is in its text between two marks.
-func (d *deployment) executed(text, endpoint string) {
+func (d *user) executed(text, endpoint string) {
 	_, after, _ := strings.Cut(text, idMark)
 	id, _, _ := strings.Cut(after, idMark)
 	d.recorder.Add(history.Executed{ID: id, Endpoint: endpoint, At: time.Now()})
 }
 
 // commands are lines that work while the deployment is up.
-func (d *deployment) commands() []string {
+func (d *user) commands() []string {
 	var lines []string
 	for _, k := range d.mix {
 		key := fmt.Sprintf("-H 'Authorization: Bearer %s%s' -H 'X-Foxcross-Class: %s'", k.team, trees.KeySuffix, k.class)
--- a/examples/local/main.go
+++ b/examples/local/main.go
@@ -38,8 +38,8 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	var all []*deployment
-	for _, d := range deployments() {
+	var all []*user
+	for _, d := range users() {
 		setup, cancel := context.WithTimeout(ctx, setupTime)
 		err := d.start(setup)
 		cancel()
@@ -63,7 +63,7 @@
 }
 
 // stay prints commands and waits for an interrupt.
-func stay(ctx context.Context, all []*deployment) {
+func stay(ctx context.Context, all []*user) {
 	fmt.Println("Still up. Try:")
 	for _, d := range all {
 		for _, line := range d.commands() {
--- a/examples/local/measure.go
+++ b/examples/local/measure.go
@@ -10,9 +10,9 @@
 	"time"
 
 	trees "foxcross.dev/foxcross/examples/settings"
-	"foxcross.dev/foxcross/internal/caller"
-	"foxcross.dev/foxcross/internal/history"
-	"foxcross.dev/foxcross/internal/standin"
+	"foxcross.dev/foxcross/internal/testing/caller"
+	"foxcross.dev/foxcross/internal/testing/history"
+	"foxcross.dev/foxcross/internal/testing/standin"
 
 	"foxcross.dev/coord/result"
 	"foxcross.dev/coord/settings"
@@ -32,7 +32,7 @@
 }
 
 // measure sends the mix, prints a table and returns how many promises broke.
-func (d *deployment) measure(ctx context.Context, o options) int {
+func (d *user) measure(ctx context.Context, o options) int {
 	tree, err := settings.Parse(d.tree)
 	if err != nil {
 		panic(err) // the examples' trees are tested
@@ -62,7 +62,7 @@
 	return len(breaches)
 }
 
-func (d *deployment) sent(tallies []tally) int {
+func (d *user) sent(tallies []tally) int {
 	sum := 0
 	for _, t := range tallies {
 		sum += t.sent
@@ -71,7 +71,7 @@
 }
 
 // send sends requests of one kind at random intervals.
-func (d *deployment) send(ctx context.Context, o options, index int, k kind, class settings.ClassInfo, t *tally) {
+func (d *user) send(ctx context.Context, o options, index int, k kind, class settings.ClassInfo, t *tally) {
 	random := rand.New(rand.NewPCG(o.Seed, uint64(index)))
 	var mu sync.Mutex
 	var open sync.WaitGroup
@@ -88,7 +88,7 @@
 }
 
 // one sends a request and records its answer.
-func (d *deployment) one(ctx context.Context, k kind, class settings.ClassInfo, url, id, prompt string, t *tally, mu *sync.Mutex) {
+func (d *user) one(ctx context.Context, k kind, class settings.ClassInfo, url, id, prompt string, t *tally, mu *sync.Mutex) {
 	c := caller.Caller{URL: url, Key: k.team + trees.KeySuffix, Class: k.class}
 	s := history.Submitted{ID: id, Class: k.class, Tier: class.Terms.Tier, Repeatable: class.Terms.Repeatable, At: time.Now()}
 	var a caller.Answer
@@ -119,7 +119,7 @@
 // idMark2 is the mark as it stands in a path.
 func idMark2(id string) string { return "%23" + id + "%23" }
 
-func (d *deployment) print(tallies []tally, took time.Duration) {
+func (d *user) print(tallies []tally, took time.Duration) {
 	fmt.Printf("%s: %d engines, %d services, 2 entries, %.1f s\n", d.name, len(d.engines), len(d.services), took.Seconds())
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprintln(w, "class\tsent\tok\tattained\tfirst p50 ms\tfirst p95 ms\ttokens/s\t")
--- a/examples/soak/main.go
+++ b/examples/soak/main.go
@@ -18,7 +18,7 @@
 	"time"
 
 	"foxcross.dev/foxcross/internal/command"
-	"foxcross.dev/foxcross/internal/soak"
+	"foxcross.dev/foxcross/internal/testing/soak"
 )
 
 type options struct {
--- a/examples/standins/main.go
+++ b/examples/standins/main.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"foxcross.dev/foxcross/internal/command"
-	"foxcross.dev/foxcross/internal/environment"
-	"foxcross.dev/foxcross/internal/standin"
+	"foxcross.dev/foxcross/internal/relay/kv"
+	"foxcross.dev/foxcross/internal/testing/standin"
 )
 
 // options are the flags.
@@ -37,7 +37,7 @@
 	if err != nil {
 		return err
 	}
-	var members []environment.Member
+	var members []kv.Member
 	if err := json.Unmarshal(data, &members); err != nil {
 		return fmt.Errorf("%s: %w", o.Members, err)
 	}
--- a/internal/command/check.go
+++ b/internal/command/check.go
@@ -5,8 +5,8 @@
 	"fmt"
 
 	"foxcross.dev/coord/result"
-	"foxcross.dev/foxcross/internal/config"
-	"foxcross.dev/foxcross/internal/site"
+	"foxcross.dev/foxcross/internal/direct/driver"
+	"foxcross.dev/foxcross/internal/relay/config"
 )
 
 // Check reads the settings of a process, reports what is wrong, and else prints
@@ -25,7 +25,7 @@
 		settings, err := config.ReadEntry(c.Settings)
 		return printChecked(settings, err)
 	default:
-		factory, err := site.Drivers.Get(c.Platform)
+		factory, err := driver.Drivers.Get(c.Platform)
 		if err != nil {
 			return err
 		}
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -9,8 +9,8 @@
 	"strings"
 
 	"foxcross.dev/foxcross/internal/command"
-	"foxcross.dev/foxcross/internal/golden"
-	"foxcross.dev/foxcross/internal/keys"
+	"foxcross.dev/foxcross/internal/relay/keys"
+	"foxcross.dev/foxcross/internal/testing/golden"
 	_ "foxcross.dev/foxcross/platform" // registers its driver
 
 	. "github.com/onsi/ginkgo/v2"
--- a/internal/command/entry.go
+++ b/internal/command/entry.go
@@ -5,7 +5,7 @@
 	"os"
 
 	"foxcross.dev/coord/result"
-	"foxcross.dev/foxcross/internal/explain"
+	"foxcross.dev/foxcross/internal/direct/explain"
 	"foxcross.dev/foxcross/internal/process"
 )
 
--- a/internal/command/keys.go
+++ b/internal/command/keys.go
@@ -6,7 +6,7 @@
 	"path/filepath"
 	"time"
 
-	"foxcross.dev/foxcross/internal/keys"
+	"foxcross.dev/foxcross/internal/relay/keys"
 
 	"foxcross.dev/coord/settings"
 )
--- a/internal/command/tree.go
+++ b/internal/command/tree.go
@@ -12,7 +12,7 @@
 	"strings"
 	"time"
 
-	"foxcross.dev/foxcross/internal/admin"
+	"foxcross.dev/foxcross/internal/relay/admin"
 )
 
 const (
--- a/internal/directory/directory.go
+++ b/internal/direct/directory/directory.go
@@ -10,8 +10,8 @@
 
 	"foxcross.dev/coord/placement"
 	"foxcross.dev/coord/settings"
+	"foxcross.dev/foxcross/internal/direct/driver"
 	"foxcross.dev/foxcross/internal/logs"
-	"foxcross.dev/foxcross/internal/site"
 )
 
 var log = logs.For("directory")
@@ -120,7 +120,7 @@
 }
 
 // TakeEndpoints replaces the list unless it is older than the present one.
-func (d *Directory) TakeEndpoints(list site.Endpoints, source string) {
+func (d *Directory) TakeEndpoints(list driver.Endpoints, source string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.replace(list, source, d.holdFor)
@@ -128,7 +128,7 @@
 
 // TakeFromPeer is TakeEndpoints for what another process read, with the
 // endpoints that it still uses though they have vanished.
-func (d *Directory) TakeFromPeer(list site.Endpoints, lapsed map[string]time.Duration) {
+func (d *Directory) TakeFromPeer(list driver.Endpoints, lapsed map[string]time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.replace(list, "peer", heldByPeer(lapsed))
@@ -144,7 +144,7 @@
 
 // replace takes in a whole list. hold tells how long an endpoint that is not on
 // it stays in use. The directory is locked.
-func (d *Directory) replace(list site.Endpoints, source string, hold holding) {
+func (d *Directory) replace(list driver.Endpoints, source string, hold holding) {
 	if d.listed && list.Revision <= d.revision {
 		return
 	}
@@ -167,7 +167,7 @@
 }
 
 // Apply takes in changes of the list since the revision that was waited from.
-func (d *Directory) Apply(c site.Change) {
+func (d *Directory) Apply(c driver.Change) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.apply(c, d.holdFor)
@@ -175,14 +175,14 @@
 
 // ApplyFromPeer is Apply for what another process was told, with the endpoints
 // that it still uses though they have vanished.
-func (d *Directory) ApplyFromPeer(c site.Change, lapsed map[string]time.Duration) {
+func (d *Directory) ApplyFromPeer(c driver.Change, lapsed map[string]time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.apply(c, heldByPeer(lapsed))
 }
 
 // apply takes in changes. The directory is locked.
-func (d *Directory) apply(c site.Change, hold holding) {
+func (d *Directory) apply(c driver.Change, hold holding) {
 	if !d.listed || c.Revision <= d.revision {
 		return
 	}
@@ -209,20 +209,20 @@
 
 // Since returns what changed in the list after a revision, and the endpoints
 // that vanished and are still used; false where that is not known any more.
-func (d *Directory) Since(revision uint64) (site.Change, bool) {
+func (d *Directory) Since(revision uint64) (driver.Change, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !d.listed {
-		return site.Change{}, false
+		return driver.Change{}, false
 	}
 	return d.recent.since(revision, d.revision)
 }
 
 // Endpoints returns the list.
-func (d *Directory) Endpoints() site.Endpoints {
+func (d *Directory) Endpoints() driver.Endpoints {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return site.Endpoints{Revision: d.revision, List: d.list()}
+	return driver.Endpoints{Revision: d.revision, List: d.list()}
 }
 
 // Listed tells whether the list has been read.
--- a/internal/directory/directory_test.go
+++ b/internal/direct/directory/directory_test.go
@@ -10,8 +10,8 @@
 
 	"foxcross.dev/coord/placement"
 	"foxcross.dev/coord/settings"
-	"foxcross.dev/foxcross/internal/directory"
-	"foxcross.dev/foxcross/internal/site"
+	"foxcross.dev/foxcross/internal/direct/directory"
+	"foxcross.dev/foxcross/internal/direct/driver"
 )
 
 // source is a store whose answers the test sets.
@@ -29,30 +29,30 @@
 
 var errDown = errors.New("down")
 
-func (s *source) ReadSettings(context.Context) (site.Settings, error) {
+func (s *source) ReadSettings(context.Context) (driver.Settings, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	defer s.afterRead()
 	if s.down {
-		return site.Settings{}, errDown
+		return driver.Settings{}, errDown
 	}
 	if s.version == 0 {
-		return site.Settings{}, site.ErrNotFound
+		return driver.Settings{}, driver.ErrNotFound
 	}
-	return site.Settings{Version: s.version, Revision: s.revision, Tree: tree()}, nil
+	return driver.Settings{Version: s.version, Revision: s.revision, Tree: tree()}, nil
 }
 
-func (s *source) ReadEndpoints(context.Context) (site.Endpoints, error) {
+func (s *source) ReadEndpoints(context.Context) (driver.Endpoints, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	defer s.afterRead()
 	if s.down {
-		return site.Endpoints{}, errDown
+		return driver.Endpoints{}, errDown
 	}
-	return site.Endpoints{Revision: s.revision, List: s.list}, nil
+	return driver.Endpoints{Revision: s.revision, List: s.list}, nil
 }
 
-func (s *source) Wait(ctx context.Context, after uint64, most time.Duration) (site.Change, error) {
+func (s *source) Wait(ctx context.Context, after uint64, most time.Duration) (driver.Change, error) {
 	s.mu.Lock()
 	s.waits++
 	s.asked = after
@@ -65,19 +65,19 @@
 		s.mu.Unlock()
 		switch {
 		case down:
-			return site.Change{}, errDown
+			return driver.Change{}, errDown
 		case gone:
-			return site.Change{}, site.ErrHistoryGone
+			return driver.Change{}, driver.ErrHistoryGone
 		case revision > after:
-			return site.Change{Revision: revision, Changed: list, Settings: &site.Settings{Version: version, Revision: revision, Tree: tree()}}, nil
+			return driver.Change{Revision: revision, Changed: list, Settings: &driver.Settings{Version: version, Revision: revision, Tree: tree()}}, nil
 		}
 		select {
 		case <-ctx.Done():
-			return site.Change{}, ctx.Err()
+			return driver.Change{}, ctx.Err()
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
-	return site.Change{Revision: after}, nil
+	return driver.Change{Revision: after}, nil
 }
 
 func (s *source) count() int {
@@ -195,7 +195,7 @@
 		if s.count() != waits {
 			t.Errorf("%d calls were made", s.count()-waits)
 		}
-		d.TakeFromPeer(site.Endpoints{Revision: 8, List: endpointsOf("a")}, nil)
+		d.TakeFromPeer(driver.Endpoints{Revision: 8, List: endpointsOf("a")}, nil)
 		s.set(func() { s.version, s.revision = 2, 9 })
 		time.Sleep(time.Second)
 		expect(t, d, 1, 8)
@@ -240,9 +240,9 @@
 	d := empty()
 	d.TakeSettings(5, tree(), "test")
 	d.TakeSettings(4, tree(), "test")
-	d.TakeEndpoints(site.Endpoints{Revision: 8, List: []placement.Endpoint{{ID: "new"}}}, "test")
-	d.TakeEndpoints(site.Endpoints{Revision: 7, List: []placement.Endpoint{{ID: "old"}}}, "test")
-	d.Apply(site.Change{Revision: 8, Gone: []string{"new"}})
+	d.TakeEndpoints(driver.Endpoints{Revision: 8, List: []placement.Endpoint{{ID: "new"}}}, "test")
+	d.TakeEndpoints(driver.Endpoints{Revision: 7, List: []placement.Endpoint{{ID: "old"}}}, "test")
+	d.Apply(driver.Change{Revision: 8, Gone: []string{"new"}})
 	expect(t, d, 5, 8)
 	if list := d.Endpoints().List; len(list) != 1 || list[0].ID != "new" {
 		t.Errorf("the list went back to %v", list)
@@ -261,13 +261,13 @@
 	if _, ok := d.Since(0); ok {
 		t.Error("changes are known before the list")
 	}
-	d.TakeEndpoints(site.Endpoints{Revision: 5, List: endpointsOf("a", "b")}, "test")
+	d.TakeEndpoints(driver.Endpoints{Revision: 5, List: endpointsOf("a", "b")}, "test")
 	if _, ok := d.Since(4); ok {
 		t.Error("changes are known that came before the list")
 	}
-	d.Apply(site.Change{Revision: 6, Changed: endpointsOf("c"), Gone: []string{"a"}})
-	d.Apply(site.Change{Revision: 7}) // of something else
-	d.Apply(site.Change{Revision: 8, Changed: endpointsOf("a"), Gone: []string{"c"}})
+	d.Apply(driver.Change{Revision: 6, Changed: endpointsOf("c"), Gone: []string{"a"}})
+	d.Apply(driver.Change{Revision: 7}) // of something else
+	d.Apply(driver.Change{Revision: 8, Changed: endpointsOf("a"), Gone: []string{"c"}})
 	c, ok := d.Since(5)
 	if !ok || c.Revision != 8 || len(c.Changed) != 1 || c.Changed[0].ID != "a" || len(c.Gone) != 1 || c.Gone[0] != "c" {
 		t.Errorf("got %+v, %v", c, ok)
@@ -276,7 +276,7 @@
 		t.Errorf("got %+v, %v", c, ok)
 	}
 	for n := range uint64(300) {
-		d.Apply(site.Change{Revision: 10 + n, Changed: endpointsOf("d")})
+		d.Apply(driver.Change{Revision: 10 + n, Changed: endpointsOf("d")})
 	}
 	if _, ok = d.Since(5); ok {
 		t.Error("changes are kept without a bound")
--- a/internal/directory/follow.go
+++ b/internal/direct/directory/follow.go
@@ -5,7 +5,7 @@
 	"errors"
 	"time"
 
-	"foxcross.dev/foxcross/internal/site"
+	"foxcross.dev/foxcross/internal/direct/driver"
 
 	"github.com/cenkalti/backoff/v5"
 )
@@ -21,7 +21,7 @@
 )
 
 // Follow keeps the directory up to date from the source until ctx is done.
-func (d *Directory) Follow(ctx context.Context, s site.Source) {
+func (d *Directory) Follow(ctx context.Context, s driver.Source) {
 	f := &follower{directory: d, source: s}
 	f.wait.InitialInterval = firstRetry
 	f.wait.MaxInterval = longRetry
@@ -44,7 +44,7 @@
 // then the changes.
 type follower struct {
 	directory *Directory
-	source    site.Source
+	source    driver.Source
 	revision  uint64 // to wait from, 0 to read all
 	wait      backoff.ExponentialBackOff
 }
@@ -66,7 +66,7 @@
 		return err
 	}
 	read, err := f.source.ReadSettings(ctx)
-	if err != nil && !errors.Is(err, site.ErrNotFound) {
+	if err != nil && !errors.Is(err, driver.ErrNotFound) {
 		return err
 	}
 	f.directory.answered()
@@ -86,7 +86,7 @@
 	after := f.directory.reached(f.revision)
 	c, err := f.source.Wait(ctx, after, watchWait)
 	switch {
-	case errors.Is(err, site.ErrHistoryGone):
+	case errors.Is(err, driver.ErrHistoryGone):
 		log.With("revision", f.revision).Info("The history of the source is gone.")
 		f.revision = 0
 		return nil
--- a/internal/directory/lapse.go
+++ b/internal/direct/directory/lapse.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"foxcross.dev/coord/placement"
-	"foxcross.dev/foxcross/internal/site"
+	"foxcross.dev/foxcross/internal/direct/driver"
 )
 
 // Leases of endpoints may run out while the source is away. Endpoints that live
@@ -117,7 +117,7 @@
 }
 
 // SetBounds takes in changed bounds of the process.
-func (d *Directory) SetBounds(b site.Bounds) {
+func (d *Directory) SetBounds(b driver.Bounds) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.leaveWithin = b.LeaveWithin
--- a/internal/directory/lapse_test.go
+++ b/internal/direct/directory/lapse_test.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"foxcross.dev/coord/placement"
-	"foxcross.dev/foxcross/internal/directory"
-	"foxcross.dev/foxcross/internal/site"
+	"foxcross.dev/foxcross/internal/direct/directory"
+	"foxcross.dev/foxcross/internal/direct/driver"
 )
 
 // users keeps the endpoints that a directory tells to use.
@@ -52,7 +52,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		u := &users{}
 		d := directory.New(func(directory.InForce) {}, u.take)
-		d.SetBounds(site.Bounds{LeaveWithin: leaveWithin})
+		d.SetBounds(driver.Bounds{LeaveWithin: leaveWithin})
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go func() {
@@ -128,8 +128,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		u := &users{}
 		d := directory.New(func(directory.InForce) {}, u.take)
-		d.TakeFromPeer(site.Endpoints{Revision: 1, List: endpointsOf("a", "b", "c")}, nil)
-		d.TakeFromPeer(site.Endpoints{Revision: 2, List: endpointsOf("a")}, map[string]time.Duration{"b": time.Second})
+		d.TakeFromPeer(driver.Endpoints{Revision: 1, List: endpointsOf("a", "b", "c")}, nil)
+		d.TakeFromPeer(driver.Endpoints{Revision: 2, List: endpointsOf("a")}, map[string]time.Duration{"b": time.Second})
 		u.expect(t, "one is still used by the peer", "a", "b")
 		if list := d.Endpoints().List; len(list) != 1 {
 			t.Errorf("%v is on the list", list)
--- a/internal/directory/recent.go
+++ b/internal/direct/directory/recent.go
@@ -1,6 +1,6 @@
 package directory
 
-import "foxcross.dev/foxcross/internal/site"
+import "foxcross.dev/foxcross/internal/direct/driver"
 
 // mostRecent bounds the remembered changes.
 const mostRecent = 256
@@ -8,8 +8,8 @@
 // recent are the last changes of the list, for processes that lack only these.
 // The zero value knows none.
 type recent struct {
-	from    uint64        // the revision after which all changes are known
-	changes []site.Change // the oldest first
+	from    uint64          // the revision after which all changes are known
+	changes []driver.Change // the oldest first
 }
 
 // reset forgets all: the whole list has been read at a revision.
@@ -18,7 +18,7 @@
 	r.changes = nil
 }
 
-func (r *recent) add(c site.Change) {
+func (r *recent) add(c driver.Change) {
 	c.Settings = nil
 	r.changes = append(r.changes, c)
 	if len(r.changes) > mostRecent {
@@ -29,11 +29,11 @@
 
 // since returns the changes after a revision as one; false where some of them
 // are not known.
-func (r *recent) since(revision, now uint64) (site.Change, bool) {
+func (r *recent) since(revision, now uint64) (driver.Change, bool) {
 	if revision < r.from {
-		return site.Change{}, false
+		return driver.Change{}, false
 	}
-	all := site.Change{Revision: now}
+	all := driver.Change{Revision: now}
 	for _, c := range r.changes {
 		if c.Revision <= revision {
 			continue
--- a/internal/site/changes.go
+++ b/internal/direct/driver/changes.go
@@ -1,4 +1,4 @@
-package site
+package driver
 
 import (
 	"encoding/json"
--- a/internal/site/changes_test.go
+++ b/internal/direct/driver/changes_test.go
@@ -1,22 +1,22 @@
-package site_test
+package driver_test
 
 import (
 	"reflect"
 	"testing"
 	"time"
 
-	"foxcross.dev/foxcross/internal/site"
+	"foxcross.dev/foxcross/internal/direct/driver"
 )
 
 func TestChanges(t *testing.T) {
-	before := site.Process{Name: "entry-1", Seeds: []string{"a"}, Bounds: site.Bounds{StopGrace: time.Second, RetrySlack: 5}}
+	before := driver.Process{Name: "entry-1", Seeds: []string{"a"}, Bounds: driver.Bounds{StopGrace: time.Second, RetrySlack: 5}}
 	if got := before.Changes(before); got != nil {
 		t.Errorf("found %v in the same settings", got)
 	}
 	after := before
 	after.Seeds = []string{"a", "b"}
 	after.Bounds.RetrySlack = 7
-	want := []site.Difference{
+	want := []driver.Difference{
 		{Field: "RetrySlack", Before: "5", After: "7", InForce: true},
 		{Field: "Seeds", Before: `["a"]`, After: `["a","b"]`},
 	}
--- a/internal/site/site.go
+++ b/internal/direct/driver/driver.go
@@ -1,8 +1,8 @@
-// Package site describes what a process of the direct way needs from the
+// Package driver describes what a process of the direct way needs from the
 // platform that it runs on: its own place, the settings tree, the list of
 // endpoints and the spelling of header fields. Drivers for real platforms
 // register themselves.
-package site
+package driver
 
 import (
 	"context"
@@ -19,11 +19,11 @@
 // Errors of a source.
 var (
 	// ErrHistoryGone means that changes since the revision can't be told; read anew.
-	ErrHistoryGone = errors.New("site: the history since the revision is gone")
+	ErrHistoryGone = errors.New("driver: the history since the revision is gone")
 	// ErrUnavailable means that the source doesn't answer or turns us away.
-	ErrUnavailable = errors.New("site: the source is not available")
+	ErrUnavailable = errors.New("driver: the source is not available")
 	// ErrNotFound means that the source holds no such thing yet.
-	ErrNotFound = errors.New("site: the source holds no such thing")
+	ErrNotFound = errors.New("driver: the source holds no such thing")
 )
 
 // Process is the place of one process.
--- a/internal/explain/explain.go
+++ b/internal/direct/explain/explain.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"foxcross.dev/coord/result"
-	"foxcross.dev/foxcross/internal/record"
+	"foxcross.dev/foxcross/internal/direct/record"
 )
 
 // Bounds of what is read and told.
--- a/internal/explain/explain_test.go
+++ b/internal/direct/explain/explain_test.go
@@ -6,8 +6,8 @@
 	"strings"
 	"testing"
 
-	"foxcross.dev/foxcross/internal/explain"
-	"foxcross.dev/foxcross/internal/golden"
+	"foxcross.dev/foxcross/internal/direct/explain"
+	"foxcross.dev/foxcross/internal/testing/golden"
 )
 
 func TestStory(t *testing.T) {
--- a/internal/gateway/answer.go
+++ b/internal/direct/gateway/answer.go
@@ -9,7 +9,7 @@
 
 	"foxcross.dev/coord/placement"
 	"foxcross.dev/coord/result"
-	"foxcross.dev/foxcross/internal/upstream"
+	"foxcross.dev/foxcross/internal/direct/upstream"
 )
 
 // mostBuffered is the longest answer that is read whole before any of it is
--- a/internal/gateway/dump_test.go
+++ b/internal/direct/gateway/dump_test.go
@@ -2,7 +2,7 @@
 
 import (
 	"foxcross.dev/foxcross/internal/lifecycle"
-	"foxcross.dev/foxcross/internal/standin/fleet"
+	"foxcross.dev/foxcross/internal/testing/standin/platformtest"
 
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
@@ -10,7 +10,7 @@
 
 var _ = Describe("the dump", func() {
 	It("shows settings, endpoints and open requests", func() {
-		w := start(fleet.Hang{}, ok)
+		w := start(platformtest.Hang{}, ok)
 		w.store.Put("servers/i-2", w.runners[1].Entry("draining"))
 		Eventually(func() bool { return w.gateway.Dump().Endpoints[1].Leaving }).Should(BeTrue())
 		done := make(chan reply, 1)
--- a/internal/gateway/forward.go
+++ b/internal/direct/gateway/forward.go
@@ -8,8 +8,8 @@
 
 	"foxcross.dev/coord/placement"
 	"foxcross.dev/coord/result"
-	"foxcross.dev/foxcross/internal/peers"
-	"foxcross.dev/foxcross/internal/upstream"
+	"foxcross.dev/foxcross/internal/direct/peers"
+	"foxcross.dev/foxcross/internal/direct/upstream"
 )
 
 // mostDials bounds the endpoints that are tried without a connection coming up.
--- a/internal/gateway/forward_test.go
+++ b/internal/direct/gateway/forward_test.go
@@ -6,19 +6,19 @@
 	"strconv"
 	"strings"
 
-	"foxcross.dev/foxcross/internal/standin/fleet"
+	"foxcross.dev/foxcross/internal/testing/standin/platformtest"
 
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 )
 
-var ok = fleet.Answer{Status: 200, Body: "the whole answer"}
+var ok = platformtest.Answer{Status: 200, Body: "the whole answer"}
 
 var _ = Describe("forwarding", func() {
 	It("passes the request on untouched but for the system's own fields", func() {
 		w := start(ok)
 		q := w.request(http.MethodPost, "/book/a%2Fb/../c?page=3&sort=new", "the body")
-		q.Header.Set(fleet.TeamField, "somebody-else")
+		q.Header.Set(platformtest.TeamField, "somebody-else")
 		q.Header.Set("X-Own", "kept")
 		q.Header.Set("Kv-From", "10.0.0.1:1/x")
 		q.Header.Set("Connection", "X-Hop")
@@ -26,19 +26,19 @@
 		a := w.do(q)
 		a.whole(200)
 		Expect(a.body).To(Equal("the whole answer"))
-		Expect(a.header.Get(fleet.SealField)).To(Equal("seal-" + q.Header.Get(fleet.RequestIDField)))
+		Expect(a.header.Get(platformtest.SealField)).To(Equal("seal-" + q.Header.Get(platformtest.RequestIDField)))
 		run := w.runners[0].Runs()[0]
 		Expect(run.Method).To(Equal("POST"))
 		Expect(run.Target).To(Equal("/book/a%2Fb/../c?page=3&sort=new"))
 		Expect(string(run.Body)).To(Equal("the body"))
 		Expect(run.Host).To(Equal(routeHost))
-		Expect(run.Header.Get(fleet.KeyField)).To(BeEmpty())
-		Expect(run.Header.Get(fleet.TeamField)).To(Equal("studio-1"))
-		Expect(run.Header.Get(fleet.TargetField)).To(Equal("i-1"))
+		Expect(run.Header.Get(platformtest.KeyField)).To(BeEmpty())
+		Expect(run.Header.Get(platformtest.TeamField)).To(Equal("studio-1"))
+		Expect(run.Header.Get(platformtest.TargetField)).To(Equal("i-1"))
 		Expect(run.Header.Get("X-Own")).To(Equal("kept"))
 		Expect(run.Header).NotTo(HaveKey("X-Hop"))
 		Expect(run.Header).NotTo(HaveKey("Kv-From"))
-		left, err := strconv.Atoi(run.Header.Get(fleet.DeadlineField))
+		left, err := strconv.Atoi(run.Header.Get(platformtest.DeadlineField))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(left).To(BeNumerically("<=", 15000))
 		Expect(left).To(BeNumerically(">", 10000))
@@ -53,14 +53,14 @@
 	})
 
 	It("runs what may not be repeated at most once and promises nothing", func() {
-		w := start(fleet.Break{}, fleet.Break{})
+		w := start(platformtest.Break{}, platformtest.Break{})
 		a := w.do(w.request(http.MethodPost, "/book/1", "x"))
 		a.whole(502)
 		Expect(w.runs()).To(Equal(1))
 	})
 
 	It("repeats what may be repeated at another endpoint, within the route's attempts", func() {
-		w := start(fleet.Break{}, fleet.Break{}, fleet.Break{})
+		w := start(platformtest.Break{}, platformtest.Break{}, platformtest.Break{})
 		w.get("/page/1").whole(502)
 		Expect(w.runs()).To(Equal(2))
 		for _, r := range w.runners {
@@ -69,13 +69,13 @@
 	})
 
 	It("does not send a request of one attempt twice", func() {
-		w := start(fleet.Break{}, fleet.Break{})
+		w := start(platformtest.Break{}, platformtest.Break{})
 		w.get("/once/1").whole(502)
 		Expect(w.runs()).To(Equal(1))
 	})
 
 	It("says that a request has not run only if the endpoint says so", func() {
-		w := start(fleet.Refuse{Status: 503})
+		w := start(platformtest.Refuse{Status: 503})
 		a := w.do(w.request(http.MethodPost, "/book/1", "x"))
 		a.whole(503)
 		Expect(a.header.Get("Retry-After")).NotTo(BeEmpty())
@@ -84,19 +84,19 @@
 
 	It("does not pass on a promise that the endpoint did not give", func() {
 		for _, status := range []int{503, 429, 408} {
-			w := start(fleet.Fail{Status: status})
+			w := start(platformtest.Fail{Status: status})
 			w.do(w.request(http.MethodPost, "/book/1", "x")).whole(502)
 		}
 	})
 
 	It("promises nothing after a first send that may have run", func() {
 		w := start(ok, ok)
-		for _, acts := range [][]fleet.Act{
-			{fleet.Break{}, fleet.Refuse{Status: 503}},
-			{fleet.Refuse{Status: 503}, fleet.Break{}},
-			{fleet.Break{}, fleet.Break{}},
+		for _, acts := range [][]platformtest.Act{
+			{platformtest.Break{}, platformtest.Refuse{Status: 503}},
+			{platformtest.Refuse{Status: 503}, platformtest.Break{}},
+			{platformtest.Break{}, platformtest.Break{}},
 		} {
-			fleet.InTurn(w.runners, acts...)
+			platformtest.InTurn(w.runners, acts...)
 			a := w.get("/page/1")
 			a.whole(502)
 			Expect(a.header.Get("Retry-After")).To(BeEmpty())
@@ -105,7 +105,7 @@
 
 	It("promises that a request has not run that all endpoints turned away", func() {
 		w := start(ok, ok)
-		fleet.InTurn(w.runners, fleet.Refuse{Status: 503}, fleet.Refuse{Status: 503})
+		platformtest.InTurn(w.runners, platformtest.Refuse{Status: 503}, platformtest.Refuse{Status: 503})
 		a := w.get("/page/1")
 		a.whole(503)
 		Expect(a.header.Get("Retry-After")).NotTo(BeEmpty())
@@ -113,16 +113,16 @@
 	})
 
 	It("passes an endpoint's own failure on unchanged", func() {
-		w := start(fleet.Answer{Status: 500, Body: "its words"})
+		w := start(platformtest.Answer{Status: 500, Body: "its words"})
 		a := w.do(w.request(http.MethodPost, "/book/1", "x"))
 		a.whole(500)
 		Expect(a.body).To(Equal("its words"))
-		Expect(a.header.Get(fleet.SealField)).NotTo(BeEmpty())
+		Expect(a.header.Get(platformtest.SealField)).NotTo(BeEmpty())
 	})
 
 	It("tells answers apart by their ids", func() {
 		w := start(ok)
-		w.runners[0].Next(fleet.Surplus{}, fleet.Twice{})
+		w.runners[0].Next(platformtest.Surplus{}, platformtest.Twice{})
 		for range 3 {
 			a := w.get("/once/1")
 			a.whole(200)
@@ -133,7 +133,7 @@
 
 	It("takes nothing for an answer that is none", func() {
 		w := start(ok)
-		w.runners[0].Next(fleet.Garbage{}, fleet.Unsealed{}, fleet.Cut{})
+		w.runners[0].Next(platformtest.Garbage{}, platformtest.Unsealed{}, platformtest.Cut{})
 		for range 3 {
 			w.get("/once/1").whole(502)
 		}
@@ -141,7 +141,7 @@
 
 	It("passes on an answer without a length, unless its connection is reset", func() {
 		w := start(ok)
-		w.runners[0].Next(fleet.Unframed{Body: "all of it"}, fleet.Unframed{Body: "part of it", Broken: true})
+		w.runners[0].Next(platformtest.Unframed{Body: "all of it"}, platformtest.Unframed{Body: "part of it", Broken: true})
 		a := w.get("/once/1")
 		a.whole(200)
 		Expect(a.body).To(Equal("all of it"))
@@ -150,7 +150,7 @@
 
 	It("does not use a connection again whose request was answered early", func() {
 		w := start(ok)
-		w.runners[0].Next(fleet.Early{Status: 400})
+		w.runners[0].Next(platformtest.Early{Status: 400})
 		w.do(w.request(http.MethodPost, "/once/1", strings.Repeat("x", 900<<10))).whole(400)
 		w.get("/once/2").whole(200)
 		for _, run := range w.runners[0].Runs() {
@@ -168,7 +168,7 @@
 		}
 		for _, r := range w.runners {
 			for _, run := range r.Runs() {
-				Expect(run.Header.Get(fleet.TargetField)).To(Equal(r.ID))
+				Expect(run.Header.Get(platformtest.TargetField)).To(Equal(r.ID))
 			}
 		}
 	})
@@ -182,19 +182,19 @@
 	})
 
 	It("ends the endpoint's work when the caller leaves", func() {
-		w := start(fleet.Hang{})
+		w := start(platformtest.Hang{})
 		q := w.request(http.MethodGet, "/page/1", "")
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan reply, 1)
 		go func() { done <- w.do(q.WithContext(ctx)) }()
 		Eventually(w.runs).Should(Equal(1))
 		cancel()
-		Eventually(w.runners[0].Left()).Should(Receive(Equal(q.Header.Get(fleet.RequestIDField))))
+		Eventually(w.runners[0].Left()).Should(Receive(Equal(q.Header.Get(platformtest.RequestIDField))))
 		Eventually(done).Should(Receive())
 	})
 
 	It("gives the final answer when the route's time is over", func() {
-		w := start(fleet.Hang{})
+		w := start(platformtest.Hang{})
 		w.get("/short/1").whole(504)
 		Eventually(w.runners[0].Left()).Should(Receive())
 	})
--- a/internal/gateway/gateway.go
+++ b/internal/direct/gateway/gateway.go
@@ -14,12 +14,12 @@
 	"foxcross.dev/coord/budget"
 	"foxcross.dev/coord/placement"
 	"foxcross.dev/coord/settings"
-	"foxcross.dev/foxcross/internal/directory"
+	"foxcross.dev/foxcross/internal/direct/directory"
+	"foxcross.dev/foxcross/internal/direct/driver"
+	"foxcross.dev/foxcross/internal/direct/peers"
+	"foxcross.dev/foxcross/internal/direct/upstream"
 	"foxcross.dev/foxcross/internal/lifecycle"
 	"foxcross.dev/foxcross/internal/logs"
-	"foxcross.dev/foxcross/internal/peers"
-	"foxcross.dev/foxcross/internal/site"
-	"foxcross.dev/foxcross/internal/upstream"
 
 	"github.com/uber-go/tally/v4"
 )
@@ -32,8 +32,8 @@
 
 // Options are what a gateway is made of.
 type Options struct {
-	Process site.Process
-	Driver  site.Driver
+	Process driver.Process
+	Driver  driver.Driver
 	Owner   uint64 // of this life of the process
 	Seed    uint64 // of the choices among equals
 	Metrics tally.Scope
@@ -42,7 +42,7 @@
 // Gateway is the forwarding part of an entry. Create it with New.
 type Gateway struct {
 	options   Options
-	fields    site.Fields
+	fields    driver.Fields
 	own       map[string]bool // header fields of callers that are not passed on
 	names     upstream.Names
 	pool      upstream.Pool
@@ -51,7 +51,7 @@
 	refuse    atomic.Bool // near the end of a clean stop
 
 	mu      sync.Mutex
-	bounds  site.Bounds
+	bounds  driver.Bounds
 	group   *peers.Group
 	table   placement.Table
 	budgets map[string]*budget.Budget // by service
@@ -101,7 +101,7 @@
 }
 
 // SetBounds takes in changed bounds of the process.
-func (g *Gateway) SetBounds(b site.Bounds) {
+func (g *Gateway) SetBounds(b driver.Bounds) {
 	g.directory.SetBounds(b)
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -112,7 +112,7 @@
 	}
 }
 
-func rulesOf(b site.Bounds) budget.Rules {
+func rulesOf(b driver.Bounds) budget.Rules {
 	return budget.Rules{Ratio: b.RetryRatio, Window: b.RetryWindow, Slack: b.RetrySlack}
 }
 
--- a/internal/gateway/golden_test.go
+++ b/internal/direct/gateway/golden_test.go
@@ -12,16 +12,16 @@
 	"time"
 
 	"foxcross.dev/coord/result"
-	"foxcross.dev/foxcross/internal/gateway"
-	"foxcross.dev/foxcross/internal/golden"
-	"foxcross.dev/foxcross/internal/standin/fleet"
+	"foxcross.dev/foxcross/internal/direct/gateway"
+	"foxcross.dev/foxcross/internal/testing/golden"
+	"foxcross.dev/foxcross/internal/testing/standin/platformtest"
 
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 )
 
 // deadlineLeft is the one value of a request's head that depends on the clock.
-var deadlineLeft = regexp.MustCompile(fleet.DeadlineField + `: \d+`)
+var deadlineLeft = regexp.MustCompile(platformtest.DeadlineField + `: \d+`)
 
 // recorder is an endpoint that keeps the bytes of each request it gets and
 // answers the first one with half a stream.
@@ -61,16 +61,16 @@
 		if _, err := httputil.DumpRequest(q, true); err != nil { // reads the body
 			return
 		}
-		r.received <- deadlineLeft.ReplaceAllString(raw.String(), fleet.DeadlineField+": N")
+		r.received <- deadlineLeft.ReplaceAllString(raw.String(), platformtest.DeadlineField+": N")
 		raw.Reset()
 		head := "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: s\r\n"
-		id := q.Header.Get(fleet.RequestIDField)
-		if strings.HasPrefix(q.URL.Path, "/chat/") && q.Header.Get(fleet.LastEventField) == "" {
-			_, _ = fmt.Fprintf(c, head+"Transfer-Encoding: chunked\r\n\r\n10\r\nid: 1\ndata: a\n\n\r\n", fleet.RequestIDField, id, fleet.SealField)
+		id := q.Header.Get(platformtest.RequestIDField)
+		if strings.HasPrefix(q.URL.Path, "/chat/") && q.Header.Get(platformtest.LastEventField) == "" {
+			_, _ = fmt.Fprintf(c, head+"Transfer-Encoding: chunked\r\n\r\n10\r\nid: 1\ndata: a\n\n\r\n", platformtest.RequestIDField, id, platformtest.SealField)
 			time.Sleep(50 * time.Millisecond) // the event is to arrive before the end
 			return
 		}
-		_, _ = fmt.Fprintf(c, head+"Content-Length: 0\r\n\r\n", fleet.RequestIDField, id, fleet.SealField)
+		_, _ = fmt.Fprintf(c, head+"Content-Length: 0\r\n\r\n", platformtest.RequestIDField, id, platformtest.SealField)
 	}
 }
 
--- a/internal/gateway/handler.go
+++ b/internal/direct/gateway/handler.go
@@ -7,10 +7,10 @@
 	"time"
 
 	"foxcross.dev/coord/result"
+	"foxcross.dev/foxcross/internal/direct/record"
 	"foxcross.dev/foxcross/internal/failure"
 	"foxcross.dev/foxcross/internal/lifecycle"
 	"foxcross.dev/foxcross/internal/logs"
-	"foxcross.dev/foxcross/internal/record"
 	"foxcross.dev/foxcross/internal/workers"
 
 	"github.com/uber-go/tally/v4"
--- a/internal/gateway/harness_test.go
+++ b/internal/direct/gateway/harness_test.go
@@ -13,9 +13,9 @@
 	"sync/atomic"
 	"time"
 
-	"foxcross.dev/foxcross/internal/gateway"
-	"foxcross.dev/foxcross/internal/site"
-	"foxcross.dev/foxcross/internal/standin/fleet"
+	"foxcross.dev/foxcross/internal/direct/driver"
+	"foxcross.dev/foxcross/internal/direct/gateway"
+	"foxcross.dev/foxcross/internal/testing/standin/platformtest"
 
 	_ "foxcross.dev/foxcross/platform" // registers its driver
 
@@ -32,13 +32,13 @@
 
 // world is a store, some runners and one gateway.
 type world struct {
-	store   *fleet.Store
-	runners []*fleet.Runner
+	store   *platformtest.Store
+	runners []*platformtest.Runner
 	gateway *gateway.Gateway
 	server  *http.Server
 	client  *http.Client
 	address string
-	source  site.Source
+	source  driver.Source
 	version int
 	ids     atomic.Int64
 }
@@ -81,29 +81,29 @@
 }
 
 // start brings up a world with runners that behave as given.
-func start(rest ...fleet.Act) *world { return startWithin(site.Limits{}, rest...) }
+func start(rest ...platformtest.Act) *world { return startWithin(driver.Limits{}, rest...) }
 
 // startWithin is start for a process with limits.
-func startWithin(limits site.Limits, rest ...fleet.Act) *world {
-	w := &world{store: fleet.NewStore()}
+func startWithin(limits driver.Limits, rest ...platformtest.Act) *world {
+	w := &world{store: platformtest.NewStore()}
 	for n, act := range rest {
-		r := fleet.NewRunner(fmt.Sprintf("i-%d", n+1), service, act)
+		r := platformtest.NewRunner(fmt.Sprintf("i-%d", n+1), service, act)
 		w.runners = append(w.runners, r)
 		w.store.Enter(r, "ready")
 	}
 	w.configure(routes(), teamKey)
-	factory, err := site.Drivers.Get("fleet")
+	factory, err := driver.Drivers.Get("fleet")
 	Expect(err).NotTo(HaveOccurred())
-	driver := factory()
-	process := site.Process{
+	platform := factory()
+	process := driver.Process{
 		Name: "entry-1", DataCentre: "zone-1", Source: w.store.Address(), Limits: limits,
-		Bounds: site.Bounds{
+		Bounds: driver.Bounds{
 			StopGrace: 4 * time.Second, RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 50,
 			ReuseWithin: 10 * time.Second,
 		},
 	}
-	w.source = driver.Source(process)
-	w.gateway = gateway.New(gateway.Options{Process: process, Driver: driver, Owner: 1, Seed: 1})
+	w.source = platform.Source(process)
+	w.gateway = gateway.New(gateway.Options{Process: process, Driver: platform, Owner: 1, Seed: 1})
 	ctx, cancel := context.WithCancel(context.Background())
 	go w.gateway.Directory().Follow(ctx, w.source)
 	go w.gateway.Run(ctx)
@@ -140,9 +140,9 @@
 	q, err := http.NewRequest(method, "http://"+w.address+target, reader)
 	Expect(err).NotTo(HaveOccurred())
 	q.Host = routeHost
-	q.Header.Set(fleet.RequestIDField, fmt.Sprintf("id-%d", w.ids.Add(1)))
-	q.Header.Set(fleet.DeadlineField, "15000")
-	q.Header.Set(fleet.KeyField, teamKey)
+	q.Header.Set(platformtest.RequestIDField, fmt.Sprintf("id-%d", w.ids.Add(1)))
+	q.Header.Set(platformtest.DeadlineField, "15000")
+	q.Header.Set(platformtest.KeyField, teamKey)
 	return q
 }
 
@@ -176,13 +176,13 @@
 }
 
 // inOrder returns the two runners of a request that went on at the second.
-func (w *world) inOrder() (first, second *fleet.Runner) {
+func (w *world) inOrder() (first, second *platformtest.Runner) {
 	GinkgoHelper()
 	Expect(w.runners).To(HaveLen(2))
 	first, second = w.runners[0], w.runners[1]
 	Expect(first.Runs()).To(HaveLen(1))
 	Expect(second.Runs()).To(HaveLen(1))
-	if first.Runs()[0].Header.Get(fleet.LastEventField) != "" {
+	if first.Runs()[0].Header.Get(platformtest.LastEventField) != "" {
 		first, second = second, first
 	}
 	return first, second
@@ -209,10 +209,10 @@
 
 // newGateway returns a gateway that has read nothing.
 func newGateway(w *world) *gateway.Gateway {
-	factory, err := site.Drivers.Get("fleet")
+	factory, err := driver.Drivers.Get("fleet")
 	Expect(err).NotTo(HaveOccurred())
 	return gateway.New(gateway.Options{
-		Process: site.Process{Name: "entry-1", DataCentre: "zone-1", Source: w.store.Address()},
+		Process: driver.Process{Name: "entry-1", DataCentre: "zone-1", Source: w.store.Address()},
 		Driver:  factory(), Owner: 1, Seed: 1,
 	})
 }
@@ -221,8 +221,8 @@
 func (w *world) bare(target string) *http.Request {
 	q := httptest.NewRequest(http.MethodGet, target, http.NoBody)
 	q.Host = routeHost
-	q.Header.Set(fleet.RequestIDField, fmt.Sprintf("id-%d", w.ids.Add(1)))
-	q.Header.Set(fleet.KeyField, teamKey)
+	q.Header.Set(platformtest.RequestIDField, fmt.Sprintf("id-%d", w.ids.Add(1)))
+	q.Header.Set(platformtest.KeyField, teamKey)
 	return q
 }
 
--- a/internal/gateway/header.go
+++ b/internal/direct/gateway/header.go
@@ -5,7 +5,7 @@
 	"strconv"
 	"strings"
 
-	"foxcross.dev/foxcross/internal/site"
+	"foxcross.dev/foxcross/internal/direct/driver"
 )
 
 // connectionFields concern one connection only (RFC 9110, 7.6.1).
@@ -15,7 +15,7 @@
 }
 
 // ownFields are the fields of a caller that are not passed on as they are.
-func ownFields(f site.Fields) map[string]bool {
+func ownFields(f driver.Fields) map[string]bool {
 	own := map[string]bool{"Content-Length": true, "Expect": true, "Host": true}
 	for _, name := range connectionFields {
 		own[name] = true
--- a/internal/gateway/room.go
+++ b/internal/direct/gateway/room.go
@@ -2,7 +2,7 @@
 
 import (
 	"foxcross.dev/coord/result"
-	"foxcross.dev/foxcross/internal/site"
+	"foxcross.dev/foxcross/internal/direct/driver"
 )
 
 // What one process may hold at once, where its limits are not known.
@@ -25,7 +25,7 @@
 	bodies     int64 // bytes held now
 }
 
-func roomOf(l site.Limits) room {
+func roomOf(l driver.Limits) room {
 	r := room{mostOpen: defaultOpen, mostBodies: defaultBodies}
 	if l.Descriptors > 0 {
 		r.mostOpen = max((l.Descriptors-spareDescriptors)/perRequest, 1)
--- a/internal/gateway/room_test.go
+++ b/internal/direct/gateway/room_test.go
@@ -4,8 +4,8 @@
 	"net/http"
 	"strings"
 
-	"foxcross.dev/foxcross/internal/site"
-	"foxcross.dev/foxcross/internal/standin/fleet"
+	"foxcross.dev/foxcross/internal/direct/driver"
+	"foxcross.dev/foxcross/internal/testing/standin/platformtest"
 
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
@@ -14,7 +14,7 @@
 var _ = Describe("the room of a process", func() {
 	It("bounds open requests: what is beyond is not run and may come back", func() {
 		hold := make(chan struct{})
-		w := startWithin(site.Limits{Descriptors: 302}, fleet.Events{To: 2, Hold: hold})
+		w := startWithin(driver.Limits{Descriptors: 302}, platformtest.Events{To: 2, Hold: hold})
 		first := make(chan reply, 1)
 		q := w.request(http.MethodPost, "/chat/1", "x")
 		go func() { first <- w.do(q) }()
@@ -30,7 +30,7 @@
 	})
 
 	It("bounds the sum of bodies", func() {
-		w := startWithin(site.Limits{MemoryBytes: 4000}, ok)
+		w := startWithin(driver.Limits{MemoryBytes: 4000}, ok)
 		a := w.do(w.request(http.MethodPost, "/book/1", strings.Repeat("x", 1001)))
 		a.whole(503)
 		Expect(w.runs()).To(BeZero())
--- a/internal/gateway/settings_test.go
+++ b/internal/direct/gateway/settings_test.go
@@ -4,7 +4,7 @@
 	"net/http"
 	"strings"
 
-	"foxcross.dev/foxcross/internal/standin/fleet"
+	"foxcross.dev/foxcross/internal/testing/standin/platformtest"
 
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
@@ -18,10 +18,10 @@
 		q.Host = "other.example"
 		w.do(q).whole(404)
 		q = w.request(http.MethodGet, "/page/1", "")
-		q.Header.Set(fleet.KeyField, "no-such-key")
+		q.Header.Set(platformtest.KeyField, "no-such-key")
 		w.do(q).whole(401)
 		q = w.request(http.MethodGet, "/open/1", "")
-		q.Header.Del(fleet.KeyField)
+		q.Header.Del(platformtest.KeyField)
 		w.do(q).whole(200)
 		Expect(w.runs()).To(Equal(1))
 	})
@@ -35,7 +35,7 @@
 
 	It("come into force without cutting a stream", func() {
 		hold := make(chan struct{})
-		w := start(fleet.Events{To: 5, Hold: hold})
+		w := start(platformtest.Events{To: 5, Hold: hold})
 		done := make(chan reply, 1)
 		q := w.request(http.MethodPost, "/chat/1", "x")
 		go func() { done <- w.do(q) }()
@@ -51,20 +51,20 @@
 
 	It("are read anew when the history is gone", func() {
 		w := start(ok)
-		w.store.SetFault(fleet.Busy)
+		w.store.SetFault(platformtest.Busy)
 		w.configure(append(routes(), route("/new/", "idempotent", nil)), teamKey)
 		w.store.Forget()
-		w.store.SetFault(fleet.Sound)
+		w.store.SetFault(platformtest.Sound)
 		Eventually(func() int { return w.get("/new/1").status }).Should(Equal(200))
 	})
 
 	It("stay in force while the store fails, and nothing is denied that may be new", func() {
-		for _, f := range []fleet.Fault{fleet.Busy, fleet.Many, fleet.Reset, fleet.Silent} {
+		for _, f := range []platformtest.Fault{platformtest.Busy, platformtest.Many, platformtest.Reset, platformtest.Silent} {
 			w := start(ok)
 			w.store.SetFault(f)
 			w.get("/page/1").whole(200)
 			Eventually(func() int { return w.get("/nowhere/").status }).Should(Equal(503))
-			w.store.SetFault(fleet.Sound)
+			w.store.SetFault(platformtest.Sound)
 			Eventually(func() int { return w.get("/nowhere/").status }).Should(Equal(404))
 		}
 	})
@@ -101,9 +101,9 @@
 	})
 
 	It("are not asked for before the first has come", func() {
-		w := &world{store: fleet.NewStore()}
+		w := &world{store: platformtest.NewStore()}
 		defer w.store.Close()
-		w.store.SetFault(fleet.Silent)
+		w.store.SetFault(platformtest.Silent)
 		g := newGateway(w)
 		Expect(g.Ready()).To(BeFalse())
 		a := serveOnce(g, w.bare("/page/1"))
--- a/internal/gateway/stop_test.go
+++ b/internal/direct/gateway/stop_test.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"foxcross.dev/foxcross/internal/lifecycle"
-	"foxcross.dev/foxcross/internal/standin/fleet"
+	"foxcross.dev/foxcross/internal/testing/standin/platformtest"
 
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
@@ -14,7 +14,7 @@
 var _ = Describe("a clean stop", func() {
 	It("is not ready at once, finishes what it has and refuses truthfully at its end", func() {
 		hold := make(chan struct{})
-		w := start(fleet.Events{To: 5, Hold: hold})
+		w := start(platformtest.Events{To: 5, Hold: hold})
 		streamed := make(chan reply, 1)
 		q := w.request(http.MethodPost, "/chat/1", "x")
 		go func() { streamed <- w.do(q) }()
@@ -41,7 +41,7 @@
 
 	It("tells callers to close their connections, and runs nothing that it refuses", func() {
 		hold := make(chan struct{})
-		w := start(fleet.Events{To: 5, Hold: hold})
+		w := start(platformtest.Events{To: 5, Hold: hold})
 		q := w.request(http.MethodPost, "/chat/1", "x")
 		streamed := make(chan reply, 1)
 		go func() { streamed <- w.do(q) }()
--- a/internal/gateway/stream.go
+++ b/internal/direct/gateway/stream.go
@@ -12,7 +12,7 @@
 
 	"foxcross.dev/coord/placement"
 	"foxcross.dev/coord/result"
-	"foxcross.dev/foxcross/internal/upstream"
+	"foxcross.dev/foxcross/internal/direct/upstream"
 )
 
 // mostEvent bounds one event of a stream.
--- a/internal/gateway/stream_test.go
+++ b/internal/direct/gateway/stream_test.go
@@ -6,7 +6,7 @@
 	"net/http"
 	"strings"
 
-	"foxcross.dev/foxcross/internal/standin/fleet"
+	"foxcross.dev/foxcross/internal/testing/standin/platformtest"
 
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
@@ -33,7 +33,7 @@
 
 var _ = Describe("streams", func() {
 	It("pass all events on in order", func() {
-		w := start(fleet.Events{To: 20})
+		w := start(platformtest.Events{To: 20})
 		a := w.do(w.request(http.MethodPost, "/chat/1", "x"))
 		a.whole(200)
 		Expect(eventIDs(a.body)).To(Equal(numbers(20)))
@@ -42,7 +42,7 @@
 
 	It("pass an event on before the next one comes", func() {
 		hold := make(chan struct{})
-		w := start(fleet.Events{To: 2, Hold: hold})
+		w := start(platformtest.Events{To: 2, Hold: hold})
 		a, err := w.client.Do(w.request(http.MethodPost, "/chat/1", "x"))
 		Expect(err).NotTo(HaveOccurred())
 		defer func() { _ = a.Body.Close() }()
@@ -53,19 +53,19 @@
 	})
 
 	It("go on at another endpoint after the last whole event, where that is allowed", func() {
-		w := start(fleet.Events{To: 30}, fleet.Events{To: 30})
-		fleet.InTurn(w.runners, fleet.Events{To: 7, Broken: true}, fleet.Events{To: 30})
+		w := start(platformtest.Events{To: 30}, platformtest.Events{To: 30})
+		platformtest.InTurn(w.runners, platformtest.Events{To: 7, Broken: true}, platformtest.Events{To: 30})
 		a := w.do(w.request(http.MethodPost, "/chat/1", "x"))
 		a.whole(200)
 		Expect(eventIDs(a.body)).To(Equal(numbers(30)))
 		first, second := w.inOrder()
-		Expect(first.Runs()[0].Header.Get(fleet.LastEventField)).To(BeEmpty())
-		Expect(second.Runs()[0].Header.Get(fleet.LastEventField)).To(Equal("7"))
+		Expect(first.Runs()[0].Header.Get(platformtest.LastEventField)).To(BeEmpty())
+		Expect(second.Runs()[0].Header.Get(platformtest.LastEventField)).To(Equal("7"))
 	})
 
 	It("break off where all endpoints that the route allows broke off", func() {
-		w := start(fleet.Events{To: 30}, fleet.Events{To: 30}, fleet.Events{To: 30})
-		fleet.InTurn(w.runners, fleet.Events{To: 7, Broken: true}, fleet.Events{To: 12, Broken: true})
+		w := start(platformtest.Events{To: 30}, platformtest.Events{To: 30}, platformtest.Events{To: 30})
+		platformtest.InTurn(w.runners, platformtest.Events{To: 7, Broken: true}, platformtest.Events{To: 12, Broken: true})
 		a := w.do(w.request(http.MethodPost, "/chat/1", "x"))
 		a.cut()
 		Expect(eventIDs(a.body)).To(Equal(numbers(12)))
@@ -73,16 +73,16 @@
 	})
 
 	It("keep the head of the first endpoint when they go on", func() {
-		w := start(fleet.Events{To: 30}, fleet.Events{To: 30})
-		fleet.InTurn(w.runners, fleet.Events{To: 7, Broken: true}, fleet.Events{To: 30})
+		w := start(platformtest.Events{To: 30}, platformtest.Events{To: 30})
+		platformtest.InTurn(w.runners, platformtest.Events{To: 7, Broken: true}, platformtest.Events{To: 30})
 		a := w.do(w.request(http.MethodPost, "/chat/1", "x"))
 		a.whole(200)
 		first, _ := w.inOrder()
-		Expect(a.header.Get(fleet.InstanceField)).To(Equal(first.ID))
+		Expect(a.header.Get(platformtest.InstanceField)).To(Equal(first.ID))
 	})
 
 	It("break off visibly where they may not go on", func() {
-		w := start(fleet.Events{To: 7, Broken: true}, fleet.Events{To: 7, Broken: true})
+		w := start(platformtest.Events{To: 7, Broken: true}, platformtest.Events{To: 7, Broken: true})
 		a := w.do(w.request(http.MethodPost, "/plan/1", "x"))
 		a.cut()
 		Expect(eventIDs(a.body)).To(Equal(numbers(7)))
--- a/internal/peers/golden_test.go
+++ b/internal/direct/peers/golden_test.go
@@ -12,9 +12,9 @@
 
 	"foxcross.dev/coord/placement"
 	"foxcross.dev/coord/settings"
-	"foxcross.dev/foxcross/internal/directory"
-	"foxcross.dev/foxcross/internal/golden"
-	"foxcross.dev/foxcross/internal/site"
+	"foxcross.dev/foxcross/internal/direct/directory"
+	"foxcross.dev/foxcross/internal/direct/driver"
+	"foxcross.dev/foxcross/internal/testing/golden"
 
 	"github.com/fxamacker/cbor/v2"
 )
@@ -63,12 +63,12 @@
 	// One node, since the order of several is not fixed.
 	tree := settings.NewTree(map[string]settings.Node{"": {Set: settings.Fields{Tier: &tier}}})
 	d := directory.New(func(directory.InForce) {}, func([]placement.Endpoint) {})
-	d.SetBounds(site.Bounds{LeaveWithin: time.Second})
+	d.SetBounds(driver.Bounds{LeaveWithin: time.Second})
 	first := placement.Endpoint{ID: "i-1", Service: "pool", Address: "10.0.0.1:80", DataCentre: "z", Slots: 4, Leaving: true, Engine: true}
-	d.TakeEndpoints(site.Endpoints{Revision: 5, List: []placement.Endpoint{first}}, "test")
+	d.TakeEndpoints(driver.Endpoints{Revision: 5, List: []placement.Endpoint{first}}, "test")
 	d.TakeSettings(3, tree, "test")
-	d.Apply(site.Change{Revision: 6, Changed: []placement.Endpoint{{ID: "i-2", Service: "app", Address: "10.0.0.2:80"}}})
-	d.Apply(site.Change{Revision: 7, Gone: []string{"i-1"}})
+	d.Apply(driver.Change{Revision: 6, Changed: []placement.Endpoint{{ID: "i-2", Service: "app", Address: "10.0.0.2:80"}}})
+	d.Apply(driver.Change{Revision: 7, Gone: []string{"i-1"}})
 	if version, revision := d.Versions(); version != 3 || revision != 7 {
 		t.Fatalf("got version %d, revision %d", version, revision)
 	}
--- a/internal/peers/group.go
+++ b/internal/direct/peers/group.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"foxcross.dev/foxcross/internal/directory"
+	"foxcross.dev/foxcross/internal/direct/directory"
 	"foxcross.dev/foxcross/internal/logs"
 )
 
--- a/internal/peers/members.go
+++ b/internal/direct/peers/members.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"foxcross.dev/coord/rendezvous"
-	"foxcross.dev/foxcross/internal/directory"
+	"foxcross.dev/foxcross/internal/direct/directory"
 )
 
 // Entries that ask the source.
--- a/internal/peers/members_test.go
+++ b/internal/direct/peers/members_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"foxcross.dev/foxcross/internal/directory"
+	"foxcross.dev/foxcross/internal/direct/directory"
 )
 
 // ranked returns a group whose own rank is behind the given peers, which are
--- a/internal/peers/peers_test.go
+++ b/internal/direct/peers/peers_test.go
@@ -12,9 +12,9 @@
 
 	"foxcross.dev/coord/placement"
 	"foxcross.dev/coord/settings"
-	"foxcross.dev/foxcross/internal/directory"
-	"foxcross.dev/foxcross/internal/peers"
-	"foxcross.dev/foxcross/internal/site"
+	"foxcross.dev/foxcross/internal/direct/directory"
+	"foxcross.dev/foxcross/internal/direct/driver"
+	"foxcross.dev/foxcross/internal/direct/peers"
 
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
@@ -130,7 +130,7 @@
 	It("hands on only what the asker lacks", func() {
 		a := join("a", "", 1)
 		a.directory.TakeSettings(5, settings.NewTree(map[string]settings.Node{"": {}, "routes": {}}), "test")
-		a.directory.TakeEndpoints(site.Endpoints{Revision: 9, List: []placement.Endpoint{{ID: "i-1", Service: "pool"}}}, "test")
+		a.directory.TakeEndpoints(driver.Endpoints{Revision: 9, List: []placement.Endpoint{{ID: "i-1", Service: "pool"}}}, "test")
 		size := func(version string) int {
 			answer, err := http.Get("http://" + a.group.Address() + "/state?version=" + version)
 			Expect(err).NotTo(HaveOccurred())
@@ -150,9 +150,9 @@
 			list = append(list, placement.Endpoint{ID: fmt.Sprint("i-", n), Service: "pool"})
 		}
 		a.directory.TakeSettings(5, settings.NewTree(map[string]settings.Node{"": {}, "routes": {}}), "test")
-		a.directory.TakeEndpoints(site.Endpoints{Revision: 9, List: list}, "test")
+		a.directory.TakeEndpoints(driver.Endpoints{Revision: 9, List: list}, "test")
 		Eventually(b.directory.Known).Should(BeTrue())
-		a.directory.Apply(site.Change{Revision: 11, Gone: []string{"i-7"}, Changed: []placement.Endpoint{{ID: "i-8", Leaving: true}}})
+		a.directory.Apply(driver.Change{Revision: 11, Gone: []string{"i-7"}, Changed: []placement.Endpoint{{ID: "i-8", Leaving: true}}})
 		Eventually(func() uint64 { _, r := b.directory.Versions(); return r }).Should(BeEquivalentTo(11))
 		Expect(b.directory.Endpoints()).To(Equal(a.directory.Endpoints()))
 		answer, err := http.Get("http://" + a.group.Address() + "/state?version=5&revision=9")
@@ -192,7 +192,7 @@
 		a := join("a", "", 1)
 		b := join("b", "", 2, a.group.Address())
 		a.directory.TakeSettings(5, settings.NewTree(map[string]settings.Node{"": {}, "routes": {}}), "test")
-		a.directory.TakeEndpoints(site.Endpoints{Revision: 9, List: []placement.Endpoint{{ID: "i-1", Service: "pool"}}}, "test")
+		a.directory.TakeEndpoints(driver.Endpoints{Revision: 9, List: []placement.Endpoint{{ID: "i-1", Service: "pool"}}}, "test")
 		Eventually(b.directory.Known).Should(BeTrue())
 		version, revision := b.directory.Versions()
 		Expect(version).To(BeEquivalentTo(5))
--- a/internal/peers/state.go
+++ b/internal/direct/peers/state.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"foxcross.dev/coord/settings"
-	"foxcross.dev/foxcross/internal/directory"
-	"foxcross.dev/foxcross/internal/site"
+	"foxcross.dev/foxcross/internal/direct/directory"
+	"foxcross.dev/foxcross/internal/direct/driver"
 
 	"github.com/fxamacker/cbor/v2"
 )
@@ -27,8 +27,8 @@
 type state struct {
 	Version   uint64                   `cbor:"1,keyasint,omitempty"` // of Nodes
 	Nodes     map[string]settings.Node `cbor:"2,keyasint,omitempty"`
-	Endpoints *site.Endpoints          `cbor:"3,keyasint,omitempty"`
-	Change    *site.Change             `cbor:"4,keyasint,omitempty"` // since the asker's revision, in place of Endpoints
+	Endpoints *driver.Endpoints        `cbor:"3,keyasint,omitempty"`
+	Change    *driver.Change           `cbor:"4,keyasint,omitempty"` // since the asker's revision, in place of Endpoints
 	Lapsed    map[string]time.Duration `cbor:"5,keyasint,omitempty"` // endpoints that vanished and are still used, for how long
 }
 
--- a/internal/process/agent.go
+++ b/internal/process/agent.go
@@ -5,13 +5,13 @@
 	"fmt"
 	"time"
 
-	"foxcross.dev/foxcross/internal/admin"
-	"foxcross.dev/foxcross/internal/agent"
-	"foxcross.dev/foxcross/internal/config"
-	"foxcross.dev/foxcross/internal/endpoint"
-	"foxcross.dev/foxcross/internal/link"
 	"foxcross.dev/foxcross/internal/metrics"
-	"foxcross.dev/foxcross/internal/versions"
+	"foxcross.dev/foxcross/internal/relay/admin"
+	"foxcross.dev/foxcross/internal/relay/agent"
+	"foxcross.dev/foxcross/internal/relay/config"
+	"foxcross.dev/foxcross/internal/relay/endpoint"
+	"foxcross.dev/foxcross/internal/relay/link"
+	"foxcross.dev/foxcross/internal/relay/versions"
 
 	"foxcross.dev/coord/dispatch"
 )
--- a/internal/process/entry.go
+++ b/internal/process/entry.go
@@ -8,14 +8,14 @@
 	"net/http"
 	"time"
 
-	"foxcross.dev/foxcross/internal/admin"
-	"foxcross.dev/foxcross/internal/claims"
-	"foxcross.dev/foxcross/internal/config"
-	"foxcross.dev/foxcross/internal/entry"
-	"foxcross.dev/foxcross/internal/environment"
-	"foxcross.dev/foxcross/internal/link"
 	"foxcross.dev/foxcross/internal/metrics"
-	"foxcross.dev/foxcross/internal/versions"
+	"foxcross.dev/foxcross/internal/relay/admin"
+	"foxcross.dev/foxcross/internal/relay/claims"
+	"foxcross.dev/foxcross/internal/relay/config"
+	"foxcross.dev/foxcross/internal/relay/entry"
+	"foxcross.dev/foxcross/internal/relay/kv"
+	"foxcross.dev/foxcross/internal/relay/link"
+	"foxcross.dev/foxcross/internal/relay/versions"
 
 	"foxcross.dev/coord/claim"
 )
@@ -44,7 +44,7 @@
 		return err
 	}
 	defer func() { _ = dialer.Close() }()
-	factory, err := environment.Drivers.Get(c.Platform.Driver)
+	factory, err := kv.Drivers.Get(c.Platform.Driver)
 	if err != nil {
 		return err
 	}
@@ -97,7 +97,7 @@
 	return stopEntry(e, callers, c, second)
 }
 
-func claimOptions(c config.Entry, p environment.Platform, entries func() int) claims.Options {
+func claimOptions(c config.Entry, p kv.Platform, entries func() int) claims.Options {
 	o := claims.Options{
 		KeyValue:   p,
 		Owner:      c.Name,
--- a/internal/process/gateway.go
+++ b/internal/process/gateway.go
@@ -10,11 +10,11 @@
 	"syscall"
 	"time"
 
-	"foxcross.dev/foxcross/internal/gateway"
+	"foxcross.dev/foxcross/internal/direct/driver"
+	"foxcross.dev/foxcross/internal/direct/gateway"
+	"foxcross.dev/foxcross/internal/direct/peers"
 	"foxcross.dev/foxcross/internal/logs"
 	"foxcross.dev/foxcross/internal/metrics"
-	"foxcross.dev/foxcross/internal/peers"
-	"foxcross.dev/foxcross/internal/site"
 	"foxcross.dev/foxcross/internal/workers"
 
 	crand "crypto/rand"
@@ -37,12 +37,12 @@
 	signal.Notify(hangups, syscall.SIGHUP)
 	defer signal.Stop(hangups)
 	first, second := stopSignals()
-	factory, err := site.Drivers.Get(driverName)
+	factory, err := driver.Drivers.Get(driverName)
 	if err != nil {
 		return err
 	}
-	driver := factory()
-	place, err := driver.Process()
+	platform := factory()
+	place, err := platform.Process()
 	if err != nil {
 		return err
 	}
@@ -50,7 +50,7 @@
 	defer func() { _ = closer.Close() }()
 	g := gateway.New(gateway.Options{
 		Process: place,
-		Driver:  driver,
+		Driver:  platform,
 		Owner:   randomID(),
 		Seed:    randomID(),
 		Metrics: scope,
@@ -60,11 +60,11 @@
 	if err := join(running, g, place); err != nil {
 		return err
 	}
-	go g.Directory().Follow(running, driver.Source(place))
+	go g.Directory().Follow(running, platform.Source(place))
 	go g.Run(running)
-	go reload(running, hangups, g, driver, place)
+	go reload(running, hangups, g, platform, place)
 	go gauge(running, g, scope)
-	if err := serveChecks(g, driver, place, served); err != nil {
+	if err := serveChecks(g, platform, place, served); err != nil {
 		return err
 	}
 	callers, err := g.Serve(place.Callers)
@@ -85,7 +85,7 @@
 }
 
 // join meets the other entries.
-func join(ctx context.Context, g *gateway.Gateway, place site.Process) error {
+func join(ctx context.Context, g *gateway.Gateway, place driver.Process) error {
 	d := g.Directory()
 	group, err := peers.New(peers.Options{
 		Name:     place.Name,
@@ -112,9 +112,9 @@
 }
 
 // serveChecks serves the balancer's check and the process's own figures.
-func serveChecks(g *gateway.Gateway, driver site.Driver, place site.Process, served http.Handler) error {
+func serveChecks(g *gateway.Gateway, platform driver.Driver, place driver.Process, served http.Handler) error {
 	checks := flow.New()
-	checks.HandleFunc(driver.ReadyPath(), func(w http.ResponseWriter, _ *http.Request) {
+	checks.HandleFunc(platform.ReadyPath(), func(w http.ResponseWriter, _ *http.Request) {
 		if !g.Ready() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
@@ -133,7 +133,7 @@
 }
 
 // reload takes in changes of the settings file that is in force.
-func reload(ctx context.Context, hangups <-chan os.Signal, g *gateway.Gateway, driver site.Driver, inForce site.Process) {
+func reload(ctx context.Context, hangups <-chan os.Signal, g *gateway.Gateway, platform driver.Driver, inForce driver.Process) {
 	ticker := time.NewTicker(reloadEvery)
 	defer ticker.Stop()
 	for {
@@ -144,7 +144,7 @@
 			log.Info("Reading the settings file again.")
 		case <-ticker.C:
 		}
-		place, err := driver.Process()
+		place, err := platform.Process()
 		if err != nil {
 			log.With("reason", err.Error()).Errorf("The settings file can't be used; the old settings stay.")
 			continue
--- a/internal/process/gateway_test.go
+++ b/internal/process/gateway_test.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"foxcross.dev/foxcross/internal/process"
-	"foxcross.dev/foxcross/internal/standin/fleet"
+	"foxcross.dev/foxcross/internal/testing/standin/platformtest"
 
 	_ "foxcross.dev/foxcross/platform" // registers its driver
 )
@@ -71,9 +71,9 @@
 // TestWholeProcess runs an entry as the platform does: settings file, store,
 // readiness, a request, figures, SIGHUP, SIGTERM.
 func TestWholeProcess(t *testing.T) {
-	store := fleet.NewStore()
+	store := platformtest.NewStore()
 	defer store.Close()
-	runner := fleet.NewRunner("i-1", "pool", fleet.Answer{Status: 200, Body: "whole"})
+	runner := platformtest.NewRunner("i-1", "pool", platformtest.Answer{Status: 200, Body: "whole"})
 	defer runner.Close()
 	store.Put("servers/i-1", runner.Entry("ready"))
 	store.Configure(map[string]any{
@@ -105,7 +105,7 @@
 	eventually(t, "readiness", func() bool { s, _ := fetch(t, get(t, ready)); return s == 200 })
 	q := get(t, ip+":8227/page")
 	q.Host = "h.example"
-	q.Header.Set(fleet.RequestIDField, "a")
+	q.Header.Set(platformtest.RequestIDField, "a")
 	if status, body := fetch(t, q); status != 200 || body != "whole" {
 		t.Fatalf("got %d %q", status, body)
 	}
--- a/internal/process/golden_test.go
+++ b/internal/process/golden_test.go
@@ -15,9 +15,9 @@
 	"testing"
 	"time"
 
-	"foxcross.dev/foxcross/internal/golden"
 	"foxcross.dev/foxcross/internal/process"
-	"foxcross.dev/foxcross/internal/standin/fleet"
+	"foxcross.dev/foxcross/internal/testing/golden"
+	"foxcross.dev/foxcross/internal/testing/standin/platformtest"
 )
 
 // entryVariable makes the test's own program an entry.
@@ -73,9 +73,9 @@
 // TestGoldenProcess runs an entry as a program of its own and holds its figures,
 // its state and the log lines of two requests to what they were.
 func TestGoldenProcess(t *testing.T) {
-	store := fleet.NewStore()
+	store := platformtest.NewStore()
 	defer store.Close()
-	runner := fleet.NewRunner("i-1", "pool", fleet.Events{To: 3, Pause: 2 * time.Millisecond})
+	runner := platformtest.NewRunner("i-1", "pool", platformtest.Events{To: 3, Pause: 2 * time.Millisecond})
 	defer runner.Close()
 	store.Enter(runner, "ready")
 	store.Configure(map[string]any{
@@ -118,7 +118,7 @@
 	for _, target := range []string{"/chat/a", "/nothing"} {
 		q := get(t, ip+":8227"+target)
 		q.Host = "h.example"
-		q.Header.Set(fleet.RequestIDField, target)
+		q.Header.Set(platformtest.RequestIDField, target)
 		fetch(t, q)
 	}
 	var figures string
--- a/internal/process/listen.go
+++ b/internal/process/listen.go
@@ -6,7 +6,7 @@
 	"net/http"
 	"time"
 
-	"foxcross.dev/foxcross/internal/entry"
+	"foxcross.dev/foxcross/internal/relay/entry"
 )
 
 const (
--- a/internal/process/signals.go
+++ b/internal/process/signals.go
@@ -10,9 +10,9 @@
 	"os/signal"
 	"syscall"
 
-	"foxcross.dev/foxcross/internal/config"
-	"foxcross.dev/foxcross/internal/keys"
 	"foxcross.dev/foxcross/internal/logs"
+	"foxcross.dev/foxcross/internal/relay/config"
+	"foxcross.dev/foxcross/internal/relay/keys"
 )
 
 var log = logs.For("process")
--- a/internal/admin/admin_test.go
+++ b/internal/relay/admin/admin_test.go
@@ -11,10 +11,10 @@
 	"time"
 
 	trees "foxcross.dev/foxcross/examples/settings"
-	"foxcross.dev/foxcross/internal/admin"
 	"foxcross.dev/foxcross/internal/metrics"
-	"foxcross.dev/foxcross/internal/standin"
-	"foxcross.dev/foxcross/internal/versions"
+	"foxcross.dev/foxcross/internal/relay/admin"
+	"foxcross.dev/foxcross/internal/relay/versions"
+	"foxcross.dev/foxcross/internal/testing/standin"
 
 	"foxcross.dev/coord/result"
 	"foxcross.dev/coord/settings"
--- a/internal/admin/tree.go
+++ b/internal/relay/admin/tree.go
@@ -7,7 +7,7 @@
 	"strconv"
 	"strings"
 
-	"foxcross.dev/foxcross/internal/versions"
+	"foxcross.dev/foxcross/internal/relay/versions"
 
 	"foxcross.dev/coord/result"
 	"foxcross.dev/coord/settings"
--- a/internal/agent/agent.go
+++ b/internal/relay/agent/agent.go
@@ -13,10 +13,10 @@
 	"foxcross.dev/coord/dispatch"
 	"foxcross.dev/coord/message"
 	"foxcross.dev/coord/queue"
-	"foxcross.dev/foxcross/internal/endpoint"
 	"foxcross.dev/foxcross/internal/lifecycle"
-	"foxcross.dev/foxcross/internal/link"
 	"foxcross.dev/foxcross/internal/logs"
+	"foxcross.dev/foxcross/internal/relay/endpoint"
+	"foxcross.dev/foxcross/internal/relay/link"
 	"foxcross.dev/foxcross/internal/workers"
 
 	"github.com/uber-go/tally/v4"
--- a/internal/agent/owner.go
+++ b/internal/relay/agent/owner.go
@@ -8,7 +8,7 @@
 
 	"foxcross.dev/coord/message"
 	"foxcross.dev/coord/queue"
-	"foxcross.dev/foxcross/internal/link"
+	"foxcross.dev/foxcross/internal/relay/link"
 )
 
 const helloTimeout = 5 * time.Second
--- a/internal/agent/run.go
+++ b/internal/relay/agent/run.go
@@ -10,8 +10,8 @@
 	"foxcross.dev/coord/message"
 	"foxcross.dev/coord/queue"
 	"foxcross.dev/coord/result"
-	"foxcross.dev/foxcross/internal/endpoint"
-	"foxcross.dev/foxcross/internal/link"
+	"foxcross.dev/foxcross/internal/relay/endpoint"
+	"foxcross.dev/foxcross/internal/relay/link"
 )
 
 var errOver = errors.New("agent: the attempt is over")
--- a/internal/claims/claims.go
+++ b/internal/relay/claims/claims.go
@@ -10,8 +10,8 @@
 
 	"foxcross.dev/coord/claim"
 	"foxcross.dev/coord/result"
-	"foxcross.dev/foxcross/internal/environment"
 	"foxcross.dev/foxcross/internal/logs"
+	"foxcross.dev/foxcross/internal/relay/kv"
 
 	"github.com/cespare/xxhash/v2"
 )
@@ -31,7 +31,7 @@
 
 // Options of a Batcher. All entries must agree on Partitions, Period and Retain.
 type Options struct {
-	KeyValue   environment.KeyValue
+	KeyValue   kv.KeyValue
 	Owner      string           // name of the process, unique among the live ones
 	Partitions int              // 0 for DefaultPartitions
 	Rules      claim.Rules      // zero for the defaults
--- a/internal/claims/claims_test.go
+++ b/internal/relay/claims/claims_test.go
@@ -12,8 +12,8 @@
 	"time"
 
 	"foxcross.dev/coord/result"
-	"foxcross.dev/foxcross/internal/claims"
-	"foxcross.dev/foxcross/internal/standin"
+	"foxcross.dev/foxcross/internal/relay/claims"
+	"foxcross.dev/foxcross/internal/testing/standin"
 
 	"github.com/anishathalye/porcupine"
 )
--- a/internal/claims/partition.go
+++ b/internal/relay/claims/partition.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"foxcross.dev/coord/claim"
-	"foxcross.dev/foxcross/internal/environment"
+	"foxcross.dev/foxcross/internal/relay/kv"
 
 	"github.com/fxamacker/cbor/v2"
 )
@@ -173,8 +173,8 @@
 		return nil
 	}
 	v, err := p.options.KeyValue.Get(ctx, p.headKey())
-	if errors.Is(err, environment.ErrNotFound) {
-		v, err = environment.Value{}, nil
+	if errors.Is(err, kv.ErrNotFound) {
+		v, err = kv.Value{}, nil
 	}
 	if err != nil {
 		return err
@@ -223,7 +223,7 @@
 		return err
 	}
 	_, err = p.options.KeyValue.Swap(ctx, p.name+"/"+name, data, 0)
-	if err != nil && !errors.Is(err, environment.ErrConflict) {
+	if err != nil && !errors.Is(err, kv.ErrConflict) {
 		return err
 	}
 	claims := p.head.Claims
--- a/internal/config/config.go
+++ b/internal/relay/config/config.go
@@ -10,7 +10,7 @@
 	"os"
 	"time"
 
-	"foxcross.dev/foxcross/internal/keys"
+	"foxcross.dev/foxcross/internal/relay/keys"
 
 	"foxcross.dev/coord/result"
 	"foxcross.dev/coord/settings"
--- a/internal/config/config_test.go
+++ b/internal/relay/config/config_test.go
@@ -6,13 +6,13 @@
 	"strings"
 
 	"foxcross.dev/coord/result"
-	"foxcross.dev/foxcross/internal/config"
+	"foxcross.dev/foxcross/internal/relay/config"
 
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 )
 
-const examples = "../../examples/processes/"
+const examples = "../../../examples/processes/"
 
 // changed returns a file with a part of an example replaced.
 func changed(example, old, replacement string) string {
--- a/internal/config/golden_test.go
+++ b/internal/relay/config/golden_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"foxcross.dev/foxcross/internal/golden"
+	"foxcross.dev/foxcross/internal/testing/golden"
 )
 
 // TestGoldenSchemas holds what operators may write in settings files.
--- a/internal/endpoint/endpoint_test.go
+++ b/internal/relay/endpoint/endpoint_test.go
@@ -11,8 +11,8 @@
 
 	"foxcross.dev/coord/message"
 	"foxcross.dev/coord/result"
-	"foxcross.dev/foxcross/internal/endpoint"
-	"foxcross.dev/foxcross/internal/standin"
+	"foxcross.dev/foxcross/internal/relay/endpoint"
+	"foxcross.dev/foxcross/internal/testing/standin"
 
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
--- a/internal/endpoint/golden_test.go
+++ b/internal/relay/endpoint/golden_test.go
@@ -10,8 +10,8 @@
 	"strings"
 
 	"foxcross.dev/coord/message"
-	"foxcross.dev/foxcross/internal/endpoint"
-	"foxcross.dev/foxcross/internal/golden"
+	"foxcross.dev/foxcross/internal/relay/endpoint"
+	"foxcross.dev/foxcross/internal/testing/golden"
 
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
--- a/internal/entry/attempt.go
+++ b/internal/relay/entry/attempt.go
@@ -7,7 +7,7 @@
 	"foxcross.dev/coord/binding"
 	"foxcross.dev/coord/message"
 	"foxcross.dev/coord/result"
-	"foxcross.dev/foxcross/internal/link"
+	"foxcross.dev/foxcross/internal/relay/link"
 )
 
 const openTimeout = 2 * time.Second
--- a/internal/entry/entry.go
+++ b/internal/relay/entry/entry.go
@@ -16,11 +16,11 @@
 	"foxcross.dev/coord/message"
 	"foxcross.dev/coord/result"
 	"foxcross.dev/coord/subset"
-	"foxcross.dev/foxcross/internal/environment"
 	"foxcross.dev/foxcross/internal/lifecycle"
-	"foxcross.dev/foxcross/internal/link"
 	"foxcross.dev/foxcross/internal/logs"
-	"foxcross.dev/foxcross/internal/versions"
+	"foxcross.dev/foxcross/internal/relay/kv"
+	"foxcross.dev/foxcross/internal/relay/link"
+	"foxcross.dev/foxcross/internal/relay/versions"
 	"foxcross.dev/foxcross/internal/workers"
 
 	"github.com/uber-go/tally/v4"
@@ -40,7 +40,7 @@
 	Name       string
 	DataCentre string
 	Dialer     link.Dialer
-	Members    environment.Members
+	Members    kv.Members
 	Settings   *versions.Holder
 	Metrics    tally.Scope
 	Seed       uint64        // of the choice among equals
--- a/internal/entry/golden_test.go
+++ b/internal/relay/entry/golden_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"foxcross.dev/coord/result"
-	"foxcross.dev/foxcross/internal/golden"
+	"foxcross.dev/foxcross/internal/testing/golden"
 )
 
 // TestGoldenAnswers holds the answer for each code to what callers know.
--- a/internal/entry/peers.go
+++ b/internal/relay/entry/peers.go
@@ -7,9 +7,9 @@
 	"foxcross.dev/coord/message"
 	"foxcross.dev/coord/rendezvous"
 	"foxcross.dev/coord/subset"
-	"foxcross.dev/foxcross/internal/environment"
-	"foxcross.dev/foxcross/internal/link"
-	"foxcross.dev/foxcross/internal/versions"
+	"foxcross.dev/foxcross/internal/relay/kv"
+	"foxcross.dev/foxcross/internal/relay/link"
+	"foxcross.dev/foxcross/internal/relay/versions"
 
 	"github.com/cenkalti/backoff/v5"
 )
@@ -74,7 +74,7 @@
 
 // apply takes a list. It may lag or be empty by mistake: an agent that is not
 // on it is only dropped after a while without a connection.
-func (e *Entry) apply(ctx context.Context, now time.Time, members []environment.Member) {
+func (e *Entry) apply(ctx context.Context, now time.Time, members []kv.Member) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	listed := map[string]bool{}
@@ -82,11 +82,11 @@
 	entries := 0
 	for _, m := range members {
 		switch m.Role {
-		case environment.Entry:
+		case kv.Entry:
 			if !m.Leaving {
 				entries++
 			}
-		case environment.Agent:
+		case kv.Agent:
 			listed[m.Name] = true
 			e.applyAgent(ctx, m, wanted[m.Name])
 		}
@@ -104,12 +104,12 @@
 // isWatcher tells whether this entry is among the watchers of its data centre.
 // Entries that see different lists may come to different answers; then a few
 // more or fewer watch.
-func (e *Entry) isWatcher(members []environment.Member) bool {
+func (e *Entry) isWatcher(members []kv.Member) bool {
 	key := rendezvous.Hash(e.options.DataCentre)
 	own := rendezvous.Rank(key, rendezvous.Hash(e.options.Name))
 	before := 0
 	for _, m := range members {
-		if m.Role != environment.Entry || m.Leaving || m.DataCentre != e.options.DataCentre {
+		if m.Role != kv.Entry || m.Leaving || m.DataCentre != e.options.DataCentre {
 			continue
 		}
 		if rendezvous.Rank(key, rendezvous.Hash(m.Name)) < own {
@@ -120,10 +120,10 @@
 }
 
 // wanted returns the agents of the entry's subset.
-func (e *Entry) wanted(members []environment.Member) map[string]bool {
+func (e *Entry) wanted(members []kv.Member) map[string]bool {
 	var agents []subset.Agent
 	for _, m := range members {
-		if m.Role == environment.Agent && !m.Leaving {
+		if m.Role == kv.Agent && !m.Leaving {
 			agents = append(agents, subset.Agent{Name: m.Name, DataCentre: m.DataCentre})
 		}
 	}
@@ -134,7 +134,7 @@
 	return wanted
 }
 
-func (e *Entry) applyAgent(ctx context.Context, m environment.Member, wanted bool) {
+func (e *Entry) applyAgent(ctx context.Context, m kv.Member, wanted bool) {
 	p := e.peers[m.Name]
 	if p != nil && (p.address != m.Address || !wanted && !m.Leaving && !e.core.Uses(m.Name)) {
 		e.dropPeer(p)
--- a/internal/environment/httpkv/client.go
+++ b/internal/relay/kv/httpkv/client.go
@@ -18,7 +18,7 @@
 	"strconv"
 	"time"
 
-	"foxcross.dev/foxcross/internal/environment"
+	"foxcross.dev/foxcross/internal/relay/kv"
 )
 
 // The protocol's paths and field.
@@ -36,7 +36,7 @@
 	mostAnswer  = 16 << 20
 )
 
-func init() { environment.Drivers.Register("http", New) }
+func init() { kv.Drivers.Register("http", New) }
 
 type client struct {
 	base *url.URL
@@ -44,7 +44,7 @@
 }
 
 // New returns a client of the service at a base URL.
-func New(address string) (environment.Platform, error) {
+func New(address string) (kv.Platform, error) {
 	base, err := url.Parse(address)
 	if err != nil || base.Host == "" {
 		return nil, fmt.Errorf("httpkv: %q is not a URL", address)
@@ -77,7 +77,7 @@
 	response, err := c.http.Do(request)
 	var dial *net.OpError
 	if errors.As(err, &dial) && dial.Op == "dial" {
-		return answer{}, fmt.Errorf("%w: %v", environment.ErrUnavailable, err)
+		return answer{}, fmt.Errorf("%w: %v", kv.ErrUnavailable, err)
 	}
 	if err != nil {
 		return answer{}, err
@@ -96,22 +96,22 @@
 	case http.StatusOK, http.StatusNoContent:
 		return nil
 	case http.StatusNotFound:
-		return environment.ErrNotFound
+		return kv.ErrNotFound
 	case http.StatusConflict:
-		return environment.ErrConflict
+		return kv.ErrConflict
 	case http.StatusServiceUnavailable:
-		return environment.ErrUnavailable
+		return kv.ErrUnavailable
 	default:
 		return fmt.Errorf("httpkv: status %d", status)
 	}
 }
 
 // Get returns a value.
-func (c *client) Get(ctx context.Context, key string) (environment.Value, error) {
+func (c *client) Get(ctx context.Context, key string) (kv.Value, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	a, err := c.call(ctx, http.MethodGet, ValuePath+key, nil, nil, 0)
-	return environment.Value{Data: a.body, Revision: a.revision}, err
+	return kv.Value{Data: a.body, Revision: a.revision}, err
 }
 
 // List returns the keys with the prefix.
@@ -122,8 +122,8 @@
 }
 
 // Members returns the member list.
-func (c *client) Members(ctx context.Context) ([]environment.Member, error) {
-	var members []environment.Member
+func (c *client) Members(ctx context.Context) ([]kv.Member, error) {
+	var members []kv.Member
 	err := c.read(ctx, MembersPath, nil, &members)
 	return members, err
 }
@@ -159,10 +159,10 @@
 }
 
 // Watch waits for a later revision.
-func (c *client) Watch(ctx context.Context, key string, after uint64) (environment.Value, error) {
+func (c *client) Watch(ctx context.Context, key string, after uint64) (kv.Value, error) {
 	query := url.Values{"after": {strconv.FormatUint(after, 10)}}
 	a, err := c.call(ctx, http.MethodGet, ValuePath+key, query, nil, 0)
-	return environment.Value{Data: a.body, Revision: a.revision}, err
+	return kv.Value{Data: a.body, Revision: a.revision}, err
 }
 
 // Grant opens a lease.
--- a/internal/environment/environment.go
+++ b/internal/relay/kv/kv.go
@@ -1,6 +1,6 @@
-// Package environment describes what the platform gives: a key-value service and
+// Package kv describes what the platform gives: a key-value service and
 // a list of instances. Drivers for real ones register themselves.
-package environment
+package kv
 
 import (
 	"context"
@@ -13,9 +13,9 @@
 // Errors of a key-value service. Any other error of a swap means that its
 // outcome is not known.
 var (
-	ErrNotFound    = errors.New("environment: no such key")
-	ErrConflict    = errors.New("environment: the value has changed")
-	ErrUnavailable = errors.New("environment: the service does not answer")
+	ErrNotFound    = errors.New("kv: no such key")
+	ErrConflict    = errors.New("kv: the value has changed")
+	ErrUnavailable = errors.New("kv: the service does not answer")
 )
 
 // Value is a stored value and its revision, which rises with each change.
--- a/internal/link/link_test.go
+++ b/internal/relay/link/link_test.go
@@ -10,9 +10,9 @@
 
 	"foxcross.dev/coord/message"
 	"foxcross.dev/coord/result"
-	"foxcross.dev/foxcross/internal/golden"
-	"foxcross.dev/foxcross/internal/keys"
-	"foxcross.dev/foxcross/internal/link"
+	"foxcross.dev/foxcross/internal/relay/keys"
+	"foxcross.dev/foxcross/internal/relay/link"
+	"foxcross.dev/foxcross/internal/testing/golden"
 
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
--- a/internal/versions/store.go
+++ b/internal/relay/versions/store.go
@@ -10,7 +10,7 @@
 
 	"foxcross.dev/coord/result"
 	"foxcross.dev/coord/settings"
-	"foxcross.dev/foxcross/internal/environment"
+	"foxcross.dev/foxcross/internal/relay/kv"
 
 	"github.com/cenkalti/backoff/v5"
 )
@@ -29,7 +29,7 @@
 
 // Store is the settings in the platform's key-value service.
 type Store struct {
-	KeyValue environment.KeyValue
+	KeyValue kv.KeyValue
 	Holder   *Holder
 	Now      func() time.Time
 	NewID    func() string // ids of changes; must never repeat
@@ -44,7 +44,7 @@
 // root for a watch.
 func (s *Store) Load(ctx context.Context) (uint64, error) {
 	v, err := s.KeyValue.Get(ctx, rootKey)
-	if errors.Is(err, environment.ErrNotFound) {
+	if errors.Is(err, kv.ErrNotFound) {
 		return 0, nil
 	}
 	if err != nil {
@@ -53,7 +53,7 @@
 	return v.Revision, s.take(ctx, v)
 }
 
-func (s *Store) take(ctx context.Context, v environment.Value) error {
+func (s *Store) take(ctx context.Context, v kv.Value) error {
 	r, err := parseRoot(v)
 	if err != nil {
 		return err
@@ -69,7 +69,7 @@
 	return err
 }
 
-func parseRoot(v environment.Value) (settings.Root, error) {
+func parseRoot(v kv.Value) (settings.Root, error) {
 	var r settings.Root
 	if err := json.Unmarshal(v.Data, &r); err != nil {
 		return r, fmt.Errorf("settings: root: %w", err)
@@ -158,7 +158,7 @@
 		root, err := s.try(ctx, tree, newest.Root, revision, settings.Root{
 			Change: id, Author: c.Author, Note: c.Note, At: s.Now().UTC(),
 		})
-		if !errors.Is(err, environment.ErrConflict) {
+		if !errors.Is(err, kv.ErrConflict) {
 			return root, err
 		}
 	}
@@ -168,7 +168,7 @@
 // newest returns the stored version and the revision of its root.
 func (s *Store) newest(ctx context.Context) (State, uint64, error) {
 	v, err := s.KeyValue.Get(ctx, rootKey)
-	if errors.Is(err, environment.ErrNotFound) {
+	if errors.Is(err, kv.ErrNotFound) {
 		return State{}, 0, nil
 	}
 	if err != nil {
@@ -212,7 +212,7 @@
 // RootAt returns the root of a version.
 func (s *Store) RootAt(ctx context.Context, version uint64) (settings.Root, error) {
 	v, err := s.KeyValue.Get(ctx, rootKey)
-	if err != nil && !errors.Is(err, environment.ErrNotFound) {
+	if err != nil && !errors.Is(err, kv.ErrNotFound) {
 		return settings.Root{}, unavailable(err)
 	}
 	if err == nil {
@@ -222,7 +222,7 @@
 		}
 	}
 	v, err = s.KeyValue.Get(ctx, versionKey+strconv.FormatUint(version, 10))
-	if errors.Is(err, environment.ErrNotFound) {
+	if errors.Is(err, kv.ErrNotFound) {
 		return settings.Root{}, result.Errorf(result.SettingsVersion, "there is no version %d", version)
 	}
 	if err != nil {
@@ -296,7 +296,7 @@
 // good, and so is a lost answer once a read shows it.
 func (s *Store) create(ctx context.Context, key string, data []byte) error {
 	_, err := s.KeyValue.Swap(ctx, key, data, 0)
-	if err == nil || errors.Is(err, environment.ErrConflict) {
+	if err == nil || errors.Is(err, kv.ErrConflict) {
 		return nil
 	}
 	if _, readErr := s.KeyValue.Get(ctx, key); readErr == nil {
@@ -308,7 +308,7 @@
 // settle finds out whether a swap that returned an error took effect. It looks
 // for the change's own id in the root in force and those before it.
 func (s *Store) settle(ctx context.Context, r settings.Root, cause error) error {
-	if errors.Is(cause, environment.ErrConflict) || errors.Is(cause, environment.ErrUnavailable) {
+	if errors.Is(cause, kv.ErrConflict) || errors.Is(cause, kv.ErrUnavailable) {
 		return storeError(cause)
 	}
 	wait := backoff.NewExponentialBackOff()
@@ -319,9 +319,9 @@
 		case err == nil && now.Change == r.Change:
 			return nil
 		case err == nil:
-			return environment.ErrConflict // another change became this version
+			return kv.ErrConflict // another change became this version
 		case errors.As(err, &code) && code.Code == result.SettingsVersion:
-			return environment.ErrConflict // not stored; may be tried again
+			return kv.ErrConflict // not stored; may be tried again
 		}
 		pause(ctx, wait.NextBackOff())
 	}
@@ -331,7 +331,7 @@
 }
 
 func storeError(cause error) error {
-	if errors.Is(cause, environment.ErrUnavailable) {
+	if errors.Is(cause, kv.ErrUnavailable) {
 		return unavailable(cause)
 	}
 	return cause
--- a/internal/versions/versions_test.go
+++ b/internal/relay/versions/versions_test.go
@@ -14,8 +14,8 @@
 
 	"foxcross.dev/coord/result"
 	"foxcross.dev/coord/settings"
-	"foxcross.dev/foxcross/internal/standin"
-	"foxcross.dev/foxcross/internal/versions"
+	"foxcross.dev/foxcross/internal/relay/versions"
+	"foxcross.dev/foxcross/internal/testing/standin"
 
 	"github.com/anishathalye/porcupine"
 )
--- a/internal/bench/link_test.go
+++ b/internal/testing/bench/link_test.go
@@ -11,11 +11,11 @@
 	"time"
 
 	trees "foxcross.dev/foxcross/examples/settings"
-	"foxcross.dev/foxcross/internal/caller"
-	"foxcross.dev/foxcross/internal/fleet"
-	"foxcross.dev/foxcross/internal/keys"
-	"foxcross.dev/foxcross/internal/link"
-	"foxcross.dev/foxcross/internal/standin"
+	"foxcross.dev/foxcross/internal/relay/keys"
+	"foxcross.dev/foxcross/internal/relay/link"
+	"foxcross.dev/foxcross/internal/testing/caller"
+	"foxcross.dev/foxcross/internal/testing/deployment"
+	"foxcross.dev/foxcross/internal/testing/standin"
 
 	"foxcross.dev/coord/message"
 	"foxcross.dev/coord/settings"
@@ -125,9 +125,9 @@
 }
 
 // deploy starts a fleet with one agent and one entry, ready to be asked.
-func deploy(b *testing.B, l fleet.Local) (*fleet.Fleet, *fleet.Entry) {
+func deploy(b *testing.B, l deployment.Local) (*deployment.Deployment, *deployment.Entry) {
 	b.Helper()
-	f, err := fleet.New()
+	f, err := deployment.New()
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -154,7 +154,7 @@
 // service, in the same run.
 func BenchmarkTrip(b *testing.B) {
 	service := &standin.Service{}
-	f, e := deploy(b, fleet.Local{Target: settings.ServiceTarget("bookings"), Handler: service})
+	f, e := deploy(b, deployment.Local{Target: settings.ServiceTarget("bookings"), Handler: service})
 	direct, err := f.ServeHTTP(service)
 	if err != nil {
 		b.Fatal(err)
@@ -255,7 +255,7 @@
 // engine and the callers in the same process.
 func BenchmarkStream(b *testing.B) {
 	engine := &standin.Engine{Card: standin.Card{Step: 2 * time.Millisecond, Batch: 1 << 20}}
-	_, e := deploy(b, fleet.Local{Target: target, Handler: engine.Handler()})
+	_, e := deploy(b, deployment.Local{Target: target, Handler: engine.Handler()})
 	const chats = 64
 	var all sync.WaitGroup
 	for b.Loop() {
--- a/internal/fleet/fleet.go
+++ b/internal/testing/deployment/deployment.go
@@ -1,6 +1,6 @@
-// Package fleet starts whole deployments on loopback, with stand-ins, free
+// Package deployment starts whole deployments on loopback, with stand-ins, free
 // ports and throw-away certificates. Examples and tests use it.
-package fleet
+package deployment
 
 import (
 	"context"
@@ -13,15 +13,15 @@
 
 	"foxcross.dev/coord/dispatch"
 	"foxcross.dev/coord/settings"
-	"foxcross.dev/foxcross/internal/agent"
-	"foxcross.dev/foxcross/internal/claims"
-	"foxcross.dev/foxcross/internal/endpoint"
-	"foxcross.dev/foxcross/internal/entry"
-	"foxcross.dev/foxcross/internal/environment"
-	"foxcross.dev/foxcross/internal/keys"
-	"foxcross.dev/foxcross/internal/link"
-	"foxcross.dev/foxcross/internal/standin"
-	"foxcross.dev/foxcross/internal/versions"
+	"foxcross.dev/foxcross/internal/relay/agent"
+	"foxcross.dev/foxcross/internal/relay/claims"
+	"foxcross.dev/foxcross/internal/relay/endpoint"
+	"foxcross.dev/foxcross/internal/relay/entry"
+	"foxcross.dev/foxcross/internal/relay/keys"
+	"foxcross.dev/foxcross/internal/relay/kv"
+	"foxcross.dev/foxcross/internal/relay/link"
+	"foxcross.dev/foxcross/internal/relay/versions"
+	"foxcross.dev/foxcross/internal/testing/standin"
 )
 
 const (
@@ -31,15 +31,15 @@
 	certLife   = 24 * time.Hour
 )
 
-// Fleet is a running deployment. Create it with New.
-type Fleet struct {
+// Deployment is a running deployment. Create it with New.
+type Deployment struct {
 	Store standin.Store
 
 	ctx       context.Context
 	cancel    context.CancelFunc
 	authority *keys.Authority
 	mu        sync.Mutex
-	members   []environment.Member
+	members   []kv.Member
 	agents    map[string]*Agent
 	entries   map[string]*Entry
 	servers   []*http.Server
@@ -68,49 +68,49 @@
 	cancel context.CancelFunc
 }
 
-// New returns an empty fleet.
-func New() (*Fleet, error) {
+// New returns an empty deployment.
+func New() (*Deployment, error) {
 	authority, err := keys.NewAuthority(time.Now(), certLife)
 	if err != nil {
 		return nil, err
 	}
-	f := &Fleet{authority: authority, agents: map[string]*Agent{}, entries: map[string]*Entry{}}
-	f.ctx, f.cancel = context.WithCancel(context.Background())
-	return f, nil
+	d := &Deployment{authority: authority, agents: map[string]*Agent{}, entries: map[string]*Entry{}}
+	d.ctx, d.cancel = context.WithCancel(context.Background())
+	return d, nil
 }
 
 // Close ends everything at once.
-func (f *Fleet) Close() {
-	f.cancel()
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, s := range f.servers {
+func (d *Deployment) Close() {
+	d.cancel()
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for _, s := range d.servers {
 		_ = s.Close()
 	}
-	for _, e := range f.entries {
+	for _, e := range d.entries {
 		e.kill()
 	}
-	for _, a := range f.agents {
+	for _, a := range d.agents {
 		a.kill()
 	}
 }
 
 // ServeHTTP serves a handler on a free port and returns its base URL.
-func (f *Fleet) ServeHTTP(h http.Handler) (string, error) {
+func (d *Deployment) ServeHTTP(h http.Handler) (string, error) {
 	s, url, err := serve(h)
 	if err != nil {
 		return "", err
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.servers = append(f.servers, s)
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.servers = append(d.servers, s)
 	return url, nil
 }
 
 func serve(h http.Handler) (*http.Server, string, error) {
 	l, err := net.Listen("tcp", loopback)
 	if err != nil {
-		return nil, "", fmt.Errorf("fleet: %w", err)
+		return nil, "", fmt.Errorf("deployment: %w", err)
 	}
 	s := &http.Server{Handler: h, ReadHeaderTimeout: time.Minute, MaxHeaderBytes: entry.MostHeader}
 	go func() { _ = s.Serve(l) }() // ends with Close
@@ -125,23 +125,23 @@
 }
 
 // AddAgent starts an agent with its endpoints.
-func (f *Fleet) AddAgent(name, dataCentre string, locals ...Local) (*Agent, error) {
+func (d *Deployment) AddAgent(name, dataCentre string, locals ...Local) (*Agent, error) {
 	o := agent.Options{Name: name, DataCentre: dataCentre}
 	for n, l := range locals {
-		url, err := f.ServeHTTP(l.Handler)
+		url, err := d.ServeHTTP(l.Handler)
 		if err != nil {
 			return nil, err
 		}
-		d, err := newDriver(l.Target, url)
+		driver, err := newDriver(l.Target, url)
 		if err != nil {
 			return nil, err
 		}
 		o.Locals = append(o.Locals, agent.Local{
 			Description: dispatch.Endpoint{Name: fmt.Sprintf("%s-%d", name, n), Target: l.Target, Most: l.Most},
-			Driver:      d,
+			Driver:      driver,
 		})
 	}
-	return f.startAgent(o)
+	return d.startAgent(o)
 }
 
 func newDriver(target, url string) (endpoint.Driver, error) {
@@ -156,12 +156,12 @@
 	return factory(endpoint.Settings{Name: target, Address: url})
 }
 
-func (f *Fleet) startAgent(o agent.Options) (*Agent, error) {
-	pair, err := f.authority.Issue(o.Name, time.Now(), certLife)
+func (d *Deployment) startAgent(o agent.Options) (*Agent, error) {
+	pair, err := d.authority.Issue(o.Name, time.Now(), certLife)
 	if err != nil {
 		return nil, err
 	}
-	tls, err := keys.Config(f.authority.Certificate(), pair)
+	tls, err := keys.Config(d.authority.Certificate(), pair)
 	if err != nil {
 		return nil, err
 	}
@@ -171,13 +171,13 @@
 	}
 	holder := &versions.Holder{Carry: true}
 	o.Versions = holder
-	ctx, cancel := context.WithCancel(f.ctx)
+	ctx, cancel := context.WithCancel(d.ctx)
 	a := &Agent{Agent: agent.New(o), Versions: holder, name: o.Name, listener: l, cancel: cancel}
 	go func() { _ = a.Serve(ctx, l) }() // ends with kill
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.agents[o.Name] = a
-	f.setMember(environment.Member{Name: o.Name, Role: environment.Agent, Address: l.Address(), DataCentre: o.DataCentre})
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.agents[o.Name] = a
+	d.setMember(kv.Member{Name: o.Name, Role: kv.Agent, Address: l.Address(), DataCentre: o.DataCentre})
 	return a, nil
 }
 
@@ -187,55 +187,55 @@
 }
 
 // KillAgent ends an agent at once. The list still names it.
-func (f *Fleet) KillAgent(name string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.agents[name].kill()
+func (d *Deployment) KillAgent(name string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.agents[name].kill()
 }
 
 // StopAgent stops an agent cleanly and takes it off the list.
-func (f *Fleet) StopAgent(ctx context.Context, name string) error {
-	f.mu.Lock()
-	a := f.agents[name]
-	f.mu.Unlock()
+func (d *Deployment) StopAgent(ctx context.Context, name string) error {
+	d.mu.Lock()
+	a := d.agents[name]
+	d.mu.Unlock()
 	err := a.Stop(ctx)
 	a.kill()
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	delete(f.agents, name)
-	f.removeMember(name)
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	delete(d.agents, name)
+	d.removeMember(name)
 	return err
 }
 
 // setMember adds or replaces a member. The lock is held.
-func (f *Fleet) setMember(m environment.Member) {
-	f.dropMember(m.Name)
-	f.members = append(f.members, m)
-	f.Store.SetMembers(f.members)
+func (d *Deployment) setMember(m kv.Member) {
+	d.dropMember(m.Name)
+	d.members = append(d.members, m)
+	d.Store.SetMembers(d.members)
 }
 
-func (f *Fleet) removeMember(name string) {
-	f.dropMember(name)
-	f.Store.SetMembers(f.members)
+func (d *Deployment) removeMember(name string) {
+	d.dropMember(name)
+	d.Store.SetMembers(d.members)
 }
 
-func (f *Fleet) dropMember(name string) {
-	var kept []environment.Member
-	for _, m := range f.members {
+func (d *Deployment) dropMember(name string) {
+	var kept []kv.Member
+	for _, m := range d.members {
 		if m.Name != name {
 			kept = append(kept, m)
 		}
 	}
-	f.members = kept
+	d.members = kept
 }
 
 // AddEntry starts an entry.
-func (f *Fleet) AddEntry(name, dataCentre string) (*Entry, error) {
-	pair, err := f.authority.Issue(name, time.Now(), certLife)
+func (d *Deployment) AddEntry(name, dataCentre string) (*Entry, error) {
+	pair, err := d.authority.Issue(name, time.Now(), certLife)
 	if err != nil {
 		return nil, err
 	}
-	tls, err := keys.Config(f.authority.Certificate(), pair)
+	tls, err := keys.Config(d.authority.Certificate(), pair)
 	if err != nil {
 		return nil, err
 	}
@@ -244,17 +244,17 @@
 		return nil, err
 	}
 	holder := &versions.Holder{}
-	e := &Entry{name: name, dialer: dialer, Store: f.newStore(name, holder)}
-	ctx, cancel := context.WithCancel(f.ctx)
+	e := &Entry{name: name, dialer: dialer, Store: d.newStore(name, holder)}
+	ctx, cancel := context.WithCancel(d.ctx)
 	e.cancel = cancel
-	batcher := claims.New(claims.Options{KeyValue: &f.Store, Owner: name, Entries: func() int { return e.Entries() }})
+	batcher := claims.New(claims.Options{KeyValue: &d.Store, Owner: name, Entries: func() int { return e.Entries() }})
 	e.Entry = entry.New(entry.Options{
 		Name:       name,
 		DataCentre: dataCentre,
 		Dialer:     dialer,
-		Members:    &f.Store,
+		Members:    &d.Store,
 		Settings:   holder,
-		Seed:       uint64(len(f.entries) + 1),
+		Seed:       uint64(len(d.entries) + 1),
 		ListEvery:  listEvery,
 		Claims:     batcher,
 	})
@@ -267,19 +267,19 @@
 	go e.Store.Watch(ctx)
 	go batcher.Run(ctx)
 	go e.Run(ctx)
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.entries[name] = e
-	f.setMember(environment.Member{Name: name, Role: environment.Entry, Address: e.URL, DataCentre: dataCentre})
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.entries[name] = e
+	d.setMember(kv.Member{Name: name, Role: kv.Entry, Address: e.URL, DataCentre: dataCentre})
 	return e, nil
 }
 
-func (f *Fleet) newStore(name string, h *versions.Holder) *versions.Store {
-	return &versions.Store{KeyValue: &f.Store, Holder: h, Now: time.Now, NewID: func() string {
-		f.mu.Lock()
-		defer f.mu.Unlock()
-		f.changes++
-		return fmt.Sprintf("%s-%d", name, f.changes)
+func (d *Deployment) newStore(name string, h *versions.Holder) *versions.Store {
+	return &versions.Store{KeyValue: &d.Store, Holder: h, Now: time.Now, NewID: func() string {
+		d.mu.Lock()
+		defer d.mu.Unlock()
+		d.changes++
+		return fmt.Sprintf("%s-%d", name, d.changes)
 	}}
 }
 
@@ -290,56 +290,56 @@
 }
 
 // KillEntry ends an entry at once.
-func (f *Fleet) KillEntry(name string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.entries[name].kill()
-	delete(f.entries, name)
-	f.removeMember(name)
+func (d *Deployment) KillEntry(name string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.entries[name].kill()
+	delete(d.entries, name)
+	d.removeMember(name)
 }
 
 // StopEntry stops an entry cleanly and takes it off the list.
-func (f *Fleet) StopEntry(ctx context.Context, name string) error {
-	f.mu.Lock()
-	e := f.entries[name]
-	f.mu.Unlock()
+func (d *Deployment) StopEntry(ctx context.Context, name string) error {
+	d.mu.Lock()
+	e := d.entries[name]
+	d.mu.Unlock()
 	err := errors.Join(e.Drain(ctx), e.server.Shutdown(ctx))
-	f.KillEntry(name)
+	d.KillEntry(name)
 	return err
 }
 
 // Put puts a whole tree in force.
-func (f *Fleet) Put(ctx context.Context, data []byte) error {
+func (d *Deployment) Put(ctx context.Context, data []byte) error {
 	tree, err := settings.Parse(data)
 	if err != nil {
 		return err
 	}
 	holder := &versions.Holder{}
-	s := f.newStore("setup", holder)
+	s := d.newStore("setup", holder)
 	if _, err := s.Load(ctx); err != nil {
 		return err
 	}
-	_, err = s.Commit(ctx, versions.Change{Base: holder.Version(), Tree: tree, Author: "fleet"})
+	_, err = s.Commit(ctx, versions.Change{Base: holder.Version(), Tree: tree, Author: "deployment"})
 	return err
 }
 
 // WaitReady waits until every entry is ready and connected to every agent.
-func (f *Fleet) WaitReady(ctx context.Context) error {
-	for !f.ready() {
+func (d *Deployment) WaitReady(ctx context.Context) error {
+	for !d.ready() {
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("fleet: not ready: %w", ctx.Err())
+			return fmt.Errorf("deployment: not ready: %w", ctx.Err())
 		case <-time.After(readyPolls):
 		}
 	}
 	return nil
 }
 
-func (f *Fleet) ready() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, e := range f.entries {
-		if !e.Ready() || e.Connected() < len(f.agents) {
+func (d *Deployment) ready() bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for _, e := range d.entries {
+		if !e.Ready() || e.Connected() < len(d.agents) {
 			return false
 		}
 	}
--- a/internal/fleet/fleet_test.go
+++ b/internal/testing/deployment/deployment_test.go
@@ -1,4 +1,4 @@
-package fleet_test
+package deployment_test
 
 import (
 	"context"
@@ -12,10 +12,10 @@
 	"time"
 
 	trees "foxcross.dev/foxcross/examples/settings"
-	"foxcross.dev/foxcross/internal/caller"
-	"foxcross.dev/foxcross/internal/fleet"
-	"foxcross.dev/foxcross/internal/golden"
-	"foxcross.dev/foxcross/internal/standin"
+	"foxcross.dev/foxcross/internal/testing/caller"
+	"foxcross.dev/foxcross/internal/testing/deployment"
+	"foxcross.dev/foxcross/internal/testing/golden"
+	"foxcross.dev/foxcross/internal/testing/standin"
 
 	"foxcross.dev/coord/result"
 	"foxcross.dev/coord/settings"
@@ -24,17 +24,17 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestFleet(t *testing.T) {
+func TestDeployment(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "fleet")
+	RunSpecs(t, "deployment")
 }
 
 // The whole path over real sockets: HTTP, QUIC with mutual TLS, HTTP.
-var _ = Describe("Fleet", Ordered, func() {
+var _ = Describe("Deployment", Ordered, func() {
 	var (
-		f      *fleet.Fleet
-		entry  *fleet.Entry
-		hall   *fleet.Agent
+		f      *deployment.Deployment
+		entry  *deployment.Entry
+		hall   *deployment.Agent
 		engine *standin.Engine
 		ctx    context.Context
 	)
@@ -44,14 +44,14 @@
 		ctx, cancel = context.WithTimeout(context.Background(), 2*time.Minute)
 		DeferCleanup(cancel)
 		var err error
-		f, err = fleet.New()
+		f, err = deployment.New()
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(f.Close)
 		Expect(f.Put(ctx, trees.Ovenhuis)).To(Succeed())
 		engine = &standin.Engine{Card: standin.Card{Step: 2 * time.Millisecond}}
-		hall, err = f.AddAgent("hall", "gent", fleet.Local{Target: "glaze-8b", Handler: engine.Handler()})
+		hall, err = f.AddAgent("hall", "gent", deployment.Local{Target: "glaze-8b", Handler: engine.Handler()})
 		Expect(err).NotTo(HaveOccurred())
-		_, err = f.AddAgent("app", "gent", fleet.Local{Target: settings.ServiceTarget("bookings"), Handler: &standin.Service{}})
+		_, err = f.AddAgent("app", "gent", deployment.Local{Target: settings.ServiceTarget("bookings"), Handler: &standin.Service{}})
 		Expect(err).NotTo(HaveOccurred())
 		entry, err = f.AddEntry("entry", "gent")
 		Expect(err).NotTo(HaveOccurred())
@@ -132,7 +132,7 @@
 		begun := make(chan struct{})
 		slow.OnStart = func(string) { close(begun) }
 		engine.Break(true)
-		_, err := f.AddAgent("hall-2", "gent", fleet.Local{Target: "glaze-8b", Handler: slow.Handler()})
+		_, err := f.AddAgent("hall-2", "gent", deployment.Local{Target: "glaze-8b", Handler: slow.Handler()})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(f.WaitReady(ctx)).To(Succeed())
 		go func() {
--- a/internal/golden/golden_test.go
+++ b/internal/testing/golden/golden_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"foxcross.dev/foxcross/internal/golden"
+	"foxcross.dev/foxcross/internal/testing/golden"
 )
 
 // failing records that a comparison failed.
--- a/internal/history/history_test.go
+++ b/internal/testing/history/history_test.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"foxcross.dev/coord/result"
-	"foxcross.dev/foxcross/internal/history"
+	"foxcross.dev/foxcross/internal/testing/history"
 
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
--- a/internal/trial/chaos_test.go
+++ b/internal/testing/simulation/faults_test.go
@@ -1,4 +1,4 @@
-package trial_test
+package simulation_test
 
 import (
 	"context"
@@ -12,10 +12,10 @@
 	"time"
 
 	trees "foxcross.dev/foxcross/examples/settings"
-	"foxcross.dev/foxcross/internal/history"
-	"foxcross.dev/foxcross/internal/standin"
-	"foxcross.dev/foxcross/internal/trial"
-	"foxcross.dev/foxcross/internal/versions"
+	"foxcross.dev/foxcross/internal/relay/versions"
+	"foxcross.dev/foxcross/internal/testing/history"
+	"foxcross.dev/foxcross/internal/testing/simulation"
+	"foxcross.dev/foxcross/internal/testing/standin"
 
 	"foxcross.dev/coord/result"
 	"foxcross.dev/coord/settings"
@@ -53,10 +53,10 @@
 
 // chaos is one run.
 type chaos struct {
-	*trial.Trial
+	*simulation.Simulation
 	t       *testing.T
 	seed    uint64
-	agents  []*trial.Agent
+	agents  []*simulation.Agent
 	engines []*standin.Engine
 	lasting map[string]bool // entries that were there from the start
 	stop    context.Context
@@ -64,7 +64,7 @@
 }
 
 func chaosRun(t *testing.T, seed uint64) {
-	r, err := trial.New(trees.Ovenhuis, oneWay)
+	r, err := simulation.New(trees.Ovenhuis, oneWay)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -74,7 +74,7 @@
 	}()
 	stop, cancel := context.WithTimeout(context.Background(), chaosLength)
 	defer cancel()
-	c := &chaos{Trial: r, t: t, seed: seed, lasting: map[string]bool{}, stop: stop}
+	c := &chaos{Simulation: r, t: t, seed: seed, lasting: map[string]bool{}, stop: stop}
 	c.build()
 	time.Sleep(3 * time.Second)
 	for _, fault := range []func(){c.agentFaults, c.engineFaults, c.entryFaults, c.storeFaults, c.operators} {
@@ -220,7 +220,7 @@
 	}
 }
 
-func (c *chaos) change(e *trial.Entry, path string, weight int) {
+func (c *chaos) change(e *simulation.Entry, path string, weight int) {
 	s := e.Store.Holder.State()
 	n, _ := s.Tree.Node(path)
 	n.Set = n.Set.Over(settings.Fields{Weight: &weight})
@@ -237,7 +237,7 @@
 	random := rand.New(rand.NewPCG(c.seed, 5))
 	var open sync.WaitGroup
 	for n := 0; c.pause(random, 400*time.Millisecond); n++ {
-		q := trial.Ask{ID: fmt.Sprintf("book-%d", n), Class: "booking-confirm", Team: "gent"}
+		q := simulation.Ask{ID: fmt.Sprintf("book-%d", n), Class: "booking-confirm", Team: "gent"}
 		if n%2 == 0 {
 			open.Go(func() { c.Call(context.Background(), c.Entries()[n/2%2], q, http.MethodPost, "/confirmations") })
 			continue
@@ -278,11 +278,11 @@
 		}
 	}
 	for n := range 10 {
-		q := trial.Ask{ID: fmt.Sprintf("calm-%d", n), Class: "glaze-question", Team: "gent", Prompt: 100, Tokens: 10}
+		q := simulation.Ask{ID: fmt.Sprintf("calm-%d", n), Class: "glaze-question", Team: "gent", Prompt: 100, Tokens: 10}
 		if a := c.Chat(context.Background(), c.Entries()[n%2], q); a.Code != result.OK {
 			c.t.Errorf("after the faults a request ended with %v: %v", a.Code, a.Err)
 		}
-		q = trial.Ask{ID: fmt.Sprintf("calm-book-%d", n), Class: "booking-confirm", Team: "gent", Key: fmt.Sprint(n)}
+		q = simulation.Ask{ID: fmt.Sprintf("calm-book-%d", n), Class: "booking-confirm", Team: "gent", Key: fmt.Sprint(n)}
 		if a := c.Call(context.Background(), c.Entries()[n%2], q, http.MethodPost, "/confirmations"); a.Code != result.OK {
 			c.t.Errorf("after the faults a booking ended with %v: %v", a.Code, a.Err)
 		}
--- a/internal/trial/load.go
+++ b/internal/testing/simulation/load.go
@@ -1,4 +1,4 @@
-package trial
+package simulation
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"foxcross.dev/foxcross/internal/caller"
+	"foxcross.dev/foxcross/internal/testing/caller"
 
 	"foxcross.dev/coord/result"
 )
@@ -31,11 +31,11 @@
 
 // Load sends requests of all kinds for a time, through all entries, and waits
 // for the answers.
-func (t *Trial) Load(ctx context.Context, seed uint64, length time.Duration, kinds []Kind) []Figures {
+func (t *Simulation) Load(ctx context.Context, seed uint64, length time.Duration, kinds []Kind) []Figures {
 	figures := make([]Figures, len(kinds))
 	var all sync.WaitGroup
 	for n, k := range kinds {
-		s := sender{trial: t, kind: k, figures: &figures[n], random: rand.New(rand.NewPCG(seed, uint64(n)))}
+		s := sender{simulation: t, kind: k, figures: &figures[n], random: rand.New(rand.NewPCG(seed, uint64(n)))}
 		figures[n] = Figures{Class: k.Class, Codes: map[result.Code]int{}}
 		all.Go(func() { s.send(ctx, length) })
 	}
@@ -45,11 +45,11 @@
 
 // sender sends the requests of one kind.
 type sender struct {
-	trial   *Trial
-	kind    Kind
-	figures *Figures
-	random  *rand.Rand
-	mu      sync.Mutex
+	simulation *Simulation
+	kind       Kind
+	figures    *Figures
+	random     *rand.Rand
+	mu         sync.Mutex
 }
 
 func (s *sender) send(ctx context.Context, length time.Duration) {
@@ -64,14 +64,14 @@
 			Prompt: s.kind.Prompt,
 			Tokens: 1 + int(s.random.ExpFloat64()*float64(s.kind.Tokens-1)),
 		}
-		e := s.trial.pick(s.random)
-		open.Go(func() { s.note(s.trial.Chat(ctx, e, q)) })
+		e := s.simulation.pick(s.random)
+		open.Go(func() { s.note(s.simulation.Chat(ctx, e, q)) })
 	}
 	open.Wait()
 }
 
 // pick returns an entry as a balancer would.
-func (t *Trial) pick(random *rand.Rand) *Entry {
+func (t *Simulation) pick(random *rand.Rand) *Entry {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.entries[random.IntN(len(t.entries))]
--- a/internal/trial/promise_test.go
+++ b/internal/testing/simulation/promise_test.go
@@ -1,4 +1,4 @@
-package trial_test
+package simulation_test
 
 import (
 	"bytes"
@@ -11,10 +11,10 @@
 	"time"
 
 	trees "foxcross.dev/foxcross/examples/settings"
-	"foxcross.dev/foxcross/internal/history"
-	"foxcross.dev/foxcross/internal/standin"
-	"foxcross.dev/foxcross/internal/trial"
-	"foxcross.dev/foxcross/internal/versions"
+	"foxcross.dev/foxcross/internal/relay/versions"
+	"foxcross.dev/foxcross/internal/testing/history"
+	"foxcross.dev/foxcross/internal/testing/simulation"
+	"foxcross.dev/foxcross/internal/testing/standin"
 
 	"foxcross.dev/coord/result"
 	"foxcross.dev/coord/settings"
@@ -28,11 +28,11 @@
 // background is the context of requests that nobody gives up.
 var background = context.Background()
 
-// deployment runs f on a trial in virtual time and checks its history.
-func deployment(t *testing.T, tree []byte, f func(r *trial.Trial) history.Rules) {
+// deployment runs f on a simulation in virtual time and checks its history.
+func deployment(t *testing.T, tree []byte, f func(r *simulation.Simulation) history.Rules) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		r, err := trial.New(tree, oneWay)
+		r, err := simulation.New(tree, oneWay)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -56,9 +56,9 @@
 
 // ovenhuisLoad is a mix as a share of what the engines can do at the strictest
 // target, about 80 requests a second.
-func ovenhuisLoad(glaze, plan, check float64) []trial.Kind {
+func ovenhuisLoad(glaze, plan, check float64) []simulation.Kind {
 	const capacity = 80
-	return []trial.Kind{
+	return []simulation.Kind{
 		{Class: "glaze-question", Teams: []string{"gent", "leuven", "namur"}, Rate: capacity * glaze, Prompt: 400, Tokens: meanTokens},
 		{Class: "firing-plan", Teams: []string{"gent", "leuven", "mons"}, Rate: capacity * plan, Prompt: 1200, Tokens: meanTokens},
 		{Class: "load-check", Teams: []string{"technicians"}, Rate: capacity * check, Prompt: 800, Tokens: meanTokens},
@@ -68,20 +68,20 @@
 // ready waits until the entries know the agents.
 func ready() { time.Sleep(3 * time.Second) }
 
-func glaze(id string, tokens int) trial.Ask {
-	return trial.Ask{ID: id, Class: "glaze-question", Team: "gent", Prompt: 100, Tokens: tokens}
+func glaze(id string, tokens int) simulation.Ask {
+	return simulation.Ask{ID: id, Class: "glaze-question", Team: "gent", Prompt: 100, Tokens: tokens}
 }
 
-func booking(id string) trial.Ask {
-	return trial.Ask{ID: id, Class: "booking-confirm", Team: "gent"}
+func booking(id string) simulation.Ask {
+	return simulation.Ask{ID: id, Class: "booking-confirm", Team: "gent"}
 }
 
 // An agent that dies mid-answer: the caller gets the whole answer all the same,
 // and no token is made twice.
 func TestWholeAnswerAfterACrash(t *testing.T) {
-	deployment(t, trees.Ovenhuis, func(r *trial.Trial) history.Rules {
+	deployment(t, trees.Ovenhuis, func(r *simulation.Simulation) history.Rules {
 		engines := []*standin.Engine{card(), card()}
-		agents := []*trial.Agent{r.AddAgent("a", "glaze-8b", engines[0]), r.AddAgent("b", "glaze-8b", engines[1])}
+		agents := []*simulation.Agent{r.AddAgent("a", "glaze-8b", engines[0]), r.AddAgent("b", "glaze-8b", engines[1])}
 		e := r.AddEntry("e")
 		ready()
 		var all sync.WaitGroup
@@ -104,7 +104,7 @@
 
 // An engine that stands still mid-answer: the answer goes on elsewhere.
 func TestWholeAnswerAfterAStall(t *testing.T) {
-	deployment(t, trees.Ovenhuis, func(r *trial.Trial) history.Rules {
+	deployment(t, trees.Ovenhuis, func(r *simulation.Simulation) history.Rules {
 		engines := []*standin.Engine{card(), card()}
 		r.AddAgent("a", "glaze-8b", engines...)
 		e := r.AddEntry("e")
@@ -128,7 +128,7 @@
 // Every agent and entry is stopped and started again under load: no answer is
 // cut off and no leaving agent gets new work.
 func TestRollingRestart(t *testing.T) {
-	deployment(t, trees.Ovenhuis, func(r *trial.Trial) history.Rules {
+	deployment(t, trees.Ovenhuis, func(r *simulation.Simulation) history.Rules {
 		for n := range 3 {
 			r.AddAgent(fmt.Sprint("hall-", n), "glaze-8b", card(), card())
 			r.AddService(fmt.Sprint("app-", n), "bookings", &standin.Service{Takes: 20 * time.Millisecond})
@@ -168,8 +168,8 @@
 // A booking whose agent is paused around the start, and one whose agent dies
 // after it: each runs at most once, and what is said of it is true.
 func TestBookingRunsAtMostOnce(t *testing.T) {
-	deployment(t, trees.Ovenhuis, func(r *trial.Trial) history.Rules {
-		services := []*trial.Agent{
+	deployment(t, trees.Ovenhuis, func(r *simulation.Simulation) history.Rules {
+		services := []*simulation.Agent{
 			r.AddService("app-0", "bookings", &standin.Service{Takes: 100 * time.Millisecond}),
 			r.AddService("app-1", "bookings", &standin.Service{Takes: 100 * time.Millisecond}),
 		}
@@ -206,9 +206,9 @@
 // Two copies of a booking with one key through two entries, while the service
 // loses answers: one runs, the other is told of a copy.
 func TestOneKeyRunsOnce(t *testing.T) {
-	deployment(t, trees.Ovenhuis, func(r *trial.Trial) history.Rules {
+	deployment(t, trees.Ovenhuis, func(r *simulation.Simulation) history.Rules {
 		r.AddService("app", "bookings", &standin.Service{})
-		entries := []*trial.Entry{r.AddEntry("e0"), r.AddEntry("e1")}
+		entries := []*simulation.Entry{r.AddEntry("e0"), r.AddEntry("e1")}
 		ready()
 		for n := range 30 {
 			r.Store.SetFaults(standin.Faults{LoseSwaps: n % 3})
@@ -238,7 +238,7 @@
 // With the key-value service down, bookings with a key are refused as not run
 // and everything else is served.
 func TestServiceDownTouchesOnlyKeys(t *testing.T) {
-	deployment(t, trees.Ovenhuis, func(r *trial.Trial) history.Rules {
+	deployment(t, trees.Ovenhuis, func(r *simulation.Simulation) history.Rules {
 		r.AddAgent("hall", "glaze-8b", card())
 		r.AddService("app", "bookings", &standin.Service{})
 		e := r.AddEntry("e")
@@ -270,7 +270,7 @@
 // The service goes down right after a change was accepted: the change reaches
 // every process through its peers, also one that starts meanwhile.
 func TestSettingsSpreadWithoutTheService(t *testing.T) {
-	deployment(t, trees.Ovenhuis, func(r *trial.Trial) history.Rules {
+	deployment(t, trees.Ovenhuis, func(r *simulation.Simulation) history.Rules {
 		for n := range 3 {
 			r.AddAgent(fmt.Sprint("hall-", n), "glaze-8b", card())
 		}
@@ -309,7 +309,7 @@
 
 // A change under load drops no request.
 func TestChangeUnderLoad(t *testing.T) {
-	deployment(t, trees.Ovenhuis, func(r *trial.Trial) history.Rules {
+	deployment(t, trees.Ovenhuis, func(r *simulation.Simulation) history.Rules {
 		r.AddAgent("hall", "glaze-8b", card(), card())
 		e := r.AddEntry("e0")
 		r.AddEntry("e1")
@@ -340,7 +340,7 @@
 
 // The member list is empty or does not answer: the fleet serves on.
 func TestMemberListFails(t *testing.T) {
-	deployment(t, trees.Ovenhuis, func(r *trial.Trial) history.Rules {
+	deployment(t, trees.Ovenhuis, func(r *simulation.Simulation) history.Rules {
 		r.AddAgent("hall", "glaze-8b", card())
 		e := r.AddEntry("e")
 		ready()
@@ -359,20 +359,20 @@
 // within twice their bound all the same.
 func TestDonorTagsDoNotStarve(t *testing.T) {
 	tree := bytes.Replace(trees.Alumni, []byte(`"starve_after_ms": 120000`), []byte(`"starve_after_ms": 10000`), 1)
-	deployment(t, tree, func(r *trial.Trial) history.Rules {
+	deployment(t, tree, func(r *simulation.Simulation) history.Rules {
 		r.AddAgent("zona-4", "memoria-7b", &standin.Engine{Card: standin.Card{Step: 25 * time.Millisecond}})
 		e := r.AddEntry("e")
 		ready()
 		var all sync.WaitGroup
 		all.Go(func() {
-			r.Load(background, 1, 2*time.Minute, []trial.Kind{
+			r.Load(background, 1, 2*time.Minute, []simulation.Kind{
 				{Class: "member-chat", Teams: []string{"members"}, Rate: 14, Prompt: 200, Tokens: 60},
 			})
 		})
 		time.Sleep(10 * time.Second)
 		for n := range 6 {
 			all.Go(func() {
-				q := trial.Ask{ID: fmt.Sprint("tag-", n), Class: "donor-tag", Team: "nightly", Prompt: 200, Tokens: 30}
+				q := simulation.Ask{ID: fmt.Sprint("tag-", n), Class: "donor-tag", Team: "nightly", Prompt: 200, Tokens: 30}
 				if a := r.Chat(background, e, q); a.Code != result.OK {
 					t.Errorf("tag %d: %v", n, a.Code)
 				}
@@ -387,8 +387,8 @@
 // A quarter of the agents die at once: the work goes on elsewhere, and requests
 // do not multiply.
 func TestNoRetryStorm(t *testing.T) {
-	deployment(t, trees.Ovenhuis, func(r *trial.Trial) history.Rules {
-		var agents []*trial.Agent
+	deployment(t, trees.Ovenhuis, func(r *simulation.Simulation) history.Rules {
+		var agents []*simulation.Agent
 		for n := range 8 {
 			agents = append(agents, r.AddAgent(fmt.Sprint("hall-", n), "glaze-8b", card()))
 		}
@@ -422,7 +422,7 @@
 
 // A caller that hangs up stops its work.
 func TestHangupStopsTheWork(t *testing.T) {
-	deployment(t, trees.Ovenhuis, func(r *trial.Trial) history.Rules {
+	deployment(t, trees.Ovenhuis, func(r *simulation.Simulation) history.Rules {
 		engine := card()
 		r.AddAgent("hall", "glaze-8b", engine)
 		e := r.AddEntry("e")
@@ -440,12 +440,12 @@
 
 // Two entries share a team's limits.
 func TestTeamLimitOverEntries(t *testing.T) {
-	deployment(t, trees.Alumni, func(r *trial.Trial) history.Rules {
+	deployment(t, trees.Alumni, func(r *simulation.Simulation) history.Rules {
 		r.AddAgent("zona-4", "memoria-7b", card(), card())
 		r.AddEntry("e0")
 		r.AddEntry("e1")
 		ready()
-		f := r.Load(background, 1, 20*time.Second, []trial.Kind{
+		f := r.Load(background, 1, 20*time.Second, []simulation.Kind{
 			{Class: "member-chat", Teams: []string{"board"}, Rate: 60, Prompt: 100, Tokens: 5},
 		})[0]
 		if want := 20 * 20; f.OK < want*9/10 || f.OK > want*11/10+20 {
@@ -461,18 +461,18 @@
 // An agent that leaves while long answers run gets nothing new, whether it says
 // so itself or only the list does.
 func TestLeavingGetsNothingNew(t *testing.T) {
-	leave := map[string]func(r *trial.Trial, a *trial.Agent){
-		"own frame": func(r *trial.Trial, a *trial.Agent) {
+	leave := map[string]func(r *simulation.Simulation, a *simulation.Agent){
+		"own frame": func(r *simulation.Simulation, a *simulation.Agent) {
 			if err := r.Stop(background, a); err != nil {
 				t.Error(err)
 			}
 		},
-		"list only": func(r *trial.Trial, a *trial.Agent) { r.MarkLeaving(a) },
+		"list only": func(r *simulation.Simulation, a *simulation.Agent) { r.MarkLeaving(a) },
 	}
 	within := map[string]time.Duration{"own frame": 100 * time.Millisecond, "list only": 3 * time.Second}
 	for name, f := range leave {
 		t.Run(name, func(t *testing.T) {
-			deployment(t, trees.Ovenhuis, func(r *trial.Trial) history.Rules {
+			deployment(t, trees.Ovenhuis, func(r *simulation.Simulation) history.Rules {
 				leaving := r.AddAgent("hall-0", "glaze-8b", card())
 				r.AddAgent("hall-1", "glaze-8b", card())
 				e := r.AddEntry("e")
@@ -494,7 +494,7 @@
 // Of many entries a few watch the service; the others get a change through the
 // agents in seconds.
 func TestFewWatchers(t *testing.T) {
-	deployment(t, trees.Ovenhuis, func(r *trial.Trial) history.Rules {
+	deployment(t, trees.Ovenhuis, func(r *simulation.Simulation) history.Rules {
 		r.AddAgent("hall-0", "glaze-8b", card())
 		r.AddAgent("hall-1", "glaze-8b", card())
 		rules := history.Rules{ForceWithin: 2 * time.Second}
@@ -537,7 +537,7 @@
 // other entries' callers get their whole answers, nothing runs twice, and the
 // lost entry's callers are the only ones without an answer.
 func TestDataCentreLost(t *testing.T) {
-	deployment(t, trees.Ovenhuis, func(r *trial.Trial) history.Rules {
+	deployment(t, trees.Ovenhuis, func(r *simulation.Simulation) history.Rules {
 		for n := range 3 {
 			r.AddAgent(fmt.Sprint("hall-", n), "glaze-8b", card(), card())
 			r.AddService(fmt.Sprint("app-", n), "bookings", &standin.Service{Takes: 50 * time.Millisecond})
--- a/internal/trial/trial.go
+++ b/internal/testing/simulation/simulation.go
@@ -1,6 +1,6 @@
-// Package trial runs real entries and agents over the link in memory, with fake
+// Package simulation runs real entries and agents over the link in memory, with fake
 // engines, so that tests can run them in virtual time.
-package trial
+package simulation
 
 import (
 	"context"
@@ -11,16 +11,16 @@
 	"sync"
 	"time"
 
-	"foxcross.dev/foxcross/internal/agent"
-	"foxcross.dev/foxcross/internal/caller"
-	"foxcross.dev/foxcross/internal/claims"
-	"foxcross.dev/foxcross/internal/endpoint"
-	"foxcross.dev/foxcross/internal/entry"
-	"foxcross.dev/foxcross/internal/environment"
-	"foxcross.dev/foxcross/internal/history"
-	"foxcross.dev/foxcross/internal/link"
-	"foxcross.dev/foxcross/internal/standin"
-	"foxcross.dev/foxcross/internal/versions"
+	"foxcross.dev/foxcross/internal/relay/agent"
+	"foxcross.dev/foxcross/internal/relay/claims"
+	"foxcross.dev/foxcross/internal/relay/endpoint"
+	"foxcross.dev/foxcross/internal/relay/entry"
+	"foxcross.dev/foxcross/internal/relay/kv"
+	"foxcross.dev/foxcross/internal/relay/link"
+	"foxcross.dev/foxcross/internal/relay/versions"
+	"foxcross.dev/foxcross/internal/testing/caller"
+	"foxcross.dev/foxcross/internal/testing/history"
+	"foxcross.dev/foxcross/internal/testing/standin"
 
 	"foxcross.dev/coord/dispatch"
 	"foxcross.dev/coord/settings"
@@ -29,8 +29,8 @@
 // idMark stands on both sides of a request's id in its text.
 const idMark = "~"
 
-// Trial is a deployment under test. Create it with New.
-type Trial struct {
+// Simulation is a deployment under test. Create it with New.
+type Simulation struct {
 	Network  link.Memory
 	Store    standin.Store
 	Recorder history.Recorder
@@ -41,7 +41,7 @@
 	cancel  context.CancelFunc
 	agents  map[string]*Agent
 	entries []*Entry
-	members []environment.Member
+	members []kv.Member
 	changes int
 	starts  int // of agents
 }
@@ -67,9 +67,9 @@
 	cancel context.CancelFunc
 }
 
-// New returns a trial with the tree in force.
-func New(tree []byte, delay time.Duration) (*Trial, error) {
-	t := &Trial{agents: map[string]*Agent{}}
+// New returns a simulation with the tree in force.
+func New(tree []byte, delay time.Duration) (*Simulation, error) {
+	t := &Simulation{agents: map[string]*Agent{}}
 	t.Network.Delay = delay
 	t.Store.ListLag = listLag
 	t.ctx, t.cancel = context.WithCancel(context.Background())
@@ -85,7 +85,7 @@
 }
 
 // Close ends everything.
-func (t *Trial) Close() {
+func (t *Simulation) Close() {
 	t.cancel()
 	for _, a := range t.Agents() {
 		_ = a.listener.Close()
@@ -93,7 +93,7 @@
 	}
 }
 
-func (t *Trial) store(name string, h *versions.Holder) *versions.Store {
+func (t *Simulation) store(name string, h *versions.Holder) *versions.Store {
 	return &versions.Store{KeyValue: &t.Store, Holder: h, Now: time.Now, NewID: func() string {
 		t.mu.Lock()
 		defer t.mu.Unlock()
@@ -103,7 +103,7 @@
 }
 
 // AddAgent starts an agent with engines for a model.
-func (t *Trial) AddAgent(name, model string, engines ...*standin.Engine) *Agent {
+func (t *Simulation) AddAgent(name, model string, engines ...*standin.Engine) *Agent {
 	o := agent.Options{Name: name}
 	for n, e := range engines {
 		e.OnStart = func(prompt string) { t.executed(prompt, name) }
@@ -116,7 +116,7 @@
 }
 
 // AddService starts an agent with a plain service.
-func (t *Trial) AddService(name, service string, s *standin.Service) *Agent {
+func (t *Simulation) AddService(name, service string, s *standin.Service) *Agent {
 	s.OnStart = func(call string) { t.executed(call, name) }
 	return t.startAgent(agent.Options{Name: name, Locals: []agent.Local{{
 		Description: dispatch.Endpoint{Name: name + "-0", Target: settings.ServiceTarget(service)},
@@ -124,7 +124,7 @@
 	}}}, nil)
 }
 
-func (t *Trial) startAgent(o agent.Options, engines []*standin.Engine) *Agent {
+func (t *Simulation) startAgent(o agent.Options, engines []*standin.Engine) *Agent {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	h := &versions.Holder{Carry: true}
@@ -135,20 +135,20 @@
 	a := &Agent{Agent: agent.New(o), Name: o.Name, Engines: engines, Versions: h, cancel: cancel, options: o}
 	a.listener = t.Network.Listen(o.Name)
 	t.Recorder.Add(history.Joined{Endpoint: o.Name, At: time.Now()})
-	go func() { _ = a.Serve(ctx, a.listener) }() // ends with the trial
+	go func() { _ = a.Serve(ctx, a.listener) }() // ends with the simulation
 	t.agents[o.Name] = a
-	t.setMember(environment.Member{Name: o.Name, Role: environment.Agent, Address: o.Name})
+	t.setMember(kv.Member{Name: o.Name, Role: kv.Agent, Address: o.Name})
 	return a
 }
 
 // watch records which versions a process works by.
-func (t *Trial) watch(process string, h *versions.Holder) {
+func (t *Simulation) watch(process string, h *versions.Holder) {
 	h.OnChange(func(s versions.State) {
 		t.Recorder.Add(history.InForce{Process: process, Version: s.Root.Version, At: time.Now()})
 	})
 }
 
-func (t *Trial) executed(text, at string) {
+func (t *Simulation) executed(text, at string) {
 	t.Recorder.Add(history.Executed{ID: idIn(text), Endpoint: at, At: time.Now()})
 }
 
@@ -159,15 +159,15 @@
 }
 
 // setMember adds or replaces a member. The lock is held.
-func (t *Trial) setMember(m environment.Member) {
+func (t *Simulation) setMember(m kv.Member) {
 	t.dropMember(m.Name)
 	t.members = append(t.members, m)
 	t.Store.SetMembers(t.members)
 }
 
 // dropMember takes a member off the list. The lock is held.
-func (t *Trial) dropMember(name string) {
-	var kept []environment.Member
+func (t *Simulation) dropMember(name string) {
+	var kept []kv.Member
 	for _, m := range t.members {
 		if m.Name != name {
 			kept = append(kept, m)
@@ -179,7 +179,7 @@
 
 // KillEntry ends an entry at once; its callers see broken connections. The list
 // lags behind.
-func (t *Trial) KillEntry(e *Entry) {
+func (t *Simulation) KillEntry(e *Entry) {
 	t.mu.Lock()
 	t.entries = slices.DeleteFunc(t.entries, func(o *Entry) bool { return o == e })
 	t.mu.Unlock()
@@ -203,7 +203,7 @@
 }
 
 // StopEntry stops an entry cleanly, as a balancer that has seen it leave would.
-func (t *Trial) StopEntry(ctx context.Context, e *Entry) error {
+func (t *Simulation) StopEntry(ctx context.Context, e *Entry) error {
 	t.mu.Lock()
 	t.entries = slices.DeleteFunc(t.entries, func(o *Entry) bool { return o == e })
 	t.dropMember(e.Name)
@@ -214,14 +214,14 @@
 }
 
 // Entries returns the entries in the order they were added.
-func (t *Trial) Entries() []*Entry {
+func (t *Simulation) Entries() []*Entry {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return slices.Clone(t.entries)
 }
 
 // Agents returns the agents that run now, by name.
-func (t *Trial) Agents() []*Agent {
+func (t *Simulation) Agents() []*Agent {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var all []*Agent
@@ -232,7 +232,7 @@
 }
 
 // AddEntry starts an entry.
-func (t *Trial) AddEntry(name string) *Entry {
+func (t *Simulation) AddEntry(name string) *Entry {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	h := &versions.Holder{}
@@ -255,25 +255,25 @@
 	go batcher.Run(ctx)
 	go e.Run(ctx)
 	t.entries = append(t.entries, e)
-	t.setMember(environment.Member{Name: name, Role: environment.Entry, Address: name})
+	t.setMember(kv.Member{Name: name, Role: kv.Entry, Address: name})
 	return e
 }
 
 // Kill ends an agent at once.
-func (t *Trial) Kill(a *Agent) {
+func (t *Simulation) Kill(a *Agent) {
 	a.cancel()
 	_ = a.listener.Close()
 	t.Network.Cut(a.Name)
 }
 
 // Restart starts a killed or stopped agent again.
-func (t *Trial) Restart(a *Agent) *Agent {
+func (t *Simulation) Restart(a *Agent) *Agent {
 	o := a.options
 	return t.startAgent(o, a.Engines)
 }
 
 // Stop stops an agent cleanly and takes it off the list.
-func (t *Trial) Stop(ctx context.Context, a *Agent) error {
+func (t *Simulation) Stop(ctx context.Context, a *Agent) error {
 	t.Recorder.Add(history.Left{Endpoint: a.Name, At: time.Now()})
 	err := a.Agent.Stop(ctx)
 	t.Kill(a)
@@ -284,21 +284,21 @@
 }
 
 // MarkLeaving makes only the list say that an agent leaves.
-func (t *Trial) MarkLeaving(a *Agent) {
+func (t *Simulation) MarkLeaving(a *Agent) {
 	t.Recorder.Add(history.Left{Endpoint: a.Name, At: time.Now()})
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.setMember(environment.Member{Name: a.Name, Role: environment.Agent, Address: a.Name, Leaving: true})
+	t.setMember(kv.Member{Name: a.Name, Role: kv.Agent, Address: a.Name, Leaving: true})
 }
 
 // Mark returns the text by which the executions of a request are known.
 func Mark(id string) string { return idMark + id + idMark }
 
 // Chat sends a chat request and records it and its answer.
-func (t *Trial) Chat(ctx context.Context, e *Entry, q Ask) caller.Answer {
+func (t *Simulation) Chat(ctx context.Context, e *Entry, q Ask) caller.Answer {
 	class, ok := t.Snapshot.Class(q.Class)
 	if !ok {
-		panic("trial: no class " + q.Class)
+		panic("simulation: no class " + q.Class)
 	}
 	prompt := q.text()
 	t.Recorder.Add(history.Submitted{
@@ -317,10 +317,10 @@
 }
 
 // Call calls a plain service and records the call and its answer.
-func (t *Trial) Call(ctx context.Context, e *Entry, q Ask, method, path string) caller.Answer {
+func (t *Simulation) Call(ctx context.Context, e *Entry, q Ask, method, path string) caller.Answer {
 	class, ok := t.Snapshot.Class(q.Class)
 	if !ok {
-		panic("trial: no class " + q.Class)
+		panic("simulation: no class " + q.Class)
 	}
 	path += "/" + Mark(q.ID)
 	t.Recorder.Add(history.Submitted{
@@ -338,14 +338,14 @@
 	return a
 }
 
-func (t *Trial) answered(id string, a caller.Answer) {
+func (t *Simulation) answered(id string, a caller.Answer) {
 	t.Recorder.Add(history.Answered{ID: id, Code: a.Code, Run: a.Run, Body: a.Body, At: time.Now()})
 }
 
 // keySuffix ends the bearer keys of the example teams.
 const keySuffix = "-key"
 
-// Ask is a request of a trial.
+// Ask is a request of a simulation.
 type Ask struct {
 	ID     string
 	Class  string
--- a/internal/soak/caller.go
+++ b/internal/testing/soak/caller.go
@@ -11,7 +11,7 @@
 	"sync/atomic"
 	"time"
 
-	"foxcross.dev/foxcross/internal/standin/fleet"
+	"foxcross.dev/foxcross/internal/testing/standin/platformtest"
 	"foxcross.dev/foxcross/internal/workers"
 )
 
@@ -61,16 +61,16 @@
 		return s
 	}
 	q.Host = host
-	q.Header.Set(fleet.RequestIDField, s.id)
-	q.Header.Set(fleet.DeadlineField, fmt.Sprint(requestTime.Milliseconds()))
-	q.Header.Set(fleet.KeyField, teamKey)
+	q.Header.Set(platformtest.RequestIDField, s.id)
+	q.Header.Set(platformtest.DeadlineField, fmt.Sprint(requestTime.Milliseconds()))
+	q.Header.Set(platformtest.KeyField, teamKey)
 	// A connection of its own, so that the client library repeats nothing.
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true}}
 	if a, err := client.Do(q); err == nil {
 		data, err := io.ReadAll(a.Body)
 		_ = a.Body.Close()
 		s.status = a.StatusCode
-		s.seal = a.Header.Get(fleet.SealField)
+		s.seal = a.Header.Get(platformtest.SealField)
 		s.body = string(data)
 		s.whole = err == nil
 	}
--- a/internal/soak/faults.go
+++ b/internal/testing/soak/faults.go
@@ -8,7 +8,7 @@
 	"syscall"
 	"time"
 
-	"foxcross.dev/foxcross/internal/standin/fleet"
+	"foxcross.dev/foxcross/internal/testing/standin/platformtest"
 )
 
 // fault is something that goes wrong. It returns when it is over; several may
@@ -25,10 +25,10 @@
 	{"freeze an entry", freeze},
 	{"reload an entry", reload},
 	{"kill all entries", killAll},
-	{"store busy", func(d *deployment, amount float64) { d.breakStore(fleet.Busy, amount) }},
-	{"store turns away", func(d *deployment, amount float64) { d.breakStore(fleet.Many, amount) }},
-	{"store resets", func(d *deployment, amount float64) { d.breakStore(fleet.Reset, amount) }},
-	{"store silent", func(d *deployment, amount float64) { d.breakStore(fleet.Silent, amount) }},
+	{"store busy", func(d *deployment, amount float64) { d.breakStore(platformtest.Busy, amount) }},
+	{"store turns away", func(d *deployment, amount float64) { d.breakStore(platformtest.Many, amount) }},
+	{"store resets", func(d *deployment, amount float64) { d.breakStore(platformtest.Reset, amount) }},
+	{"store silent", func(d *deployment, amount float64) { d.breakStore(platformtest.Silent, amount) }},
 	{"store forgets", func(d *deployment, _ float64) { d.store.Forget() }},
 	{"settings change", changeSettings},
 	{"settings change often", func(d *deployment, amount float64) {
@@ -85,7 +85,7 @@
 
 // calm ends what no fault ends by itself.
 func (d *deployment) calm() {
-	d.store.SetFault(fleet.Sound)
+	d.store.SetFault(platformtest.Sound)
 	for range d.options.Endpoints {
 		if d.pick(d.options.Endpoints) == nil {
 			d.addEndpoint()
@@ -139,11 +139,11 @@
 }
 
 // breakStore lets the store fail for up to three seconds.
-func (d *deployment) breakStore(f fleet.Fault, amount float64) {
+func (d *deployment) breakStore(f platformtest.Fault, amount float64) {
 	d.history.disturb(time.Now())
 	d.store.SetFault(f)
 	time.Sleep(100*time.Millisecond + time.Duration(amount*float64(3*time.Second)))
-	d.store.SetFault(fleet.Sound)
+	d.store.SetFault(platformtest.Sound)
 	d.history.disturb(time.Now())
 }
 
@@ -189,19 +189,19 @@
 }
 
 // wrongs are what an endpoint may do with a request beside answering it.
-var wrongs = []fleet.Act{
-	fleet.Refuse{Status: http.StatusServiceUnavailable},
-	fleet.Refuse{Status: http.StatusTooManyRequests},
-	fleet.Fail{Status: http.StatusInternalServerError},
-	fleet.Fail{Status: http.StatusServiceUnavailable},
-	fleet.Break{},
-	fleet.Cut{},
-	fleet.Unframed{Body: "cut", Broken: true},
-	fleet.Garbage{},
-	fleet.Unsealed{},
-	fleet.Hang{},
-	fleet.Early{Status: http.StatusInternalServerError},
-	fleet.Events{To: 4, Broken: true},
+var wrongs = []platformtest.Act{
+	platformtest.Refuse{Status: http.StatusServiceUnavailable},
+	platformtest.Refuse{Status: http.StatusTooManyRequests},
+	platformtest.Fail{Status: http.StatusInternalServerError},
+	platformtest.Fail{Status: http.StatusServiceUnavailable},
+	platformtest.Break{},
+	platformtest.Cut{},
+	platformtest.Unframed{Body: "cut", Broken: true},
+	platformtest.Garbage{},
+	platformtest.Unsealed{},
+	platformtest.Hang{},
+	platformtest.Early{Status: http.StatusInternalServerError},
+	platformtest.Events{To: 4, Broken: true},
 }
 
 // misbehave lets the next requests of an endpoint go wrong.
--- a/internal/soak/history.go
+++ b/internal/testing/soak/history.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"foxcross.dev/foxcross/internal/standin/fleet"
+	"foxcross.dev/foxcross/internal/testing/standin/platformtest"
 )
 
 // Promise is one of the promises that are checked.
@@ -35,7 +35,7 @@
 
 // run is one run of a request at an endpoint.
 type run struct {
-	fleet.Run
+	platformtest.Run
 	endpoint string
 	left     time.Time // when the endpoint said that it leaves, zero for not
 }
@@ -151,8 +151,8 @@
 		}
 	}
 	for _, r := range runs {
-		if r.Target != s.target || r.Method != s.kind.method || r.Header.Get(fleet.TeamField) != "team-1" || r.Header.Get(fleet.KeyField) != "" {
-			h.found(Untouched, s.id, "%s %s ran for team %q", r.Method, r.Target, r.Header.Get(fleet.TeamField))
+		if r.Target != s.target || r.Method != s.kind.method || r.Header.Get(platformtest.TeamField) != "team-1" || r.Header.Get(platformtest.KeyField) != "" {
+			h.found(Untouched, s.id, "%s %s ran for team %q", r.Method, r.Target, r.Header.Get(platformtest.TeamField))
 		}
 		h.checkLeaving(s, r)
 	}
--- a/internal/soak/platform.go
+++ b/internal/testing/soak/platform.go
@@ -5,7 +5,7 @@
 	"net/http"
 	"time"
 
-	"foxcross.dev/foxcross/internal/standin/fleet"
+	"foxcross.dev/foxcross/internal/testing/standin/platformtest"
 )
 
 // Names of the deployment.
@@ -70,7 +70,7 @@
 
 // endpoint is one endpoint and when it began to leave.
 type endpoint struct {
-	runner *fleet.Runner
+	runner *platformtest.Runner
 	left   time.Time // when the sound store took that it leaves, zero for not
 	gone   bool
 }
@@ -79,10 +79,10 @@
 func (d *deployment) addEndpoint() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	e := &endpoint{runner: fleet.NewRunner(fmt.Sprint("i-", len(d.endpoints)+1), service, fleet.ByPath{
+	e := &endpoint{runner: platformtest.NewRunner(fmt.Sprint("i-", len(d.endpoints)+1), service, platformtest.ByPath{
 		Prefix: []string{"/chat/", "/plan/"},
-		Then:   fleet.Events{To: eventsOf, Pause: 5 * time.Millisecond},
-		Else:   fleet.Answer{Status: http.StatusOK, Body: wholeBody},
+		Then:   platformtest.Events{To: eventsOf, Pause: 5 * time.Millisecond},
+		Else:   platformtest.Answer{Status: http.StatusOK, Body: wholeBody},
 	})}
 	d.endpoints = append(d.endpoints, e)
 	d.store.Enter(e.runner, "ready")
--- a/internal/soak/soak.go
+++ b/internal/testing/soak/soak.go
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"foxcross.dev/foxcross/internal/standin/fleet"
+	"foxcross.dev/foxcross/internal/testing/standin/platformtest"
 )
 
 // Options say what is run.
@@ -41,7 +41,7 @@
 // deployment is the system under test and its surroundings.
 type deployment struct {
 	options Options
-	store   *fleet.Store
+	store   *platformtest.Store
 	entries []*entry
 	history history
 
@@ -64,7 +64,7 @@
 	}
 	d := &deployment{
 		options: o,
-		store:   fleet.NewStore(),
+		store:   platformtest.NewStore(),
 		random:  rand.New(rand.NewPCG(o.Seed, 1)),
 		faults:  map[string]int{},
 	}
--- a/internal/soak/soak_test.go
+++ b/internal/testing/soak/soak_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"foxcross.dev/foxcross/internal/process"
-	"foxcross.dev/foxcross/internal/standin/fleet"
+	"foxcross.dev/foxcross/internal/testing/standin/platformtest"
 	_ "foxcross.dev/foxcross/platform" // registers its driver
 )
 
@@ -80,13 +80,13 @@
 	}
 	ran := func(k kind) run {
 		h := http.Header{}
-		h.Set(fleet.TeamField, "team-1")
-		return run{Run: fleet.Run{ID: "a", Method: k.method, Target: k.path + "a", Header: h, At: now}, endpoint: "i-1"}
+		h.Set(platformtest.TeamField, "team-1")
+		return run{Run: platformtest.Run{ID: "a", Method: k.method, Target: k.path + "a", Header: h, At: now}, endpoint: "i-1"}
 	}
 	withKey, late := ran(page), ran(page)
 	withKey.Header = http.Header{}
-	withKey.Header.Set(fleet.TeamField, "team-1")
-	withKey.Header.Set(fleet.KeyField, teamKey)
+	withKey.Header.Set(platformtest.TeamField, "team-1")
+	withKey.Header.Set(platformtest.KeyField, teamKey)
 	late.left = now.Add(-time.Minute)
 	for name, c := range map[string]struct {
 		want Promise
--- a/internal/standin/fleet/runner.go
+++ b/internal/testing/standin/platformtest/runner.go
@@ -1,4 +1,4 @@
-package fleet
+package platformtest
 
 import (
 	"bufio"
@@ -122,7 +122,7 @@
 func NewRunner(id, service string, rest Act) *Runner {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		panic("fleet: " + err.Error())
+		panic("platformtest: " + err.Error())
 	}
 	r := &Runner{ID: id, Service: service, listener: l, rest: rest, conns: map[net.Conn]bool{}, left: make(chan string, 1024)}
 	go r.accept()
--- a/internal/standin/fleet/script.go
+++ b/internal/testing/standin/platformtest/script.go
@@ -1,4 +1,4 @@
-package fleet
+package platformtest
 
 import "sync"
 
--- a/internal/standin/fleet/store.go
+++ b/internal/testing/standin/platformtest/store.go
@@ -1,7 +1,7 @@
-// Package fleet stands in for the parts of the users' platform: its store,
+// Package platformtest stands in for the parts of the users' platform: its store,
 // its endpoints with their faults, and an operator. It speaks the platform's
 // published protocol and exists for tests and local runs.
-package fleet
+package platformtest
 
 import (
 	"encoding/json"
@@ -73,7 +73,7 @@
 func (s *Store) Put(key string, value any) {
 	data, err := json.Marshal(value)
 	if err != nil {
-		panic("fleet: " + err.Error()) // a mistake in the test
+		panic("platformtest: " + err.Error()) // a mistake in the test
 	}
 	s.change(Item{Key: key, Value: data})
 }
--- a/internal/standin/service.go
+++ b/internal/testing/standin/service.go
@@ -10,7 +10,7 @@
 
 	"foxcross.dev/coord/message"
 	"foxcross.dev/coord/result"
-	"foxcross.dev/foxcross/internal/endpoint"
+	"foxcross.dev/foxcross/internal/relay/endpoint"
 )
 
 // Service is a plain service that records what it executes. The zero value is
--- a/internal/standin/standin_test.go
+++ b/internal/testing/standin/standin_test.go
@@ -12,10 +12,10 @@
 
 	"foxcross.dev/coord/message"
 	"foxcross.dev/coord/result"
-	"foxcross.dev/foxcross/internal/endpoint"
-	"foxcross.dev/foxcross/internal/environment"
-	"foxcross.dev/foxcross/internal/environment/httpkv"
-	"foxcross.dev/foxcross/internal/standin"
+	"foxcross.dev/foxcross/internal/relay/endpoint"
+	"foxcross.dev/foxcross/internal/relay/kv"
+	"foxcross.dev/foxcross/internal/relay/kv/httpkv"
+	"foxcross.dev/foxcross/internal/testing/standin"
 )
 
 // sink takes an answer and notes when it began.
@@ -96,18 +96,18 @@
 		t.Fatal(err)
 	}
 	ctx := context.Background()
-	if _, err := p.Get(ctx, "a/b"); err != environment.ErrNotFound {
+	if _, err := p.Get(ctx, "a/b"); err != kv.ErrNotFound {
 		t.Errorf("no value: %v", err)
 	}
 	revision, err := p.Swap(ctx, "a/b", []byte("1"), 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := p.Swap(ctx, "a/b", []byte("2"), 0); err != environment.ErrConflict {
+	if _, err := p.Swap(ctx, "a/b", []byte("2"), 0); err != kv.ErrConflict {
 		t.Errorf("old revision: %v", err)
 	}
 	store.SetFaults(standin.Faults{LoseSwaps: 1})
-	if _, err := p.Swap(ctx, "a/b", []byte("2"), revision); err == nil || err == environment.ErrConflict || err == environment.ErrUnavailable {
+	if _, err := p.Swap(ctx, "a/b", []byte("2"), revision); err == nil || err == kv.ErrConflict || err == kv.ErrUnavailable {
 		t.Errorf("a lost answer must leave the outcome open: %v", err)
 	}
 	v, err := p.Get(ctx, "a/b")
@@ -115,14 +115,14 @@
 		t.Errorf("after a lost answer: %q, %v", v.Data, err)
 	}
 	store.SetFaults(standin.Faults{Down: true})
-	if _, err := p.Swap(ctx, "a/b", []byte("3"), v.Revision); err != environment.ErrUnavailable {
+	if _, err := p.Swap(ctx, "a/b", []byte("3"), v.Revision); err != kv.ErrUnavailable {
 		t.Errorf("down: %v", err)
 	}
 	store.SetFaults(standin.Faults{})
 	if keys, err := p.List(ctx, "a/"); err != nil || len(keys) != 1 {
 		t.Errorf("list: %v, %v", keys, err)
 	}
-	watched := make(chan environment.Value, 1)
+	watched := make(chan kv.Value, 1)
 	go func() {
 		w, err := p.Watch(ctx, "a/b", v.Revision)
 		if err != nil {
@@ -140,7 +140,7 @@
 	if p, err = httpkv.New(server.URL); err != nil { // a fresh one has no connection left over
 		t.Fatal(err)
 	}
-	if _, err := p.Swap(ctx, "a/b", []byte("5"), 0); !errors.Is(err, environment.ErrUnavailable) {
+	if _, err := p.Swap(ctx, "a/b", []byte("5"), 0); !errors.Is(err, kv.ErrUnavailable) {
 		t.Errorf("no server: %v", err)
 	}
 }
@@ -166,10 +166,10 @@
 			t.Errorf("a renewed lease: %v", err)
 		}
 		time.Sleep(time.Second)
-		if _, err := store.Get(ctx, "k"); err != environment.ErrNotFound {
+		if _, err := store.Get(ctx, "k"); err != kv.ErrNotFound {
 			t.Errorf("a lapsed lease: %v", err)
 		}
-		if _, err := store.SwapLeased(ctx, "k", []byte("v"), 0, lease); err != environment.ErrNotFound {
+		if _, err := store.SwapLeased(ctx, "k", []byte("v"), 0, lease); err != kv.ErrNotFound {
 			t.Errorf("a write under a lapsed lease: %v", err)
 		}
 	})
@@ -195,7 +195,7 @@
 func TestListLags(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.Store{ListLag: time.Second}
-		store.SetMembers([]environment.Member{{Name: "a"}})
+		store.SetMembers([]kv.Member{{Name: "a"}})
 		for _, want := range []int{0, 1} {
 			members, err := store.Members(context.Background())
 			if err != nil || len(members) != want {
--- a/internal/standin/store.go
+++ b/internal/testing/standin/store.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"foxcross.dev/foxcross/internal/environment"
+	"foxcross.dev/foxcross/internal/relay/kv"
 )
 
 // MostValue is the largest value in bytes that the store takes.
@@ -42,13 +42,13 @@
 	waiters  map[string][]chan struct{}
 	faults   Faults
 	calls    Calls
-	members  []environment.Member
+	members  []kv.Member
 	lists    int // set so far
 	shown    int // number of the list that is visible
 }
 
 type stored struct {
-	environment.Value
+	kv.Value
 	lease uint64
 }
 
@@ -73,7 +73,7 @@
 }
 
 // SetMembers replaces the member list, after its lag.
-func (s *Store) SetMembers(m []environment.Member) {
+func (s *Store) SetMembers(m []kv.Member) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lists++
@@ -87,7 +87,7 @@
 }
 
 // showMembers makes a list visible, unless a later one is.
-func (s *Store) showMembers(number int, m []environment.Member) {
+func (s *Store) showMembers(number int, m []kv.Member) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if number > s.shown {
@@ -98,13 +98,13 @@
 
 // Members returns the list. It is a service of its own: the store's faults do
 // not touch it.
-func (s *Store) Members(context.Context) ([]environment.Member, error) {
+func (s *Store) Members(context.Context) ([]kv.Member, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls.Lists++
 	switch {
 	case s.faults.ListDown:
-		return nil, environment.ErrUnavailable
+		return nil, kv.ErrUnavailable
 	case s.faults.ListEmpty:
 		return nil, nil
 	default:
@@ -124,11 +124,11 @@
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
-			return environment.ErrUnavailable
+			return kv.ErrUnavailable
 		}
 	}
 	if f.Down {
-		return environment.ErrUnavailable
+		return kv.ErrUnavailable
 	}
 	return nil
 }
@@ -151,15 +151,15 @@
 }
 
 // Get returns a value.
-func (s *Store) Get(ctx context.Context, key string) (environment.Value, error) {
+func (s *Store) Get(ctx context.Context, key string) (kv.Value, error) {
 	if err := s.enter(ctx, func(c *Calls) { c.Gets++ }); err != nil {
-		return environment.Value{}, err
+		return kv.Value{}, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	v, ok := s.look(key)
 	if !ok {
-		return environment.Value{}, environment.ErrNotFound
+		return kv.Value{}, kv.ErrNotFound
 	}
 	return v.Value, nil
 }
@@ -197,16 +197,16 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if l, ok := s.leases[under]; under != 0 && (!ok || l.until.Before(s.now())) {
-		return 0, environment.ErrNotFound
+		return 0, kv.ErrNotFound
 	}
 	if v, _ := s.look(key); v.Revision != revision {
-		return 0, environment.ErrConflict
+		return 0, kv.ErrConflict
 	}
 	if s.values == nil {
 		s.values = map[string]stored{}
 	}
 	s.revision++
-	s.values[key] = stored{environment.Value{Data: slices.Clone(data), Revision: s.revision}, under}
+	s.values[key] = stored{kv.Value{Data: slices.Clone(data), Revision: s.revision}, under}
 	s.wake(key)
 	if s.faults.LoseSwaps > 0 {
 		s.faults.LoseSwaps--
@@ -216,9 +216,9 @@
 }
 
 // Watch waits for a later revision.
-func (s *Store) Watch(ctx context.Context, key string, after uint64) (environment.Value, error) {
+func (s *Store) Watch(ctx context.Context, key string, after uint64) (kv.Value, error) {
 	if err := s.enter(ctx, func(c *Calls) { c.Watches++ }); err != nil {
-		return environment.Value{}, err
+		return kv.Value{}, err
 	}
 	for {
 		s.mu.Lock()
@@ -231,7 +231,7 @@
 		s.waiters[key] = append(s.waiters[key], woken)
 		s.mu.Unlock()
 		if down {
-			return environment.Value{}, environment.ErrUnavailable
+			return kv.Value{}, kv.ErrUnavailable
 		}
 		if ok && v.Revision > after {
 			return v.Value, nil
@@ -239,7 +239,7 @@
 		select {
 		case <-woken:
 		case <-ctx.Done():
-			return environment.Value{}, ctx.Err()
+			return kv.Value{}, ctx.Err()
 		}
 	}
 }
@@ -281,7 +281,7 @@
 	defer s.mu.Unlock()
 	l, ok := s.leases[id]
 	if !ok || l.until.Before(s.now()) {
-		return environment.ErrNotFound
+		return kv.ErrNotFound
 	}
 	l.until = s.now().Add(l.life)
 	s.leases[id] = l
--- a/internal/standin/storehttp.go
+++ b/internal/testing/standin/storehttp.go
@@ -9,8 +9,8 @@
 	"strings"
 	"time"
 
-	"foxcross.dev/foxcross/internal/environment"
-	"foxcross.dev/foxcross/internal/environment/httpkv"
+	"foxcross.dev/foxcross/internal/relay/kv"
+	"foxcross.dev/foxcross/internal/relay/kv/httpkv"
 
 	"github.com/alexedwards/flow"
 )
@@ -47,7 +47,7 @@
 }
 
 func (s *Store) serveGet(w http.ResponseWriter, r *http.Request) {
-	var v environment.Value
+	var v kv.Value
 	var err error
 	if after := r.URL.Query().Get("after"); after != "" {
 		timer := time.AfterFunc(mostWatch, func() {
@@ -133,9 +133,9 @@
 	switch {
 	case errors.Is(err, errLost):
 		panic(http.ErrAbortHandler)
-	case errors.Is(err, environment.ErrNotFound):
+	case errors.Is(err, kv.ErrNotFound):
 		w.WriteHeader(http.StatusNotFound)
-	case errors.Is(err, environment.ErrConflict):
+	case errors.Is(err, kv.ErrConflict):
 		w.WriteHeader(http.StatusConflict)
 	default:
 		w.WriteHeader(http.StatusServiceUnavailable)
