--- a/coord/binding/core.go
+++ b/coord/binding/core.go
@@ -221,14 +221,3 @@
 
 // Targets returns how many targets some agent serves.
 func (c *Core) Targets() int { return len(c.routes) }
-
-// Reporting returns how many agents have sent a report.
-func (c *Core) Reporting() int {
-	count := 0
-	for _, p := range c.peers {
-		if len(p.routes) > 0 {
-			count++
-		}
-	}
-	return count
-}
--- a/examples/load/main.go
+++ b/examples/load/main.go
@@ -10,8 +10,8 @@
 	"sync"
 	"time"
 
-	"foxcross.dev/foxcross/internal/command"
 	"foxcross.dev/foxcross/internal/testing/caller"
+	"foxcross.dev/foxcross/internal/testing/flags"
 	"foxcross.dev/foxcross/internal/testing/standin"
 
 	"foxcross.dev/coord/result"
@@ -32,7 +32,7 @@
 
 func main() {
 	var o options
-	command.ParseFlags(&o)
+	flags.Parse(&o)
 	if err := run(o); err != nil {
 		fmt.Fprintln(os.Stderr, "load:", err)
 		os.Exit(1)
--- a/examples/local/main.go
+++ b/examples/local/main.go
@@ -9,8 +9,8 @@
 	"os/signal"
 	"time"
 
-	"foxcross.dev/foxcross/internal/command"
 	"foxcross.dev/foxcross/internal/logs"
+	"foxcross.dev/foxcross/internal/testing/flags"
 )
 
 const setupTime = 20 * time.Second
@@ -25,7 +25,7 @@
 
 func main() {
 	var o options
-	command.ParseFlags(&o)
+	flags.Parse(&o)
 	if err := run(o); err != nil {
 		fmt.Fprintln(os.Stderr, "local:", err)
 		os.Exit(1)
--- a/examples/soak/main.go
+++ b/examples/soak/main.go
@@ -17,7 +17,7 @@
 	"slices"
 	"time"
 
-	"foxcross.dev/foxcross/internal/command"
+	"foxcross.dev/foxcross/internal/testing/flags"
 	"foxcross.dev/foxcross/internal/testing/soak"
 )
 
@@ -39,7 +39,7 @@
 
 func main() {
 	var o options
-	command.ParseFlags(&o)
+	flags.Parse(&o)
 	broken, err := run(o)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
--- a/examples/standins/main.go
+++ b/examples/standins/main.go
@@ -9,8 +9,8 @@
 	"os"
 	"time"
 
-	"foxcross.dev/foxcross/internal/command"
 	"foxcross.dev/foxcross/internal/relay/kv"
+	"foxcross.dev/foxcross/internal/testing/flags"
 	"foxcross.dev/foxcross/internal/testing/standin"
 )
 
@@ -25,7 +25,7 @@
 
 func main() {
 	var o options
-	command.ParseFlags(&o)
+	flags.Parse(&o)
 	if err := run(o); err != nil {
 		fmt.Fprintln(os.Stderr, "standins:", err)
 		os.Exit(1)
--- a/internal/relay/entry/entry.go
+++ b/internal/relay/entry/entry.go
@@ -174,13 +174,6 @@
 	return e.watches
 }
 
-// Connected returns how many agents have reported their loads.
-func (e *Entry) Connected() int {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return e.core.Reporting()
-}
-
 // State returns where the entry is in its life.
 func (e *Entry) State() lifecycle.State { return e.life.State() }
 
--- a/internal/relay/link/link.go
+++ b/internal/relay/link/link.go
@@ -1,6 +1,6 @@
 // Package link carries messages between entries and agents: one connection
-// with a control stream, and one stream per attempt. It has two forms, QUIC
-// between processes and channels within one.
+// with a control stream, and one stream per attempt. Processes use QUIC; tests in
+// virtual time use internal/testing/memlink.
 package link
 
 import (
--- a/internal/relay/link/quic.go
+++ b/internal/relay/link/quic.go
@@ -13,9 +13,12 @@
 	"github.com/quic-go/quic-go"
 )
 
+// IdleTimeout ends a connection that brings nothing for so long, keep-alives
+// included. Chosen, not measured: two lost keep-alives and a slow one.
+const IdleTimeout = 5 * time.Second
+
 const (
 	protocol        = "foxcross/1"
-	idleTimeout     = 5 * time.Second
 	keepAlive       = 2 * time.Second
 	handshake       = 3 * time.Second
 	mostStreams     = 1 << 14
@@ -26,7 +29,7 @@
 func quicConfig() *quic.Config {
 	return &quic.Config{
 		HandshakeIdleTimeout:       handshake,
-		MaxIdleTimeout:             idleTimeout,
+		MaxIdleTimeout:             IdleTimeout,
 		KeepAlivePeriod:            keepAlive,
 		MaxIncomingStreams:         mostStreams,
 		MaxIncomingUniStreams:      -1,
--- a/internal/testing/deployment/deployment.go
+++ b/internal/testing/deployment/deployment.go
@@ -335,11 +335,22 @@
 	return nil
 }
 
+// reporting returns how many agents have told the entry their loads.
+func (e *Entry) reporting() int {
+	n := 0
+	for _, p := range e.Dump().Binding.Peers {
+		if len(p.Loads) > 0 {
+			n++
+		}
+	}
+	return n
+}
+
 func (d *Deployment) ready() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, e := range d.entries {
-		if !e.Ready() || e.Connected() < len(d.agents) {
+		if !e.Ready() || e.reporting() < len(d.agents) {
 			return false
 		}
 	}
--- a/internal/relay/link/memory.go
+++ b/internal/testing/memlink/memlink.go
@@ -1,4 +1,7 @@
-package link
+// Package memlink is a link.Dialer and link.Listener within one process, so that
+// entries and agents can run in virtual time. Connections can be cut and names
+// frozen, as a network and a paused process would do it.
+package memlink
 
 import (
 	"context"
@@ -8,54 +11,55 @@
 	"time"
 
 	"foxcross.dev/coord/message"
+	"foxcross.dev/foxcross/internal/relay/link"
 )
 
-// memoryWindow is how many messages a stream in memory holds.
-const memoryWindow = 256
+// window is how many messages a stream in memory holds.
+const window = 256
 
-// Memory is a network within one process. Its zero value is ready. Cutting it
+// Network is a network within one process. Its zero value is ready. Cutting it
 // loses connections in the ways a real network does.
-type Memory struct {
+type Network struct {
 	Delay time.Duration // one way, for opening a connection and each message
 
 	mu        sync.Mutex
-	listeners map[string]*memoryListener
-	sessions  []*memorySession
+	listeners map[string]*listener
+	sessions  []*session
 	frozen    map[string]chan struct{}
 }
 
 // Listen takes connections to a name.
-func (n *Memory) Listen(address string) Listener {
+func (n *Network) Listen(address string) link.Listener {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.listeners == nil {
-		n.listeners = map[string]*memoryListener{}
+		n.listeners = map[string]*listener{}
 	}
-	l := &memoryListener{network: n, address: address, incoming: make(chan *memorySession), closed: make(chan struct{})}
+	l := &listener{network: n, address: address, incoming: make(chan *session), closed: make(chan struct{})}
 	n.listeners[address] = l
 	return l
 }
 
 // From returns a dialer whose connections bear its name, so that they can be
 // frozen and cut by it.
-func (n *Memory) From(name string) Dialer { return memoryDialer{n, name} }
+func (n *Network) From(name string) link.Dialer { return dialer{n, name} }
 
-type memoryDialer struct {
-	network *Memory
+type dialer struct {
+	network *Network
 	name    string
 }
 
 // Dial connects to a name that is listened on.
-func (d memoryDialer) Dial(ctx context.Context, address string) (Session, error) {
+func (d dialer) Dial(ctx context.Context, address string) (link.Session, error) {
 	return d.network.dial(ctx, d.name, address)
 }
 
-func (n *Memory) dial(ctx context.Context, from, address string) (Session, error) {
+func (n *Network) dial(ctx context.Context, from, address string) (link.Session, error) {
 	n.mu.Lock()
 	l := n.listeners[address]
 	n.mu.Unlock()
 	if l == nil {
-		return nil, fmt.Errorf("link: nobody listens on %s", address)
+		return nil, fmt.Errorf("memlink: nobody listens on %s", address)
 	}
 	n.pass(from, ctx.Done())
 	near, far := n.newPair(from, address)
@@ -73,7 +77,7 @@
 }
 
 // Cut ends all connections from and to a name.
-func (n *Memory) Cut(address string) {
+func (n *Network) Cut(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, s := range n.sessions {
@@ -86,7 +90,7 @@
 // Freeze holds up all messages to and from a name for a time, as when its
 // process is paused. Connections are lost if that is longer than a QUIC
 // connection may be idle.
-func (n *Memory) Freeze(address string, length time.Duration) {
+func (n *Network) Freeze(address string, length time.Duration) {
 	thawed := make(chan struct{})
 	n.mu.Lock()
 	if n.frozen == nil {
@@ -98,10 +102,10 @@
 	}
 	n.frozen[address] = thawed
 	n.mu.Unlock()
-	time.Sleep(min(length, idleTimeout))
-	if length > idleTimeout {
+	time.Sleep(min(length, link.IdleTimeout))
+	if length > link.IdleTimeout {
 		n.Cut(address)
-		time.Sleep(length - idleTimeout)
+		time.Sleep(length - link.IdleTimeout)
 	}
 	n.mu.Lock()
 	delete(n.frozen, address)
@@ -110,7 +114,7 @@
 }
 
 // pass waits until the name is not frozen.
-func (n *Memory) pass(address string, done <-chan struct{}) {
+func (n *Network) pass(address string, done <-chan struct{}) {
 	n.mu.Lock()
 	thawed := n.frozen[address]
 	n.mu.Unlock()
@@ -123,15 +127,15 @@
 	}
 }
 
-type memoryListener struct {
-	network  *Memory
+type listener struct {
+	network  *Network
 	address  string
-	incoming chan *memorySession
+	incoming chan *session
 	closed   chan struct{}
 	once     sync.Once
 }
 
-func (l *memoryListener) Accept(ctx context.Context) (Session, error) {
+func (l *listener) Accept(ctx context.Context) (link.Session, error) {
 	select {
 	case s := <-l.incoming:
 		return s, nil
@@ -142,9 +146,9 @@
 	}
 }
 
-func (l *memoryListener) Address() string { return l.address }
+func (l *listener) Address() string { return l.address }
 
-func (l *memoryListener) Close() error {
+func (l *listener) Close() error {
 	l.once.Do(func() {
 		l.network.mu.Lock()
 		delete(l.network.listeners, l.address)
@@ -154,46 +158,46 @@
 	return nil
 }
 
-type memorySession struct {
-	network *Memory
+type session struct {
+	network *Network
 	from    string // the name that dialled
 	address string // the name that was dialled
-	control *memoryStream
-	streams chan *memoryStream // opened by the peer
-	peer    *memorySession
+	control *stream
+	streams chan *stream // opened by the peer
+	peer    *session
 	done    chan struct{}
 	once    *sync.Once
 }
 
-func (n *Memory) newPair(from, address string) (near, far *memorySession) {
+func (n *Network) newPair(from, address string) (near, far *session) {
 	done := make(chan struct{})
 	once := new(sync.Once)
-	near = &memorySession{network: n, from: from, address: address, done: done, once: once, streams: make(chan *memoryStream, memoryWindow)}
-	far = &memorySession{network: n, from: from, address: address, done: done, once: once, streams: make(chan *memoryStream, memoryWindow)}
+	near = &session{network: n, from: from, address: address, done: done, once: once, streams: make(chan *stream, window)}
+	far = &session{network: n, from: from, address: address, done: done, once: once, streams: make(chan *stream, window)}
 	near.peer = far
 	far.peer = near
 	near.control, far.control = near.pair()
 	return near, far
 }
 
-func (s *memorySession) pair() (own, other *memoryStream) {
-	there := make(chan timed, memoryWindow)
-	back := make(chan timed, memoryWindow)
+func (s *session) pair() (own, other *stream) {
+	there := make(chan timed, window)
+	back := make(chan timed, window)
 	reset := make(chan struct{})
 	once := new(sync.Once)
-	own = &memoryStream{session: s, in: back, out: there, reset: reset, once: once}
-	other = &memoryStream{session: s, in: there, out: back, reset: reset, once: once}
+	own = &stream{session: s, in: back, out: there, reset: reset, once: once}
+	other = &stream{session: s, in: there, out: back, reset: reset, once: once}
 	return own, other
 }
 
-func (s *memorySession) Control() Stream                { return s.control }
-func (s *memorySession) Trip() time.Duration            { return 2 * s.network.Delay }
-func (s *memorySession) Bytes() (sent, received uint64) { return 0, 0 }
+func (s *session) Control() link.Stream           { return s.control }
+func (s *session) Trip() time.Duration            { return 2 * s.network.Delay }
+func (s *session) Bytes() (sent, received uint64) { return 0, 0 }
 
-func (s *memorySession) Done() <-chan struct{} { return s.done }
-func (s *memorySession) Close()                { s.once.Do(func() { close(s.done) }) }
+func (s *session) Done() <-chan struct{} { return s.done }
+func (s *session) Close()                { s.once.Do(func() { close(s.done) }) }
 
-func (s *memorySession) Open(ctx context.Context) (Stream, error) {
+func (s *session) Open(ctx context.Context) (link.Stream, error) {
 	own, other := s.pair()
 	select {
 	case s.peer.streams <- other:
@@ -205,7 +209,7 @@
 	}
 }
 
-func (s *memorySession) Accept(ctx context.Context) (Stream, error) {
+func (s *session) Accept(ctx context.Context) (link.Stream, error) {
 	select {
 	case st := <-s.streams:
 		return st, nil
@@ -222,15 +226,15 @@
 	at      time.Time
 }
 
-type memoryStream struct {
-	session *memorySession
+type stream struct {
+	session *session
 	in      <-chan timed
 	out     chan<- timed
 	reset   chan struct{}
 	once    *sync.Once
 }
 
-func (s *memoryStream) Send(m message.Message) error {
+func (s *stream) Send(m message.Message) error {
 	select {
 	case s.out <- timed{m, time.Now().Add(s.session.network.Delay)}:
 		return nil
@@ -241,9 +245,9 @@
 	}
 }
 
-func (s *memoryStream) CloseSend() error { return s.Send(nil) }
+func (s *stream) CloseSend() error { return s.Send(nil) }
 
-func (s *memoryStream) Receive() (message.Message, error) {
+func (s *stream) Receive() (message.Message, error) {
 	select {
 	case t := <-s.in:
 		time.Sleep(time.Until(t.at))
@@ -260,4 +264,4 @@
 	}
 }
 
-func (s *memoryStream) Reset() { s.once.Do(func() { close(s.reset) }) }
+func (s *stream) Reset() { s.once.Do(func() { close(s.reset) }) }
--- a/internal/testing/simulation/simulation.go
+++ b/internal/testing/simulation/simulation.go
@@ -20,6 +20,7 @@
 	"foxcross.dev/foxcross/internal/relay/versions"
 	"foxcross.dev/foxcross/internal/testing/caller"
 	"foxcross.dev/foxcross/internal/testing/history"
+	"foxcross.dev/foxcross/internal/testing/memlink"
 	"foxcross.dev/foxcross/internal/testing/standin"
 
 	"foxcross.dev/coord/dispatch"
@@ -31,7 +32,7 @@
 
 // Simulation is a deployment under test. Create it with New.
 type Simulation struct {
-	Network  link.Memory
+	Network  memlink.Network
 	Store    standin.Store
 	Recorder history.Recorder
 	Snapshot settings.Snapshot
--- a/internal/testing/standin/platformtest/store.go
+++ b/internal/testing/standin/platformtest/store.go
@@ -25,7 +25,6 @@
 	history  []Item
 	oldest   uint64 // changes up to this revision are forgotten
 	fault    Fault
-	calls    int
 	changed  chan struct{}
 }
 
@@ -116,18 +115,10 @@
 	}
 }
 
-// Calls returns how many calls have come.
-func (s *Store) Calls() int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.calls
-}
-
 // guard lets calls through to a sound store.
 func (s *Store) guard(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
-		s.calls++
 		f := s.fault
 		s.mu.Unlock()
 		switch f {
