--- a/coord/settings/route.go
+++ b/coord/settings/route.go
@@ -150,10 +150,9 @@
 
 // Limits bound what callers may send on routes.
 type Limits struct {
-	HeaderBytes   int
-	BodyBytes     int
-	HeaderTimeout time.Duration
-	IdleTimeout   time.Duration
+	HeaderBytes int
+	BodyBytes   int
+	IdleTimeout time.Duration
 }
 
 // Limits returns the bounds for callers.
@@ -161,9 +160,8 @@
 
 func limitsOf(f Fields) Limits {
 	return Limits{
-		HeaderBytes:   value(f.MostHeaderBytes),
-		BodyBytes:     value(f.MostBodyBytes),
-		HeaderTimeout: milliseconds(f.HeaderTimeoutMS),
-		IdleTimeout:   milliseconds(f.IdleTimeoutMS),
+		HeaderBytes: value(f.MostHeaderBytes),
+		BodyBytes:   value(f.MostBodyBytes),
+		IdleTimeout: milliseconds(f.IdleTimeoutMS),
 	}
 }
--- a/internal/direct/directory/directory_test.go
+++ b/internal/direct/directory/directory_test.go
@@ -39,7 +39,7 @@
 	if s.version == 0 {
 		return driver.Settings{}, driver.ErrNotFound
 	}
-	return driver.Settings{Version: s.version, Revision: s.revision, Tree: tree()}, nil
+	return driver.Settings{Version: s.version, Tree: tree()}, nil
 }
 
 func (s *source) ReadEndpoints(context.Context) (driver.Endpoints, error) {
@@ -69,7 +69,7 @@
 		case gone:
 			return driver.Change{}, driver.ErrHistoryGone
 		case revision > after:
-			return driver.Change{Revision: revision, Changed: list, Settings: &driver.Settings{Version: version, Revision: revision, Tree: tree()}}, nil
+			return driver.Change{Revision: revision, Changed: list, Settings: &driver.Settings{Version: version, Tree: tree()}}, nil
 		}
 		select {
 		case <-ctx.Done():
--- a/internal/direct/driver/driver.go
+++ b/internal/direct/driver/driver.go
@@ -58,9 +58,8 @@
 
 // Settings is one version of the settings tree.
 type Settings struct {
-	Version  uint64        `cbor:"1,keyasint"`
-	Revision uint64        `cbor:"2,keyasint"` // of the source when it was read
-	Tree     settings.Tree `cbor:"-"`
+	Version uint64        `cbor:"1,keyasint"`
+	Tree    settings.Tree `cbor:"-"`
 }
 
 // Endpoints is the list of endpoints at a revision of the source.
@@ -112,7 +111,6 @@
 	Key       string // of the team, alone
 	Team      string // told to endpoints
 	Target    string // id of the endpoint that is meant
-	Instance  string // id of the endpoint that answered
 	NotRun    string // an endpoint's word that the request has not run
 	Seal      string // marks an endpoint's own answer
 	Priority  string
--- a/internal/direct/upstream/pool.go
+++ b/internal/direct/upstream/pool.go
@@ -14,15 +14,15 @@
 	"foxcross.dev/foxcross/internal/workers"
 )
 
-// Defaults and bounds of a pool.
+// Times and bounds of a pool.
 const (
-	DefaultDialTimeout = 500 * time.Millisecond
-	defaultIdle        = 4 * time.Second // where the endpoint names no time
-	idleShare          = 0.6             // of the time that the endpoint names
-	mostIdle           = 64              // connections kept for one endpoint
-	sweepEvery         = 2 * time.Second
-	probeAfter         = time.Second
-	probeCount         = 3
+	dialTimeout = 500 * time.Millisecond
+	defaultIdle = 4 * time.Second // where the endpoint names no time
+	idleShare   = 0.6             // of the time that the endpoint names
+	mostIdle    = 64              // connections kept for one endpoint
+	sweepEvery  = 2 * time.Second
+	probeAfter  = time.Second
+	probeCount  = 3
 )
 
 // ErrUnreachable means that no connection came up; nothing was sent.
@@ -30,8 +30,6 @@
 
 // Pool keeps idle connections by endpoint. The zero value works.
 type Pool struct {
-	DialTimeout time.Duration // 0 for DefaultDialTimeout
-
 	mu   sync.Mutex
 	idle map[string][]*conn // by endpoint id, the one used last at the end
 }
@@ -77,11 +75,7 @@
 }
 
 func (p *Pool) dial(ctx context.Context, address string) (*conn, error) {
-	timeout := p.DialTimeout
-	if timeout <= 0 {
-		timeout = DefaultDialTimeout
-	}
-	d := net.Dialer{Timeout: timeout, KeepAliveConfig: net.KeepAliveConfig{
+	d := net.Dialer{Timeout: dialTimeout, KeepAliveConfig: net.KeepAliveConfig{
 		Enable: true, Idle: probeAfter, Interval: probeAfter, Count: probeCount,
 	}}
 	n, err := d.DialContext(ctx, "tcp", address)
