--- a/internal/relay/agent/agent.go
+++ b/internal/relay/agent/agent.go
@@ -17,6 +17,7 @@
 	"foxcross.dev/foxcross/internal/logs"
 	"foxcross.dev/foxcross/internal/relay/endpoint"
 	"foxcross.dev/foxcross/internal/relay/link"
+	"foxcross.dev/foxcross/internal/relay/recent"
 	"foxcross.dev/foxcross/internal/workers"
 
 	"github.com/uber-go/tally/v4"
@@ -71,7 +72,7 @@
 	runs    map[queue.Key]*run
 	last    uint64
 	kick    chan struct{}
-	recent  recentEnds
+	recent  recent.Ring[RecentEnd]
 	onIdle  chan struct{}
 	streams int // attempts whose stream is not over
 }
@@ -90,6 +91,7 @@
 		runs:    map[queue.Key]*run{},
 		kick:    make(chan struct{}, 1),
 		onIdle:  make(chan struct{}, 1),
+		recent:  recent.Of[RecentEnd](recentSize),
 	}
 	if a.options.Heartbeat <= 0 {
 		a.options.Heartbeat = DefaultHeartbeat
--- a/internal/relay/agent/dump.go
+++ b/internal/relay/agent/dump.go
@@ -22,14 +22,9 @@
 	Reason  string            `json:"reason,omitempty"`
 }
 
-// recentEnds is a ring of the last ended attempts.
-type recentEnds struct {
-	ends []RecentEnd
-	next int
-}
-
-func (r *recentEnds) add(x dispatch.Finish) {
-	e := RecentEnd{
+// recentEnd returns what the dump shows of an ended attempt.
+func recentEnd(x dispatch.Finish) RecentEnd {
+	return RecentEnd{
 		At:      time.Now(),
 		Owner:   x.Key.Owner,
 		Request: x.Key.Request,
@@ -38,12 +33,6 @@
 		Run:     x.End.Run.String(),
 		Reason:  x.End.Reason,
 	}
-	if len(r.ends) < recentSize {
-		r.ends = append(r.ends, e)
-		return
-	}
-	r.ends[r.next] = e
-	r.next = (r.next + 1) % recentSize
 }
 
 // Dump is the state of an agent at one moment.
@@ -66,7 +55,7 @@
 		Settings: a.version(),
 		Owners:   map[uint64]string{},
 		Dispatch: a.core.Dump(time.Now()),
-		Recent:   append([]RecentEnd(nil), a.recent.ends...),
+		Recent:   a.recent.Values(),
 	}
 	for id, o := range a.owners {
 		d.Owners[id] = o.name
--- a/internal/relay/agent/run.go
+++ b/internal/relay/agent/run.go
@@ -104,7 +104,7 @@
 		return
 	}
 	delete(a.runs, x.Key)
-	a.recent.add(x)
+	a.recent.Add(recentEnd(x))
 	go r.finish(x.End)
 }
 
--- a/internal/relay/entry/dump.go
+++ b/internal/relay/entry/dump.go
@@ -22,14 +22,9 @@
 	Reason  string            `json:"reason,omitempty"`
 }
 
-// recentResults is a ring of the last finished requests.
-type recentResults struct {
-	results []RecentResult
-	next    int
-}
-
-func (r *recentResults) add(c *call, f binding.Finish) {
-	n := RecentResult{
+// recentResult returns what the dump shows of a finished request.
+func recentResult(c *call, f binding.Finish) RecentResult {
+	return RecentResult{
 		At:      time.Now(),
 		Request: f.Request,
 		Class:   c.request.Terms.Class,
@@ -38,12 +33,6 @@
 		Run:     f.Run.String(),
 		Reason:  f.End.Reason,
 	}
-	if len(r.results) < recentSize {
-		r.results = append(r.results, n)
-		return
-	}
-	r.results[r.next] = n
-	r.next = (r.next + 1) % recentSize
 }
 
 // Dump is the state of an entry at one moment.
@@ -68,6 +57,6 @@
 		Entries:  e.entries,
 		Open:     len(e.calls),
 		Binding:  e.core.Dump(time.Now()),
-		Recent:   append([]RecentResult(nil), e.recent.results...),
+		Recent:   e.recent.Values(),
 	}
 }
--- a/internal/relay/entry/entry.go
+++ b/internal/relay/entry/entry.go
@@ -20,6 +20,7 @@
 	"foxcross.dev/foxcross/internal/logs"
 	"foxcross.dev/foxcross/internal/relay/kv"
 	"foxcross.dev/foxcross/internal/relay/link"
+	"foxcross.dev/foxcross/internal/relay/recent"
 	"foxcross.dev/foxcross/internal/relay/versions"
 	"foxcross.dev/foxcross/internal/workers"
 
@@ -76,7 +77,7 @@
 	watches  bool // among the watchers of its data centre
 	kick     chan struct{}
 	onIdle   chan struct{}
-	recent   recentResults
+	recent   recent.Ring[RecentResult]
 }
 
 // New returns an entry that does not run yet.
@@ -101,6 +102,7 @@
 		attempts: map[attemptKey]*attempt{},
 		peers:    map[string]*peer{},
 		entries:  1,
+		recent:   recent.Of[RecentResult](recentSize),
 		watches:  true,
 		kick:     make(chan struct{}, 1),
 		onIdle:   make(chan struct{}, 1),
@@ -260,7 +262,7 @@
 		return
 	}
 	c.put(finished{x})
-	e.recent.add(c, x)
+	e.recent.Add(recentResult(c, x))
 	e.metrics.Tagged(map[string]string{
 		"class": c.request.Terms.Class,
 		"code":  x.Code.Entry().Name,
