--- a/internal/relay/entry/chat.go
+++ b/internal/relay/entry/chat.go
@@ -26,39 +26,35 @@
 }
 
 // serveChat answers a chat completion.
-func (e *Entry) serveChat(w http.ResponseWriter, r *http.Request) {
+func (e *Entry) serveChat(w http.ResponseWriter, r *http.Request) *result.Error {
 	c, failure := e.identify(r)
 	if failure != nil {
-		writeFailure(w, failure)
-		return
+		return failure
 	}
 	body, failure := e.readBody(w, r)
 	if failure != nil {
-		writeFailure(w, failure)
-		return
+		return failure
 	}
 	q, failure := parseChat(body)
 	if failure != nil {
-		writeFailure(w, failure)
-		return
+		return failure
 	}
 	k, failure := c.chatClass(r, q.Model)
 	if failure != nil {
-		writeFailure(w, failure)
-		return
+		return failure
 	}
 	a, done, failure := e.submit(r, c, k, chatBinding(c, k, q), message.Start{Body: body})
 	if failure != nil {
-		writeFailure(w, failure)
-		return
+		return failure
 	}
 	defer done()
 	answer := chatAnswer{model: q.Model, created: time.Now().Unix(), id: fmt.Sprintf("chatcmpl-%s-%d", e.options.Name, a.id)}
 	if q.Stream {
 		answer.stream(w, r, a)
-		return
+		return nil
 	}
 	answer.whole(w, r, a)
+	return nil
 }
 
 func parseChat(body []byte) (chatRequest, *result.Error) {
--- a/internal/relay/entry/handler.go
+++ b/internal/relay/entry/handler.go
@@ -29,8 +29,8 @@
 // Handler returns the routes for callers and the balancer.
 func (e *Entry) Handler() http.Handler {
 	mux := flow.New()
-	mux.HandleFunc("/v1/chat/completions", e.serveChat, http.MethodPost)
-	mux.HandleFunc("/services/:service/...", e.serveService)
+	mux.HandleFunc("/v1/chat/completions", orFailure(e.serveChat), http.MethodPost)
+	mux.HandleFunc("/services/:service/...", orFailure(e.serveService))
 	mux.HandleFunc("/health", e.serveHealth, http.MethodGet)
 	mux.HandleFunc("/ready", e.serveReady, http.MethodGet)
 	mux.NotFound = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -39,6 +39,16 @@
 	return mux
 }
 
+// orFailure returns a handler that answers with the failure that serve returns. A
+// serve that has written anything returns nil.
+func orFailure(serve func(w http.ResponseWriter, r *http.Request) *result.Error) http.HandlerFunc {
+	return func(w http.ResponseWriter, r *http.Request) {
+		if failure := serve(w, r); failure != nil {
+			writeFailure(w, failure)
+		}
+	}
+}
+
 // caller is who asks, and the settings in force when the request came.
 type caller struct {
 	team     settings.TeamInfo
--- a/internal/relay/entry/service.go
+++ b/internal/relay/entry/service.go
@@ -32,32 +32,29 @@
 }
 
 // serveService passes a call on to a plain service.
-func (e *Entry) serveService(w http.ResponseWriter, r *http.Request) {
+func (e *Entry) serveService(w http.ResponseWriter, r *http.Request) *result.Error {
 	c, failure := e.identify(r)
 	if failure != nil {
-		writeFailure(w, failure)
-		return
+		return failure
 	}
 	name := flow.Param(r.Context(), "service")
 	path := strings.TrimPrefix(r.URL.EscapedPath(), "/services/"+name)
 	k, failure := c.serviceClass(r, name, path)
 	if failure != nil {
-		writeFailure(w, failure)
-		return
+		return failure
 	}
 	body, failure := e.readBody(w, r)
 	if failure != nil {
-		writeFailure(w, failure)
-		return
+		return failure
 	}
 	q := binding.Request{Target: k.Target(), Terms: c.terms(k), GiveUp: k.GiveUp, RetryPermill: k.RetryPermill}
 	a, done, failure := e.submit(r, c, k, q, serviceStart(r, path, body))
 	if failure != nil {
-		writeFailure(w, failure)
-		return
+		return failure
 	}
 	defer done()
 	writeService(w, r, a)
+	return nil
 }
 
 // serviceClass finds the class: named by the header, else by its match.
