--- a/internal/testing/deployment/deployment.go
+++ b/internal/testing/deployment/deployment.go
@@ -39,7 +39,6 @@
 	cancel    context.CancelFunc
 	authority *keys.Authority
 	mu        sync.Mutex
-	members   []kv.Member
 	agents    map[string]*Agent
 	entries   map[string]*Entry
 	servers   []*http.Server
@@ -177,7 +176,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.agents[o.Name] = a
-	d.setMember(kv.Member{Name: o.Name, Role: kv.Agent, Address: l.Address(), DataCentre: o.DataCentre})
+	d.Store.SetMember(kv.Member{Name: o.Name, Role: kv.Agent, Address: l.Address(), DataCentre: o.DataCentre})
 	return a, nil
 }
 
@@ -203,32 +202,10 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	delete(d.agents, name)
-	d.removeMember(name)
+	d.Store.DropMember(name)
 	return err
 }
 
-// setMember adds or replaces a member. The lock is held.
-func (d *Deployment) setMember(m kv.Member) {
-	d.dropMember(m.Name)
-	d.members = append(d.members, m)
-	d.Store.SetMembers(d.members)
-}
-
-func (d *Deployment) removeMember(name string) {
-	d.dropMember(name)
-	d.Store.SetMembers(d.members)
-}
-
-func (d *Deployment) dropMember(name string) {
-	var kept []kv.Member
-	for _, m := range d.members {
-		if m.Name != name {
-			kept = append(kept, m)
-		}
-	}
-	d.members = kept
-}
-
 // AddEntry starts an entry.
 func (d *Deployment) AddEntry(name, dataCentre string) (*Entry, error) {
 	pair, err := d.authority.Issue(name, time.Now(), certLife)
@@ -270,7 +247,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.entries[name] = e
-	d.setMember(kv.Member{Name: name, Role: kv.Entry, Address: e.URL, DataCentre: dataCentre})
+	d.Store.SetMember(kv.Member{Name: name, Role: kv.Entry, Address: e.URL, DataCentre: dataCentre})
 	return e, nil
 }
 
@@ -295,7 +272,7 @@
 	defer d.mu.Unlock()
 	d.entries[name].kill()
 	delete(d.entries, name)
-	d.removeMember(name)
+	d.Store.DropMember(name)
 }
 
 // StopEntry stops an entry cleanly and takes it off the list.
--- a/internal/testing/simulation/simulation.go
+++ b/internal/testing/simulation/simulation.go
@@ -42,7 +42,6 @@
 	cancel  context.CancelFunc
 	agents  map[string]*Agent
 	entries []*Entry
-	members []kv.Member
 	changes int
 	starts  int // of agents
 }
@@ -138,7 +137,7 @@
 	t.Recorder.Add(history.Joined{Endpoint: o.Name, At: time.Now()})
 	go func() { _ = a.Serve(ctx, a.listener) }() // ends with the simulation
 	t.agents[o.Name] = a
-	t.setMember(kv.Member{Name: o.Name, Role: kv.Agent, Address: o.Name})
+	t.Store.SetMember(kv.Member{Name: o.Name, Role: kv.Agent, Address: o.Name})
 	return a
 }
 
@@ -159,25 +158,6 @@
 	return id
 }
 
-// setMember adds or replaces a member. The lock is held.
-func (t *Simulation) setMember(m kv.Member) {
-	t.dropMember(m.Name)
-	t.members = append(t.members, m)
-	t.Store.SetMembers(t.members)
-}
-
-// dropMember takes a member off the list. The lock is held.
-func (t *Simulation) dropMember(name string) {
-	var kept []kv.Member
-	for _, m := range t.members {
-		if m.Name != name {
-			kept = append(kept, m)
-		}
-	}
-	t.members = kept
-	t.Store.SetMembers(kept)
-}
-
 // KillEntry ends an entry at once; its callers see broken connections. The list
 // lags behind.
 func (t *Simulation) KillEntry(e *Entry) {
@@ -185,9 +165,7 @@
 	t.entries = slices.DeleteFunc(t.entries, func(o *Entry) bool { return o == e })
 	t.mu.Unlock()
 	e.cancel()
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.dropMember(e.Name)
+	t.Store.DropMember(e.Name)
 }
 
 // listLag is how late the member list shows a change.
@@ -207,7 +185,7 @@
 func (t *Simulation) StopEntry(ctx context.Context, e *Entry) error {
 	t.mu.Lock()
 	t.entries = slices.DeleteFunc(t.entries, func(o *Entry) bool { return o == e })
-	t.dropMember(e.Name)
+	t.Store.DropMember(e.Name)
 	t.mu.Unlock()
 	err := e.Drain(ctx)
 	e.cancel()
@@ -256,7 +234,7 @@
 	go batcher.Run(ctx)
 	go e.Run(ctx)
 	t.entries = append(t.entries, e)
-	t.setMember(kv.Member{Name: name, Role: kv.Entry, Address: name})
+	t.Store.SetMember(kv.Member{Name: name, Role: kv.Entry, Address: name})
 	return e
 }
 
@@ -278,18 +256,14 @@
 	t.Recorder.Add(history.Left{Endpoint: a.Name, At: time.Now()})
 	err := a.Agent.Stop(ctx)
 	t.Kill(a)
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.dropMember(a.Name)
+	t.Store.DropMember(a.Name)
 	return err
 }
 
 // MarkLeaving makes only the list say that an agent leaves.
 func (t *Simulation) MarkLeaving(a *Agent) {
 	t.Recorder.Add(history.Left{Endpoint: a.Name, At: time.Now()})
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.setMember(kv.Member{Name: a.Name, Role: kv.Agent, Address: a.Name, Leaving: true})
+	t.Store.SetMember(kv.Member{Name: a.Name, Role: kv.Agent, Address: a.Name, Leaving: true})
 }
 
 // Mark returns the text by which the executions of a request are known.
--- a/internal/testing/standin/store.go
+++ b/internal/testing/standin/store.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"foxcross.dev/foxcross/internal/relay/kv"
+	"foxcross.dev/foxcross/internal/storeerr"
 )
 
 // MostValue is the largest value in bytes that the store takes.
@@ -42,9 +43,10 @@
 	waiters  map[string][]chan struct{}
 	faults   Faults
 	calls    Calls
-	members  []kv.Member
-	lists    int // set so far
-	shown    int // number of the list that is visible
+	newest   []kv.Member // as last set
+	members  []kv.Member // as shown
+	lists    int         // set so far
+	shown    int         // number of the list that is visible
 }
 
 type stored struct {
@@ -76,9 +78,34 @@
 func (s *Store) SetMembers(m []kv.Member) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
+	s.list(slices.Clone(m))
+}
+
+// SetMember adds a member or replaces the one of its name, after the list's lag.
+func (s *Store) SetMember(m kv.Member) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.list(append(s.without(m.Name), m))
+}
+
+// DropMember takes a member off the list, after its lag.
+func (s *Store) DropMember(name string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.list(s.without(name))
+}
+
+// without returns a copy of the newest list that lacks a member. The store is
+// locked.
+func (s *Store) without(name string) []kv.Member {
+	return slices.DeleteFunc(slices.Clone(s.newest), func(m kv.Member) bool { return m.Name == name })
+}
+
+// list makes a list the newest one. The store is locked.
+func (s *Store) list(next []kv.Member) {
 	s.lists++
 	number := s.lists
-	next := slices.Clone(m)
+	s.newest = next
 	if s.ListLag <= 0 {
 		s.members = next
 		return
@@ -104,7 +131,7 @@
 	s.calls.Lists++
 	switch {
 	case s.faults.ListDown:
-		return nil, kv.ErrUnavailable
+		return nil, storeerr.ErrUnavailable
 	case s.faults.ListEmpty:
 		return nil, nil
 	default:
@@ -124,11 +151,11 @@
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
-			return kv.ErrUnavailable
+			return storeerr.ErrUnavailable
 		}
 	}
 	if f.Down {
-		return kv.ErrUnavailable
+		return storeerr.ErrUnavailable
 	}
 	return nil
 }
@@ -159,7 +186,7 @@
 	defer s.mu.Unlock()
 	v, ok := s.look(key)
 	if !ok {
-		return kv.Value{}, kv.ErrNotFound
+		return kv.Value{}, storeerr.ErrNotFound
 	}
 	return v.Value, nil
 }
@@ -197,7 +224,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if l, ok := s.leases[under]; under != 0 && (!ok || l.until.Before(s.now())) {
-		return 0, kv.ErrNotFound
+		return 0, storeerr.ErrNotFound
 	}
 	if v, _ := s.look(key); v.Revision != revision {
 		return 0, kv.ErrConflict
@@ -231,7 +258,7 @@
 		s.waiters[key] = append(s.waiters[key], woken)
 		s.mu.Unlock()
 		if down {
-			return kv.Value{}, kv.ErrUnavailable
+			return kv.Value{}, storeerr.ErrUnavailable
 		}
 		if ok && v.Revision > after {
 			return v.Value, nil
@@ -281,7 +308,7 @@
 	defer s.mu.Unlock()
 	l, ok := s.leases[id]
 	if !ok || l.until.Before(s.now()) {
-		return kv.ErrNotFound
+		return storeerr.ErrNotFound
 	}
 	l.until = s.now().Add(l.life)
 	s.leases[id] = l
