--- a/internal/direct/directory/directory_test.go
+++ b/internal/direct/directory/directory_test.go
@@ -12,6 +12,7 @@
 	"foxcross.dev/coord/settings"
 	"foxcross.dev/foxcross/internal/direct/directory"
 	"foxcross.dev/foxcross/internal/direct/driver"
+	"foxcross.dev/foxcross/internal/storeerr"
 )
 
 // source is a store whose answers the test sets.
@@ -37,7 +38,7 @@
 		return driver.Settings{}, errDown
 	}
 	if s.version == 0 {
-		return driver.Settings{}, driver.ErrNotFound
+		return driver.Settings{}, storeerr.ErrNotFound
 	}
 	return driver.Settings{Version: s.version, Tree: tree()}, nil
 }
--- a/internal/direct/directory/follow.go
+++ b/internal/direct/directory/follow.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"foxcross.dev/foxcross/internal/direct/driver"
+	"foxcross.dev/foxcross/internal/storeerr"
 
 	"github.com/cenkalti/backoff/v5"
 )
@@ -66,7 +67,7 @@
 		return err
 	}
 	read, err := f.source.ReadSettings(ctx)
-	if err != nil && !errors.Is(err, driver.ErrNotFound) {
+	if err != nil && !errors.Is(err, storeerr.ErrNotFound) {
 		return err
 	}
 	f.directory.answered()
--- a/internal/direct/driver/driver.go
+++ b/internal/direct/driver/driver.go
@@ -16,15 +16,10 @@
 	"foxcross.dev/foxcross/internal/kernel"
 )
 
-// Errors of a source.
-var (
-	// ErrHistoryGone means that changes since the revision can't be told; read anew.
-	ErrHistoryGone = errors.New("driver: the history since the revision is gone")
-	// ErrUnavailable means that the source doesn't answer or turns us away.
-	ErrUnavailable = errors.New("driver: the source is not available")
-	// ErrNotFound means that the source holds no such thing yet.
-	ErrNotFound = errors.New("driver: the source holds no such thing")
-)
+// ErrHistoryGone means that the store no longer knows the changes since a
+// revision: all has to be read anew. The other errors of a Source are those of
+// package storeerr.
+var ErrHistoryGone = errors.New("driver: the history since the revision is gone")
 
 // Process is the place of one process.
 type Process struct {
--- a/internal/relay/claims/partition.go
+++ b/internal/relay/claims/partition.go
@@ -9,6 +9,7 @@
 
 	"foxcross.dev/coord/claim"
 	"foxcross.dev/foxcross/internal/relay/kv"
+	"foxcross.dev/foxcross/internal/storeerr"
 
 	"github.com/fxamacker/cbor/v2"
 )
@@ -173,7 +174,7 @@
 		return nil
 	}
 	v, err := p.options.KeyValue.Get(ctx, p.headKey())
-	if errors.Is(err, kv.ErrNotFound) {
+	if errors.Is(err, storeerr.ErrNotFound) {
 		v, err = kv.Value{}, nil
 	}
 	if err != nil {
--- a/internal/relay/kv/httpkv/client.go
+++ b/internal/relay/kv/httpkv/client.go
@@ -19,6 +19,7 @@
 	"time"
 
 	"foxcross.dev/foxcross/internal/relay/kv"
+	"foxcross.dev/foxcross/internal/storeerr"
 )
 
 // The protocol's paths and field.
@@ -77,7 +78,7 @@
 	response, err := c.http.Do(request)
 	var dial *net.OpError
 	if errors.As(err, &dial) && dial.Op == "dial" {
-		return answer{}, fmt.Errorf("%w: %v", kv.ErrUnavailable, err)
+		return answer{}, fmt.Errorf("%w: %v", storeerr.ErrUnavailable, err)
 	}
 	if err != nil {
 		return answer{}, err
@@ -96,11 +97,11 @@
 	case http.StatusOK, http.StatusNoContent:
 		return nil
 	case http.StatusNotFound:
-		return kv.ErrNotFound
+		return storeerr.ErrNotFound
 	case http.StatusConflict:
 		return kv.ErrConflict
 	case http.StatusServiceUnavailable:
-		return kv.ErrUnavailable
+		return storeerr.ErrUnavailable
 	default:
 		return fmt.Errorf("httpkv: status %d", status)
 	}
--- a/internal/relay/kv/kv.go
+++ b/internal/relay/kv/kv.go
@@ -10,13 +10,10 @@
 	"foxcross.dev/foxcross/internal/kernel"
 )
 
-// Errors of a key-value service. Any other error of a swap means that its
-// outcome is not known.
-var (
-	ErrNotFound    = errors.New("kv: no such key")
-	ErrConflict    = errors.New("kv: the value has changed")
-	ErrUnavailable = errors.New("kv: the service does not answer")
-)
+// ErrConflict means that the value has changed since the revision that a swap
+// names. The other errors are those of package storeerr. Any other error of a swap
+// means that its outcome is not known.
+var ErrConflict = errors.New("kv: the value has changed")
 
 // Value is a stored value and its revision, which rises with each change.
 type Value struct {
@@ -26,18 +23,18 @@
 
 // KeyValue is the platform's key-value service.
 type KeyValue interface {
-	// Get returns ErrNotFound where there is no value.
+	// Get returns storeerr.ErrNotFound where there is no value.
 	Get(ctx context.Context, key string) (Value, error)
 	// List returns the keys with the prefix.
 	List(ctx context.Context, prefix string) ([]string, error)
 	// Swap stores data if the value still has the revision, 0 for no value. It
-	// returns ErrConflict if not; ErrUnavailable only if nothing was stored.
+	// returns ErrConflict if not; storeerr.ErrUnavailable only if nothing was stored.
 	Swap(ctx context.Context, key string, data []byte, revision uint64) (uint64, error)
 	// Watch waits until the value has a later revision.
 	Watch(ctx context.Context, key string, after uint64) (Value, error)
 	// Grant opens a lease; values swapped in under it go when it lapses.
 	Grant(ctx context.Context, life time.Duration) (lease uint64, err error)
-	// Renew prolongs a lease; ErrNotFound when it has lapsed.
+	// Renew prolongs a lease; storeerr.ErrNotFound when it has lapsed.
 	Renew(ctx context.Context, lease uint64) error
 	// SwapLeased is Swap under a lease.
 	SwapLeased(ctx context.Context, key string, data []byte, revision, lease uint64) (uint64, error)
--- a/internal/relay/versions/store.go
+++ b/internal/relay/versions/store.go
@@ -11,6 +11,7 @@
 	"foxcross.dev/coord/result"
 	"foxcross.dev/coord/settings"
 	"foxcross.dev/foxcross/internal/relay/kv"
+	"foxcross.dev/foxcross/internal/storeerr"
 
 	"github.com/cenkalti/backoff/v5"
 )
@@ -44,7 +45,7 @@
 // root for a watch.
 func (s *Store) Load(ctx context.Context) (uint64, error) {
 	v, err := s.KeyValue.Get(ctx, rootKey)
-	if errors.Is(err, kv.ErrNotFound) {
+	if errors.Is(err, storeerr.ErrNotFound) {
 		return 0, nil
 	}
 	if err != nil {
@@ -168,7 +169,7 @@
 // newest returns the stored version and the revision of its root.
 func (s *Store) newest(ctx context.Context) (State, uint64, error) {
 	v, err := s.KeyValue.Get(ctx, rootKey)
-	if errors.Is(err, kv.ErrNotFound) {
+	if errors.Is(err, storeerr.ErrNotFound) {
 		return State{}, 0, nil
 	}
 	if err != nil {
@@ -212,7 +213,7 @@
 // RootAt returns the root of a version.
 func (s *Store) RootAt(ctx context.Context, version uint64) (settings.Root, error) {
 	v, err := s.KeyValue.Get(ctx, rootKey)
-	if err != nil && !errors.Is(err, kv.ErrNotFound) {
+	if err != nil && !errors.Is(err, storeerr.ErrNotFound) {
 		return settings.Root{}, unavailable(err)
 	}
 	if err == nil {
@@ -222,7 +223,7 @@
 		}
 	}
 	v, err = s.KeyValue.Get(ctx, versionKey+strconv.FormatUint(version, 10))
-	if errors.Is(err, kv.ErrNotFound) {
+	if errors.Is(err, storeerr.ErrNotFound) {
 		return settings.Root{}, result.Errorf(result.SettingsVersion, "there is no version %d", version)
 	}
 	if err != nil {
@@ -308,7 +309,7 @@
 // settle finds out whether a swap that returned an error took effect. It looks
 // for the change's own id in the root in force and those before it.
 func (s *Store) settle(ctx context.Context, r settings.Root, cause error) error {
-	if errors.Is(cause, kv.ErrConflict) || errors.Is(cause, kv.ErrUnavailable) {
+	if errors.Is(cause, kv.ErrConflict) || errors.Is(cause, storeerr.ErrUnavailable) {
 		return storeError(cause)
 	}
 	wait := backoff.NewExponentialBackOff()
@@ -331,7 +332,7 @@
 }
 
 func storeError(cause error) error {
-	if errors.Is(cause, kv.ErrUnavailable) {
+	if errors.Is(cause, storeerr.ErrUnavailable) {
 		return unavailable(cause)
 	}
 	return cause
--- a/internal/testing/standin/standin_test.go
+++ b/internal/testing/standin/standin_test.go
@@ -15,6 +15,7 @@
 	"foxcross.dev/foxcross/internal/relay/endpoint"
 	"foxcross.dev/foxcross/internal/relay/kv"
 	"foxcross.dev/foxcross/internal/relay/kv/httpkv"
+	"foxcross.dev/foxcross/internal/storeerr"
 	"foxcross.dev/foxcross/internal/testing/standin"
 )
 
@@ -96,7 +97,7 @@
 		t.Fatal(err)
 	}
 	ctx := context.Background()
-	if _, err := p.Get(ctx, "a/b"); err != kv.ErrNotFound {
+	if _, err := p.Get(ctx, "a/b"); err != storeerr.ErrNotFound {
 		t.Errorf("no value: %v", err)
 	}
 	revision, err := p.Swap(ctx, "a/b", []byte("1"), 0)
@@ -107,7 +108,7 @@
 		t.Errorf("old revision: %v", err)
 	}
 	store.SetFaults(standin.Faults{LoseSwaps: 1})
-	if _, err := p.Swap(ctx, "a/b", []byte("2"), revision); err == nil || err == kv.ErrConflict || err == kv.ErrUnavailable {
+	if _, err := p.Swap(ctx, "a/b", []byte("2"), revision); err == nil || err == kv.ErrConflict || err == storeerr.ErrUnavailable {
 		t.Errorf("a lost answer must leave the outcome open: %v", err)
 	}
 	v, err := p.Get(ctx, "a/b")
@@ -115,7 +116,7 @@
 		t.Errorf("after a lost answer: %q, %v", v.Data, err)
 	}
 	store.SetFaults(standin.Faults{Down: true})
-	if _, err := p.Swap(ctx, "a/b", []byte("3"), v.Revision); err != kv.ErrUnavailable {
+	if _, err := p.Swap(ctx, "a/b", []byte("3"), v.Revision); err != storeerr.ErrUnavailable {
 		t.Errorf("down: %v", err)
 	}
 	store.SetFaults(standin.Faults{})
@@ -140,7 +141,7 @@
 	if p, err = httpkv.New(server.URL); err != nil { // a fresh one has no connection left over
 		t.Fatal(err)
 	}
-	if _, err := p.Swap(ctx, "a/b", []byte("5"), 0); !errors.Is(err, kv.ErrUnavailable) {
+	if _, err := p.Swap(ctx, "a/b", []byte("5"), 0); !errors.Is(err, storeerr.ErrUnavailable) {
 		t.Errorf("no server: %v", err)
 	}
 }
@@ -166,10 +167,10 @@
 			t.Errorf("a renewed lease: %v", err)
 		}
 		time.Sleep(time.Second)
-		if _, err := store.Get(ctx, "k"); err != kv.ErrNotFound {
+		if _, err := store.Get(ctx, "k"); err != storeerr.ErrNotFound {
 			t.Errorf("a lapsed lease: %v", err)
 		}
-		if _, err := store.SwapLeased(ctx, "k", []byte("v"), 0, lease); err != kv.ErrNotFound {
+		if _, err := store.SwapLeased(ctx, "k", []byte("v"), 0, lease); err != storeerr.ErrNotFound {
 			t.Errorf("a write under a lapsed lease: %v", err)
 		}
 	})
--- a/internal/testing/standin/storehttp.go
+++ b/internal/testing/standin/storehttp.go
@@ -11,6 +11,7 @@
 
 	"foxcross.dev/foxcross/internal/relay/kv"
 	"foxcross.dev/foxcross/internal/relay/kv/httpkv"
+	"foxcross.dev/foxcross/internal/storeerr"
 
 	"github.com/alexedwards/flow"
 )
@@ -133,7 +134,7 @@
 	switch {
 	case errors.Is(err, errLost):
 		panic(http.ErrAbortHandler)
-	case errors.Is(err, kv.ErrNotFound):
+	case errors.Is(err, storeerr.ErrNotFound):
 		w.WriteHeader(http.StatusNotFound)
 	case errors.Is(err, kv.ErrConflict):
 		w.WriteHeader(http.StatusConflict)
