--- a/coord/affinity/affinity.go
+++ b/coord/affinity/affinity.go
@@ -24,8 +24,8 @@
 	var previous [8]byte
 	for b := range count {
 		d := xxhash.New()
-		_, _ = d.Write(previous[:]) // xxhash never fails
-		_, _ = d.Write(prompt[b*blockBytes : (b+1)*blockBytes])
+		_, _ = d.Write(previous[:])                             // xxhash never fails
+		_, _ = d.Write(prompt[b*blockBytes : (b+1)*blockBytes]) // the same
 		sum := d.Sum64()
 		binary.LittleEndian.PutUint64(previous[:], sum)
 		chain = append(chain, sum)
--- a/examples/local/measure.go
+++ b/examples/local/measure.go
@@ -122,12 +122,12 @@
 func (d *user) print(tallies []tally, took time.Duration) {
 	fmt.Printf("%s: %d engines, %d services, 2 entries, %.1f s\n", d.name, len(d.engines), len(d.services), took.Seconds())
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
-	_, _ = fmt.Fprintln(w, "class\tsent\tok\tattained\tfirst p50 ms\tfirst p95 ms\ttokens/s\t")
+	_, _ = fmt.Fprintln(w, "class\tsent\tok\tattained\tfirst p50 ms\tfirst p95 ms\ttokens/s\t") // to standard output
 	delivered := 0
 	for n, k := range d.mix {
 		t := tallies[n]
 		delivered += t.tokens
-		_, _ = fmt.Fprintf(w, "%s\t%d\t%d\t%.3f\t%.0f\t%.0f\t%.0f\t\n", k.class, t.sent, t.ok,
+		_, _ = fmt.Fprintf(w, "%s\t%d\t%d\t%.3f\t%.0f\t%.0f\t%.0f\t\n", k.class, t.sent, t.ok, // to standard output
 			float64(t.attained)/float64(max(1, t.sent)),
 			caller.Quantile(t.firsts, 0.5).Seconds()*1000, caller.Quantile(t.firsts, 0.95).Seconds()*1000,
 			float64(t.tokens)/took.Seconds())
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -37,13 +37,13 @@
 	}
 	var f *flags.Error
 	if !errors.As(err, &f) {
-		_, _ = fmt.Fprintln(failures, "foxcross:", err)
+		_, _ = fmt.Fprintln(failures, "foxcross:", err) // there is nowhere else to say it
 		return ExitFailed
 	}
 	if f.Type == flags.ErrHelp {
-		_, _ = fmt.Fprintln(out, f.Message)
+		_, _ = fmt.Fprintln(out, f.Message) // there is nowhere else to say it
 		return ExitOK
 	}
-	_, _ = fmt.Fprintln(failures, f.Message)
+	_, _ = fmt.Fprintln(failures, f.Message) // there is nowhere else to say it
 	return ExitUsage
 }
--- a/internal/command/entry.go
+++ b/internal/command/entry.go
@@ -51,7 +51,7 @@
 		if err != nil {
 			return result.Errorf(result.FileUnreadable, "%v", err)
 		}
-		defer func() { _ = f.Close() }()
+		defer func() { _ = f.Close() }() // it was only read
 		log = f
 	}
 	found, err := explain.Story(output, log, c.Of.Request)
--- a/internal/direct/explain/explain.go
+++ b/internal/direct/explain/explain.go
@@ -67,14 +67,18 @@
 	if err := scanner.Err(); err != nil {
 		return false, fmt.Errorf("explain: %w", err)
 	}
+	var story strings.Builder
 	for _, l := range found {
-		l.tell(w)
+		l.tell(&story)
 		for _, c := range context {
 			if off := c.At.Sub(l.At); off >= -around-l.total() && off <= 0 {
-				_, _ = fmt.Fprintf(w, "  %8.3f s  %s\n", off.Seconds(), c.raw)
+				fmt.Fprintf(&story, "  %8.3f s  %s\n", off.Seconds(), c.raw)
 			}
 		}
 	}
+	if _, err := io.WriteString(w, story.String()); err != nil {
+		return false, fmt.Errorf("explain: %w", err)
+	}
 	return len(found) > 0, nil
 }
 
@@ -91,26 +95,25 @@
 
 func (l line) total() time.Duration { return time.Duration(l.Fields.TotalMS) * time.Millisecond }
 
-// tell writes the request's own line in words. The writer's errors are its
-// owner's.
-func (l line) tell(w io.Writer) {
+// tell writes the request's own line in words.
+func (l line) tell(w *strings.Builder) {
 	f := l.Fields
 	e := f.Code.Entry()
-	_, _ = fmt.Fprintf(w, "request %s ended with %s: %s\n", f.Request, f.Code, e.Text)
+	fmt.Fprintf(w, "request %s ended with %s: %s\n", f.Request, f.Code, e.Text)
 	if f.Reason != "" {
-		_, _ = fmt.Fprintf(w, "  reason: %s; run: %s\n", f.Reason, f.Run)
+		fmt.Fprintf(w, "  reason: %s; run: %s\n", f.Reason, f.Run)
 	}
-	_, _ = fmt.Fprintf(w, "  class %s, team %s, service %s, priority %d, %d ms in all", f.Class, f.Team, f.Service, f.Priority, f.TotalMS)
+	fmt.Fprintf(w, "  class %s, team %s, service %s, priority %d, %d ms in all", f.Class, f.Team, f.Service, f.Priority, f.TotalMS)
 	if f.FirstMS != nil {
-		_, _ = fmt.Fprintf(w, ", first event after %d ms, longest pause %d ms", *f.FirstMS, f.PauseMS)
+		fmt.Fprintf(w, ", first event after %d ms, longest pause %d ms", *f.FirstMS, f.PauseMS)
 	}
-	_, _ = fmt.Fprintln(w)
+	fmt.Fprintln(w)
 	for n, s := range f.Sends {
-		_, _ = fmt.Fprintf(w, "  send %d to %s: %s\n", n+1, s.Endpoint, s.Outcome)
-		_, _ = fmt.Fprintf(w, "    expected: %.0f ms of waiting, first event after %.0f ms, %d tokens to read, slowness %.2f\n",
+		fmt.Fprintf(w, "  send %d to %s: %s\n", n+1, s.Endpoint, s.Outcome)
+		fmt.Fprintf(w, "    expected: %.0f ms of waiting, first event after %.0f ms, %d tokens to read, slowness %.2f\n",
 			s.WaitMS, s.FirstMS, s.Uncached, s.Factor)
 		t := s.Terms
-		_, _ = fmt.Fprintf(w, "    cost %.2f = late %.2f + harm %.2f + again %.2f + crowding %.2f + pool %.2f + trouble %.2f + distance %.2f\n",
+		fmt.Fprintf(w, "    cost %.2f = late %.2f + harm %.2f + again %.2f + crowding %.2f + pool %.2f + trouble %.2f + distance %.2f\n",
 			s.Cost, t.Late, t.Harm, t.Again, t.Crowding, t.Pool, t.Trouble, t.Distance)
 	}
 }
--- a/internal/direct/peers/group.go
+++ b/internal/direct/peers/group.go
@@ -131,7 +131,7 @@
 // Run sends and receives until ctx is done.
 func (g *Group) Run(ctx context.Context) {
 	go g.receive()
-	defer func() { _ = g.socket.Close() }()
+	defer func() { _ = g.socket.Close() }() // nothing is sent any more
 	heartbeats := time.NewTicker(heartbeatEvery)
 	defer heartbeats.Stop()
 	changes := time.NewTicker(changesEvery)
--- a/internal/direct/upstream/exchange.go
+++ b/internal/direct/upstream/exchange.go
@@ -71,7 +71,7 @@
 			return nil, err
 		}
 	}
-	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Unix(1, 0)) })
+	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Unix(1, 0)) }) // a closed connection needs none
 	w := c.send(r)
 	a, err := c.receive(names, r)
 	if err != nil {
--- a/internal/logs/async.go
+++ b/internal/logs/async.go
@@ -40,7 +40,7 @@
 	for line := range a.lines {
 		_, _ = w.Write(line) // there is nowhere to report it
 		if n := a.left.Swap(0); n > 0 {
-			_, _ = fmt.Fprintf(w, "{\"message\":\"logs: Lines were left out.\",\"lines\":%d}\n", n)
+			_, _ = fmt.Fprintf(w, "{\"message\":\"logs: Lines were left out.\",\"lines\":%d}\n", n) // there is nowhere to report it
 		}
 	}
 }
--- a/internal/process/agent.go
+++ b/internal/process/agent.go
@@ -31,7 +31,7 @@
 		return err
 	}
 	scope, served, closer := metrics.New("agent")
-	defer func() { _ = closer.Close() }()
+	defer func() { _ = closer.Close() }() // the process ends
 	a := agent.New(agent.Options{
 		Name:       c.Name,
 		DataCentre: c.DataCentre,
@@ -53,7 +53,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = operators.Close() }()
+	defer func() { _ = operators.Close() }() // the process ends
 	first, second := stopSignals()
 	dumpOnSignal(second, dump)
 	return serveAgent(a, l, first, second, config.Milliseconds(c.StopTimeoutMS, config.DefaultStopTimeout))
--- a/internal/process/entry.go
+++ b/internal/process/entry.go
@@ -43,7 +43,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = dialer.Close() }()
+	defer func() { _ = dialer.Close() }() // the process ends
 	factory, err := kv.Drivers.Get(c.Platform.Driver)
 	if err != nil {
 		return err
@@ -53,7 +53,7 @@
 		return err
 	}
 	scope, served, closer := metrics.New("entry")
-	defer func() { _ = closer.Close() }()
+	defer func() { _ = closer.Close() }() // the process ends
 	store := &versions.Store{KeyValue: p, Holder: &versions.Holder{}, Now: time.Now, NewID: newID}
 	var e *entry.Entry
 	batcher := claims.New(claimOptions(c, p, func() int { return e.Entries() }))
@@ -85,7 +85,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = operators.Close() }()
+	defer func() { _ = operators.Close() }() // the process ends
 	callers, err := listen(c.Listen, e.Handler())
 	if err != nil {
 		return err
--- a/internal/process/gateway.go
+++ b/internal/process/gateway.go
@@ -47,7 +47,7 @@
 		return err
 	}
 	scope, served, closer := metrics.New("entry")
-	defer func() { _ = closer.Close() }()
+	defer func() { _ = closer.Close() }() // the process ends
 	g := gateway.New(gateway.Options{
 		Process: place,
 		Driver:  platform,
--- a/internal/relay/agent/owner.go
+++ b/internal/relay/agent/owner.go
@@ -156,7 +156,7 @@
 		if a.options.Versions != nil {
 			_ = st.Send(a.options.Versions.Reply(m)) // a lost reply is asked for again
 		}
-		_ = st.CloseSend()
+		_ = st.CloseSend() // the peer may be gone
 	default:
 		st.Reset()
 	}
--- a/internal/relay/agent/run.go
+++ b/internal/relay/agent/run.go
@@ -119,7 +119,7 @@
 		r.stream.Reset()
 		return
 	}
-	_ = r.stream.CloseSend()
+	_ = r.stream.CloseSend() // the peer may be gone
 }
 
 // Head sends the head of a service's answer.
--- a/internal/relay/link/quic.go
+++ b/internal/relay/link/quic.go
@@ -68,7 +68,7 @@
 		control, err := conn.AcceptStream(wait)
 		cancel()
 		if err != nil {
-			_ = conn.CloseWithError(closeNormal, "no control stream")
+			_ = conn.CloseWithError(closeNormal, "no control stream") // it is given up
 			continue
 		}
 		return &quicSession{conn: conn, control: newQUICStream(control)}, nil
@@ -109,7 +109,7 @@
 	}
 	control, err := conn.OpenStreamSync(ctx)
 	if err != nil {
-		_ = conn.CloseWithError(closeNormal, "no control stream")
+		_ = conn.CloseWithError(closeNormal, "no control stream") // it is given up
 		return nil, fmt.Errorf("link: control stream to %s: %w", address, err)
 	}
 	return &quicSession{conn: conn, control: newQUICStream(control)}, nil
@@ -118,7 +118,7 @@
 // Close ends all connections of the dialer.
 func (d *QUICDialer) Close() error {
 	err := d.transport.Close()
-	_ = d.transport.Conn.Close()
+	_ = d.transport.Conn.Close() // the transport has used it last
 	return err
 }
 
@@ -152,7 +152,7 @@
 }
 
 func (s *quicSession) Done() <-chan struct{} { return s.conn.Context().Done() }
-func (s *quicSession) Close()                { _ = s.conn.CloseWithError(closeNormal, "") }
+func (s *quicSession) Close()                { _ = s.conn.CloseWithError(closeNormal, "") } // it may be closed already
 
 type quicStream struct {
 	stream  *quic.Stream
--- a/internal/relay/link/settings.go
+++ b/internal/relay/link/settings.go
@@ -39,5 +39,5 @@
 		return
 	}
 	_ = st.Send(reply(q)) // a lost reply is asked for again
-	_ = st.CloseSend()
+	_ = st.CloseSend()    // the peer may be gone
 }
--- a/internal/testing/caller/direct.go
+++ b/internal/testing/caller/direct.go
@@ -27,17 +27,17 @@
 			if p := recover(); p != nil && p != http.ErrAbortHandler {
 				panic(p)
 			} else if p != nil {
-				_ = writer.CloseWithError(io.ErrUnexpectedEOF)
+				_ = writer.CloseWithError(io.ErrUnexpectedEOF) // always nil
 			}
 			w.WriteHeader(http.StatusOK)
-			_ = writer.Close()
+			_ = writer.Close() // always nil
 		}()
 		d.handler.ServeHTTP(w, r.WithContext(ctx))
 	}()
 	select {
 	case <-w.begun:
 	case <-ctx.Done():
-		_ = reader.Close()
+		_ = reader.Close() // always nil
 		return nil, ctx.Err()
 	}
 	return &http.Response{
--- a/internal/testing/deployment/deployment.go
+++ b/internal/testing/deployment/deployment.go
@@ -84,7 +84,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, s := range d.servers {
-		_ = s.Close()
+		_ = s.Close() // it is ended, however it is
 	}
 	for _, e := range d.entries {
 		e.kill()
@@ -182,7 +182,7 @@
 
 func (a *Agent) kill() {
 	a.cancel()
-	_ = a.listener.Close()
+	_ = a.listener.Close() // it is ended, however it is
 }
 
 // KillAgent ends an agent at once. The list still names it.
@@ -262,8 +262,8 @@
 
 func (e *Entry) kill() {
 	e.cancel()
-	_ = e.server.Close()
-	_ = e.dialer.Close()
+	_ = e.server.Close() // it is ended, however it is
+	_ = e.dialer.Close() // it is ended, however it is
 }
 
 // KillEntry ends an entry at once.
--- a/internal/testing/simulation/simulation.go
+++ b/internal/testing/simulation/simulation.go
@@ -88,7 +88,7 @@
 func (t *Simulation) Close() {
 	t.cancel()
 	for _, a := range t.Agents() {
-		_ = a.listener.Close()
+		_ = a.listener.Close() // always nil
 		t.Network.Cut(a.Name)
 	}
 }
@@ -241,7 +241,7 @@
 // Kill ends an agent at once.
 func (t *Simulation) Kill(a *Agent) {
 	a.cancel()
-	_ = a.listener.Close()
+	_ = a.listener.Close() // always nil
 	t.Network.Cut(a.Name)
 }
 
--- a/internal/testing/soak/caller.go
+++ b/internal/testing/soak/caller.go
@@ -68,7 +68,7 @@
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true}}
 	if a, err := client.Do(q); err == nil {
 		data, err := io.ReadAll(a.Body)
-		_ = a.Body.Close()
+		_ = a.Body.Close() // it was read or broke off
 		s.status = a.StatusCode
 		s.seal = a.Header.Get(platformtest.SealField)
 		s.body = string(data)
--- a/internal/testing/soak/entry.go
+++ b/internal/testing/soak/entry.go
@@ -143,7 +143,7 @@
 		e.awaitEnd(time.Second)
 	}
 	if e.log != nil {
-		_ = e.log.Close()
+		_ = e.log.Close() // the run is over
 	}
 }
 
--- a/internal/testing/standin/platformtest/runner.go
+++ b/internal/testing/standin/platformtest/runner.go
@@ -163,11 +163,11 @@
 
 // Close ends the runner and its connections.
 func (r *Runner) Close() {
-	_ = r.listener.Close()
+	_ = r.listener.Close() // the stand-in is over
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for c := range r.conns {
-		_ = c.Close()
+		_ = c.Close() // the stand-in is over
 	}
 }
 
@@ -187,7 +187,7 @@
 
 func (r *Runner) serve(c net.Conn) {
 	defer func() {
-		_ = c.Close()
+		_ = c.Close() // the stand-in is over
 		r.mu.Lock()
 		delete(r.conns, c)
 		r.mu.Unlock()
@@ -251,14 +251,14 @@
 func (r *Runner) answer(c net.Conn, reader *bufio.Reader, q *http.Request) bool {
 	id := q.Header.Get(RequestIDField)
 	if target := q.Header.Get(TargetField); target != "" && target != r.ID {
-		_, _ = io.Copy(io.Discard, q.Body)
+		_, _ = io.Copy(io.Discard, q.Body) // the caller may be gone
 		write(c, "HTTP/1.1 421 Misdirected Request\r\n%s: %s\r\nContent-Length: 0\r\n\r\n", InstanceField, r.ID)
 		return true
 	}
 	if e, early := r.peek().(Early); early {
 		r.take(q, nil)
 		write(c, "%s", head(e.Status, id, "Content-Length: 0\r\n"))
-		_, _ = io.Copy(io.Discard, q.Body)
+		_, _ = io.Copy(io.Discard, q.Body) // the caller may be gone
 		return true
 	}
 	body, err := io.ReadAll(q.Body)
--- a/internal/testing/standin/platformtest/store.go
+++ b/internal/testing/standin/platformtest/store.go
@@ -145,7 +145,7 @@
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0) // the reset is the point
 	}
-	_ = c.Close()
+	_ = c.Close() // it is reset
 }
 
 func (s *Store) serveKey(w http.ResponseWriter, r *http.Request) {
@@ -180,8 +180,8 @@
 }
 
 func (s *Store) serveWatch(w http.ResponseWriter, r *http.Request) {
-	after, _ := strconv.ParseUint(r.FormValue("sinceRev"), 10, 64)
-	wait, _ := strconv.Atoi(r.FormValue("waitMs"))
+	after, _ := strconv.ParseUint(r.FormValue("sinceRev"), 10, 64) // 0 where it is missing
+	wait, _ := strconv.Atoi(r.FormValue("waitMs"))                 // 0 where it is missing
 	timer := time.NewTimer(time.Duration(wait) * time.Millisecond)
 	defer timer.Stop()
 	over := false
