--- a/coord/affinity/affinity.go
+++ b/coord/affinity/affinity.go
@@ -12,14 +12,14 @@
 
 const (
 	blockBytes   = 1024 // about 256 tokens
-	mostBlocks   = 32   // blocks of a prompt that are hashed
+	maxBlocks    = 32   // blocks of a prompt that are hashed
 	defaultBound = 8192 // hashes kept by a zero Table
 )
 
 // Chain returns the chain hash of the prompt's whole blocks: each value stands
 // for all blocks up to its own.
 func Chain(prompt []byte) []uint64 {
-	count := min(len(prompt)/blockBytes, mostBlocks)
+	count := min(len(prompt)/blockBytes, maxBlocks)
 	chain := make([]uint64, 0, count)
 	var previous [8]byte
 	for b := range count {
--- a/coord/binding/core.go
+++ b/coord/binding/core.go
@@ -16,16 +16,16 @@
 	DefaultFanout   = 3
 	DefaultRequests = 20000
 
-	slackShare    = 8 // a request widens after this fraction of its slack
-	leastWiden    = 20 * time.Millisecond
-	mostWiden     = 500 * time.Millisecond
-	firstBackoff  = 50 * time.Millisecond
-	mostBackoff   = time.Second
-	mostFailures  = 6 // attempts of a request that failed
-	mostPreempted = 3 // after this many, the request asks not to be preempted
-	retryBurst    = 50
-	leastRetry    = time.Second
-	stallGrace    = 2 * time.Second
+	slackShare   = 8 // a request widens after this fraction of its slack
+	minWiden     = 20 * time.Millisecond
+	maxWiden     = 500 * time.Millisecond
+	firstBackoff = 50 * time.Millisecond
+	maxBackoff   = time.Second
+	maxFailures  = 6 // attempts of a request that failed
+	maxPreempted = 3 // after this many, the request asks not to be preempted
+	retryBurst   = 50
+	minRetry     = time.Second
+	stallGrace   = 2 * time.Second
 )
 
 // Core decides for one entry. Rand must be set.
@@ -81,7 +81,7 @@
 	c.last++
 	id := c.last
 	if code := c.refusal(q); code != result.OK {
-		c.emit(Finish{Request: id, Code: code, Run: result.NotRun, RetryAfter: leastRetry})
+		c.emit(Finish{Request: id, Code: code, Run: result.NotRun, RetryAfter: minRetry})
 		return id, c.take()
 	}
 	r := &request{Request: q, id: id, accepted: now, waits: now, state: offering, attempt: 1, offers: map[string]offer{}}
@@ -130,7 +130,7 @@
 		c.refuse(r, result.QueueFull)
 		return
 	}
-	pause := min(mostBackoff, firstBackoff<<min(r.rounds, 5))
+	pause := min(maxBackoff, firstBackoff<<min(r.rounds, 5))
 	pause = pause/2 + time.Duration(c.Rand.Int64N(int64(pause/2)))
 	r.rounds++
 	clear(r.offers)
@@ -162,7 +162,7 @@
 			best = w
 		}
 	}
-	return min(time.Minute, max(leastRetry, best))
+	return min(time.Minute, max(minRetry, best))
 }
 
 // withdraw takes back all waiting offers but the one to the named agent.
--- a/coord/binding/dump.go
+++ b/coord/binding/dump.go
@@ -50,8 +50,8 @@
 	Retrying int               `json:"rounds"`
 }
 
-// mostDumped bounds the open requests of a dump.
-const mostDumped = 1000
+// maxDumped bounds the open requests of a dump.
+const maxDumped = 1000
 
 // Dump returns the state.
 func (c *Core) Dump(now time.Time) Dump {
@@ -60,7 +60,7 @@
 		d.Peers = append(d.Peers, c.peers[n].dump(now))
 	}
 	for _, r := range c.sorted() {
-		if len(d.Requests) == mostDumped {
+		if len(d.Requests) == maxDumped {
 			break
 		}
 		d.Requests = append(d.Requests, r.dump(now))
--- a/coord/binding/offer.go
+++ b/coord/binding/offer.go
@@ -36,7 +36,7 @@
 	r.offers[o.peer.name] = waiting
 	o.sent++
 	terms := r.Terms
-	if r.preempted >= mostPreempted {
+	if r.preempted >= maxPreempted {
 		terms.Preemptible = false
 	}
 	c.emit(Send{Peer: o.peer.name, Message: message.Offer{
@@ -53,5 +53,5 @@
 // widenAfter is a share of the time left to meet the target.
 func (r *request) widenAfter(now time.Time) time.Duration {
 	slack := r.accepted.Add(r.Terms.FirstToken).Sub(now)
-	return min(mostWiden, max(leastWiden, slack/slackShare))
+	return min(maxWiden, max(minWiden, slack/slackShare))
 }
--- a/coord/binding/retry.go
+++ b/coord/binding/retry.go
@@ -40,7 +40,7 @@
 	case !r.Terms.Repeatable:
 	case r.stuck:
 		code = result.Unresumable
-	case spend && (r.failures >= mostFailures || !c.spendRetry(r)):
+	case spend && (r.failures >= maxFailures || !c.spendRetry(r)):
 		code = result.RetriesUsed
 	default:
 		r.waits = now
--- a/coord/budget/budget.go
+++ b/coord/budget/budget.go
@@ -11,8 +11,8 @@
 	slackShare = 0.45
 )
 
-// mostTimes bounds the remembered times of a service.
-const mostTimes = 1 << 16
+// maxTimes bounds the remembered times of a service.
+const maxTimes = 1 << 16
 
 // Rules are what the operator allows for each service, over all entries.
 type Rules struct {
@@ -32,7 +32,7 @@
 // Request counts a request that came for the service.
 func (b *Budget) Request(now time.Time) {
 	b.requests = recent(b.requests, now, b.Rules.Window)
-	if len(b.requests) < mostTimes {
+	if len(b.requests) < maxTimes {
 		b.requests = append(b.requests, now)
 	}
 }
--- a/coord/claim/claim.go
+++ b/coord/claim/claim.go
@@ -12,9 +12,9 @@
 	"time"
 )
 
-// MostClaims is how many claims a head holds before they move to a segment, so
+// MaxClaims is how many claims a head holds before they move to a segment, so
 // that a value stays far below a megabyte.
-const MostClaims = 8192
+const MaxClaims = 8192
 
 // Key is the hash of an idempotency key.
 type Key [16]byte
@@ -53,7 +53,7 @@
 
 // Due tells whether the head's claims are to move to a segment first.
 func (h Head) Due(now time.Time, r Rules) bool {
-	if len(h.Claims) >= MostClaims {
+	if len(h.Claims) >= MaxClaims {
 		return true
 	}
 	return len(h.Claims) > 0 && r.At(now) > h.Period
--- a/coord/dispatch/core.go
+++ b/coord/dispatch/core.go
@@ -124,7 +124,7 @@
 			if item == nil || !p.urgent(now, item) {
 				break
 			}
-			e := p.mostStoppable(now, tier)
+			e := p.withMostStoppable(now, tier)
 			if e == nil {
 				break
 			}
@@ -143,7 +143,7 @@
 	return i.Deadline.Add(-time.Duration(preemptLead * float64(p.step())))
 }
 
-func (p *pool) mostStoppable(now time.Time, tier int) *endpoint {
+func (p *pool) withMostStoppable(now time.Time, tier int) *endpoint {
 	var best *endpoint
 	most := 0
 	for _, e := range p.endpoints {
--- a/coord/health/health.go
+++ b/coord/health/health.go
@@ -31,8 +31,8 @@
 const (
 	ejectAfter = 3 // failures in a row
 	firstWait  = time.Second
-	mostWait   = 30 * time.Second
-	mostShift  = 5 // firstWait << mostShift is about mostWait
+	maxWait    = 30 * time.Second
+	maxShift   = 5 // firstWait << maxShift is about maxWait
 )
 
 // Circuit is the health of one endpoint. The zero value is healthy.
@@ -93,7 +93,7 @@
 
 func startWait(ctx context.Context, _ ...any) error {
 	c := changeOf(ctx)
-	wait := min(mostWait, firstWait<<min(c.circuit.ejected, mostShift))
+	wait := min(maxWait, firstWait<<min(c.circuit.ejected, maxShift))
 	c.circuit.ejected++
 	c.circuit.until = c.now.Add(wait)
 	return nil
--- a/coord/limit/learned.go
+++ b/coord/limit/learned.go
@@ -10,19 +10,19 @@
 // Bounds of a learned limit.
 const (
 	FirstLimit = 4    // limit of an endpoint nothing is known of
-	MostLimit  = 1024 // no limit is raised above this
+	MaxLimit   = 1024 // no limit is raised above this
 )
 
 const (
-	memory      = 512.0 // samples after which an old one counts a third
-	fewSamples  = 16    // below, the first limit holds
-	leastSpread = 0.5   // variance of the running work below which no slope is seen
-	margin      = 0.95  // share of the target that is used
-	tail        = 1.65  // standard deviations that 95 in 100 samples lie below
-	flattest    = 8.0   // the slope is at least this part of the mean sample per work
-	growth      = 1.5   // the limit goes this far beyond the most work seen lately
-	headroom    = 4     // and by so many more
-	peakFade    = 0.999 // per sample
+	memory     = 512.0 // samples after which an old one counts a third
+	fewSamples = 16    // below, the first limit holds
+	minSpread  = 0.5   // variance of the running work below which no slope is seen
+	margin     = 0.95  // share of the target that is used
+	tail       = 1.65  // standard deviations that 95 in 100 samples lie below
+	flattest   = 8.0   // the slope is at least this part of the mean sample per work
+	growth     = 1.5   // the limit goes this far beyond the most work seen lately
+	headroom   = 4     // and by so many more
+	peakFade   = 0.999 // per sample
 )
 
 // Learned finds how much work an endpoint may run at once so that 95 in 100
@@ -59,7 +59,7 @@
 	if l.count < fewSamples {
 		return FirstLimit
 	}
-	most := min(MostLimit, l.peak*growth+headroom)
+	most := min(MaxLimit, l.peak*growth+headroom)
 	if target <= 0 {
 		return int(most)
 	}
@@ -74,7 +74,7 @@
 // where none is seen.
 func (l *Learned) slope() float64 {
 	steepest := l.took / max(1, l.work)
-	if l.spread < leastSpread {
+	if l.spread < minSpread {
 		return steepest / 2
 	}
 	return max(steepest/flattest, min(steepest, l.joint/l.spread))
--- a/coord/limit/team.go
+++ b/coord/limit/team.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// mostTeams bounds the table of teams with a limit in use.
-const mostTeams = 1 << 16
+// maxTeams bounds the table of teams with a limit in use.
+const maxTeams = 1 << 16
 
 // Allowance is what a team may use at this entry.
 type Allowance struct {
@@ -83,7 +83,7 @@
 const idleAfter = time.Minute
 
 func (t *Teams) forgetIdle(now time.Time) {
-	if len(t.teams) < mostTeams {
+	if len(t.teams) < maxTeams {
 		return
 	}
 	for n, u := range t.teams {
--- a/coord/placement/bench_test.go
+++ b/coord/placement/bench_test.go
@@ -31,7 +31,7 @@
 		}
 		return placement.Job{
 			Service: "pool", Aim: 250 * time.Millisecond, Pause: 150 * time.Millisecond, Priority: n % 3,
-			Prompt: placement.Prompt{Tokens: tokens, MostOut: 300, Parts: []placement.Part{{ID: uint64(n % 50), Tokens: 200}, {ID: uint64(1000 + n), Tokens: tokens - 200}}},
+			Prompt: placement.Prompt{Tokens: tokens, MaxOut: 300, Parts: []placement.Part{{ID: uint64(n % 50), Tokens: 200}, {ID: uint64(1000 + n), Tokens: tokens - 200}}},
 		}
 	}
 	place := func(n int) {
--- a/coord/placement/cache.go
+++ b/coord/placement/cache.go
@@ -5,8 +5,8 @@
 // defaultMemory bounds a cache where the engine's memory is not known, in tokens.
 const defaultMemory = 200_000
 
-// mostParts bounds the parts that are remembered of one endpoint.
-const mostParts = 4096
+// maxParts bounds the parts that are remembered of one endpoint.
+const maxParts = 4096
 
 // cache is what an engine is believed to keep: the parts used last, within the
 // memory that running requests leave. The zero value is empty.
@@ -63,7 +63,7 @@
 		c.byID[part.ID] = c.order.PushFront(part)
 		c.tokens += part.Tokens
 	}
-	for c.order.Len() > 0 && (c.tokens > memory || c.order.Len() > mostParts) {
+	for c.order.Len() > 0 && (c.tokens > memory || c.order.Len() > maxParts) {
 		last := c.order.Back()
 		part := last.Value.(Part)
 		c.order.Remove(last)
--- a/coord/placement/endpoint.go
+++ b/coord/placement/endpoint.go
@@ -22,15 +22,15 @@
 func (p *placed) waiting() bool { return p.began.IsZero() }
 
 const (
-	mostArrivals  = 64
+	maxArrivals   = 64
 	arrivalWindow = 4 * time.Second
 	errorWeight   = 0.2 // of the newest outcome in the share of errors
 	firstBackoff  = 300 * time.Millisecond
-	mostBackoff   = 5 * time.Second
-	leastFactor   = 0.5
-	mostFactor    = 20.0
+	maxBackoff    = 5 * time.Second
+	minFactor     = 0.5
+	maxFactor     = 20.0
 	factorWeight  = 0.2  // of the newest observation in an endpoint's factor
-	mostRatio     = 2.0  // of an observation to what was expected that counts
+	maxRatio      = 2.0  // of an observation to what was expected that counts
 	tellingMS     = 60.0 // expected time from which an observation counts in full
 	slackMS       = 150  // of a first event before an endpoint is suspected
 	silenceAfter  = 400 * time.Millisecond
@@ -153,7 +153,7 @@
 }
 
 func (s *state) arrive(now time.Time, read float64) {
-	if len(s.arrivals) == mostArrivals {
+	if len(s.arrivals) == maxArrivals {
 		s.arrivals = append(s.arrivals[:0], s.arrivals[1:]...)
 	}
 	s.arrivals = append(s.arrivals, arrival{at: now, read: read})
@@ -174,7 +174,7 @@
 		s.backoff = 0
 		s.avoidTo = time.Time{}
 	case Unreachable:
-		s.backoff = min(max(2*s.backoff, firstBackoff), mostBackoff)
+		s.backoff = min(max(2*s.backoff, firstBackoff), maxBackoff)
 		s.avoidTo = now.Add(s.backoff)
 	}
 }
@@ -186,9 +186,9 @@
 	if expected <= 0 {
 		return
 	}
-	ratio := min(max(observed/expected, 1/mostRatio), mostRatio)
+	ratio := min(max(observed/expected, 1/maxRatio), maxRatio)
 	weight := factorWeight * min(expected/tellingMS, 1)
-	s.factor = min(max(s.factor*math.Pow(ratio, weight), leastFactor), mostFactor)
+	s.factor = min(max(s.factor*math.Pow(ratio, weight), minFactor), maxFactor)
 }
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/coord/placement/placement.go
+++ b/coord/placement/placement.go
@@ -19,7 +19,7 @@
 // Prompt is what a request says of its prompt and of its answer's length.
 type Prompt struct {
 	Tokens    int    `cbor:"1,keyasint,omitempty"`
-	MostOut   int    `cbor:"2,keyasint,omitempty"`
+	MaxOut    int    `cbor:"2,keyasint,omitempty"`
 	LikelyOut int    `cbor:"3,keyasint,omitempty"` // the caller's guess, 0 for none
 	Parts     []Part `cbor:"4,keyasint,omitempty"` // in order; the last is the request's own
 }
@@ -29,7 +29,7 @@
 	if p.LikelyOut > 0 {
 		return p.LikelyOut
 	}
-	return p.MostOut
+	return p.MaxOut
 }
 
 // Endpoint is an endpoint as the list of endpoints describes it.
--- a/coord/placement/speed.go
+++ b/coord/placement/speed.go
@@ -6,7 +6,7 @@
 	priorPerToken = 0.02 // ms
 	priorWeight   = 5.0  // observations that the prior counts as
 	speedDecay    = 0.995
-	leastPerToken = 0.0005
+	minPerToken   = 0.0005
 	priorTokens   = 2000.0 // spread of the prior's points
 )
 
@@ -52,7 +52,7 @@
 	if spread <= 0 {
 		return priorBaseMS, priorPerToken
 	}
-	perToken = max((s.weight*s.xy-s.x*s.y)/spread, leastPerToken)
+	perToken = max((s.weight*s.xy-s.x*s.y)/spread, minPerToken)
 	base = max((s.y-perToken*s.x)/s.weight, 0)
 	return base, perToken
 }
--- a/coord/placement/table.go
+++ b/coord/placement/table.go
@@ -33,8 +33,8 @@
 
 // Bounds of what is remembered.
 const (
-	mostShared = 65536 // shared parts
-	mostPlaced = 65536 // requests that are placed and have not ended
+	maxShared = 65536 // shared parts
+	maxPlaced = 65536 // requests that are placed and have not ended
 )
 
 // sweepRest is the least time between two looks through all shared parts.
@@ -133,7 +133,7 @@
 // Place notes that a request was sent to an endpoint, by this entry or another.
 func (t *Table) Place(now time.Time, id JobID, endpoint string, j Job) {
 	s := t.endpoints[endpoint]
-	if s == nil || s.jobs[id] != nil || len(t.where) >= mostPlaced {
+	if s == nil || s.jobs[id] != nil || len(t.where) >= maxPlaced {
 		return
 	}
 	if t.where == nil {
@@ -196,12 +196,12 @@
 	for n := range len(p.Parts) - 1 {
 		t.shared[p.Parts[n].ID] = now
 	}
-	if len(t.shared) > mostShared && now.Sub(t.swept) >= sweepRest {
+	if len(t.shared) > maxShared && now.Sub(t.swept) >= sweepRest {
 		t.swept = now
 		t.sweepShared(now)
 	}
 	for id := range t.shared { // those that are not kept warm any more were not enough
-		if len(t.shared) <= mostShared {
+		if len(t.shared) <= maxShared {
 			return
 		}
 		delete(t.shared, id)
--- a/coord/settings/fields.go
+++ b/coord/settings/fields.go
@@ -56,17 +56,17 @@
 	DefaultClass       *string   `json:"default_class,omitempty"`
 	Classes            *[]string `json:"classes,omitempty"`
 	Split              *[]Share  `json:"split,omitempty"`
-	MostAttempts       *int      `json:"most_attempts,omitempty"`
+	MaxAttempts        *int      `json:"most_attempts,omitempty"`
 	Streaming          *bool     `json:"streaming,omitempty"`
 	Resumable          *bool     `json:"resumable,omitempty"`
 	Public             *bool     `json:"public,omitempty"`
 	EnginePriority     *int      `json:"engine_priority,omitempty"`
-	MostConnections    *int      `json:"most_connections,omitempty"`
+	MaxConnections     *int      `json:"most_connections,omitempty"`
 	EngineSlots        *int      `json:"engine_slots,omitempty"`
 	EngineMemoryTokens *int      `json:"engine_memory_tokens,omitempty"`
 	EventTokens        *int      `json:"event_tokens,omitempty"`
-	MostHeaderBytes    *int      `json:"most_header_bytes,omitempty"`
-	MostBodyBytes      *int      `json:"most_body_bytes,omitempty"`
+	MaxHeaderBytes     *int      `json:"most_header_bytes,omitempty"`
+	MaxBodyBytes       *int      `json:"most_body_bytes,omitempty"`
 	HeaderTimeoutMS    *int      `json:"header_timeout_ms,omitempty"`
 	IdleTimeoutMS      *int      `json:"idle_timeout_ms,omitempty"`
 }
@@ -100,16 +100,16 @@
 	Weight:             ptr(1),
 	RatePerSecond:      ptr(0.0),
 	Concurrency:        ptr(0),
-	MostAttempts:       ptr(2),
+	MaxAttempts:        ptr(2),
 	Streaming:          ptr(false),
 	Resumable:          ptr(false),
 	Public:             ptr(false),
-	MostConnections:    ptr(256),
+	MaxConnections:     ptr(256),
 	EngineSlots:        ptr(0),
 	EngineMemoryTokens: ptr(0),
 	EventTokens:        ptr(1),
-	MostHeaderBytes:    ptr(65536),
-	MostBodyBytes:      ptr(8388608),
+	MaxHeaderBytes:     ptr(65536),
+	MaxBodyBytes:       ptr(8388608),
 	HeaderTimeoutMS:    ptr(10000),
 	IdleTimeoutMS:      ptr(120000),
 }
--- a/coord/settings/route.go
+++ b/coord/settings/route.go
@@ -10,13 +10,13 @@
 
 // RouteInfo is what a class says of requests that are chosen by host and path.
 type RouteInfo struct {
-	Places       []Match // host and prefix of each place that the route covers
-	Split        []Share // at least one service
-	MostAttempts int     // endpoints that one request may be sent to
-	Streaming    bool
-	Resumable    bool
-	Public       bool
-	Priority     int // told to the engine, 0 first
+	Places      []Match // host and prefix of each place that the route covers
+	Split       []Share // at least one service
+	MaxAttempts int     // endpoints that one request may be sent to
+	Streaming   bool
+	Resumable   bool
+	Public      bool
+	Priority    int // told to the engine, 0 first
 }
 
 // Has tells whether the class is a route.
@@ -59,12 +59,12 @@
 
 func routeOf(f Fields, c ClassInfo) RouteInfo {
 	r := RouteInfo{
-		Split:        value(f.Split),
-		MostAttempts: value(f.MostAttempts),
-		Streaming:    value(f.Streaming),
-		Resumable:    value(f.Resumable),
-		Public:       value(f.Public),
-		Priority:     c.Terms.Tier,
+		Split:       value(f.Split),
+		MaxAttempts: value(f.MaxAttempts),
+		Streaming:   value(f.Streaming),
+		Resumable:   value(f.Resumable),
+		Public:      value(f.Public),
+		Priority:    c.Terms.Tier,
 	}
 	if f.EnginePriority != nil {
 		r.Priority = *f.EnginePriority
@@ -118,11 +118,11 @@
 
 // ServiceInfo is what the tree says of the endpoints of a service.
 type ServiceInfo struct {
-	Name            string
-	MostConnections int // of one endpoint, from all entries together
-	Slots           int // requests that one engine runs at once, 0 for not known
-	MemoryTokens    int // that one engine keeps, 0 for not known
-	EventTokens     int // that one event of a stream holds
+	Name           string
+	MaxConnections int // of one endpoint, from all entries together
+	Slots          int // requests that one engine runs at once, 0 for not known
+	MemoryTokens   int // that one engine keeps, 0 for not known
+	EventTokens    int // that one event of a stream holds
 }
 
 // ServiceNamed returns what the tree says of a service.
@@ -139,11 +139,11 @@
 		f := t.Resolve(p)
 		name := value(f.Service)
 		s.serving[name] = ServiceInfo{
-			Name:            name,
-			MostConnections: value(f.MostConnections),
-			Slots:           value(f.EngineSlots),
-			MemoryTokens:    value(f.EngineMemoryTokens),
-			EventTokens:     value(f.EventTokens),
+			Name:           name,
+			MaxConnections: value(f.MaxConnections),
+			Slots:          value(f.EngineSlots),
+			MemoryTokens:   value(f.EngineMemoryTokens),
+			EventTokens:    value(f.EventTokens),
 		}
 	}
 }
@@ -160,8 +160,8 @@
 
 func limitsOf(f Fields) Limits {
 	return Limits{
-		HeaderBytes: value(f.MostHeaderBytes),
-		BodyBytes:   value(f.MostBodyBytes),
+		HeaderBytes: value(f.MaxHeaderBytes),
+		BodyBytes:   value(f.MaxBodyBytes),
 		IdleTimeout: milliseconds(f.IdleTimeoutMS),
 	}
 }
--- a/coord/settings/version.go
+++ b/coord/settings/version.go
@@ -17,8 +17,8 @@
 // 40,000 teams a part is some 30 KB.
 const Buckets = 256
 
-// MostPart is the largest part, below the platform's limit for a value.
-const MostPart = 900 << 10
+// MaxPart is the largest part, below the platform's limit for a value.
+const MaxPart = 900 << 10
 
 // Root names one version of the tree: its parts by content hash.
 type Root struct {
@@ -61,9 +61,9 @@
 		if err != nil {
 			return Root{}, nil, result.Errorf(result.SettingsInvalid, "part %q: %v", name, err)
 		}
-		if len(data) > MostPart {
+		if len(data) > MaxPart {
 			return Root{}, nil, result.Errorf(result.SettingsInvalid,
-				"part %q has %d bytes, %d are allowed: spread its nodes", name, len(data), MostPart)
+				"part %q has %d bytes, %d are allowed: spread its nodes", name, len(data), MaxPart)
 		}
 		hash := contentHash(data)
 		r.Parts[name] = hash
--- a/examples/soak/main.go
+++ b/examples/soak/main.go
@@ -34,8 +34,8 @@
 	Folder    string        `long:"folder" description:"where logs are kept (default: a temporary folder)"`
 }
 
-// mostEntries bounds the processes.
-const mostEntries = 16
+// maxEntries bounds the processes.
+const maxEntries = 16
 
 func main() {
 	var o options
@@ -52,8 +52,8 @@
 
 // run plays all seeds and tells whether a promise was broken.
 func run(o options) (broken bool, err error) {
-	if o.Entries < 1 || o.Entries > mostEntries {
-		return false, fmt.Errorf("soak: --entries is from 1 to %d", mostEntries)
+	if o.Entries < 1 || o.Entries > maxEntries {
+		return false, fmt.Errorf("soak: --entries is from 1 to %d", maxEntries)
 	}
 	program, err := filepath.Abs(o.Entry)
 	if err != nil {
--- a/internal/command/tree.go
+++ b/internal/command/tree.go
@@ -17,7 +17,7 @@
 
 const (
 	operatorTimeout = 60 * time.Second
-	mostAnswer      = 64 << 20
+	maxAnswer       = 64 << 20
 )
 
 // Tree are the commands on the settings tree. They talk to any entry.
@@ -64,7 +64,7 @@
 		return reply{}, err
 	}
 	defer func() { _ = response.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(response.Body, mostAnswer))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
 	if err != nil {
 		return reply{}, err
 	}
--- a/internal/direct/directory/follow.go
+++ b/internal/direct/directory/follow.go
@@ -114,7 +114,7 @@
 	if f.directory.lost() {
 		log.With("reason", err.Error()).Warnf("The source is lost.")
 	}
-	f.wait.MaxInterval = f.directory.mostPause()
+	f.wait.MaxInterval = f.directory.maxPause()
 	timer := time.NewTimer(f.wait.NextBackOff())
 	defer timer.Stop()
 	select {
--- a/internal/direct/directory/recent.go
+++ b/internal/direct/directory/recent.go
@@ -2,8 +2,8 @@
 
 import "foxcross.dev/foxcross/internal/direct/driver"
 
-// mostRecent bounds the remembered changes.
-const mostRecent = 256
+// maxRecent bounds the remembered changes.
+const maxRecent = 256
 
 // recent are the last changes of the list, for processes that lack only these.
 // The zero value knows none.
@@ -21,7 +21,7 @@
 func (r *recent) add(c driver.Change) {
 	c.Settings = nil
 	r.changes = append(r.changes, c)
-	if len(r.changes) > mostRecent {
+	if len(r.changes) > maxRecent {
 		r.from = r.changes[0].Revision
 		r.changes = r.changes[1:]
 	}
--- a/internal/direct/directory/role.go
+++ b/internal/direct/directory/role.go
@@ -74,8 +74,8 @@
 	return max(asked, d.revision)
 }
 
-// mostPause returns the longest pause between calls that fail.
-func (d *Directory) mostPause() time.Duration {
+// maxPause returns the longest pause between calls that fail.
+func (d *Directory) maxPause() time.Duration {
 	if d.Role() == Substitute {
 		return slowRetry
 	}
--- a/internal/direct/explain/explain.go
+++ b/internal/direct/explain/explain.go
@@ -15,9 +15,9 @@
 
 // Bounds of what is read and told.
 const (
-	mostLine    = 1 << 20
-	mostContext = 4096 // lines about settings, endpoints and peers that are remembered
-	around      = 5 * time.Second
+	maxLine    = 1 << 20
+	maxContext = 4096 // lines about settings, endpoints and peers that are remembered
+	around     = 5 * time.Second
 )
 
 // line is one line of a log.
@@ -50,7 +50,7 @@
 	var found []line
 	var context []line
 	scanner := bufio.NewScanner(log)
-	scanner.Buffer(nil, mostLine)
+	scanner.Buffer(nil, maxLine)
 	for scanner.Scan() {
 		l, ok := parse(scanner.Text())
 		switch {
@@ -58,7 +58,7 @@
 		case l.Fields.Request == request:
 			found = append(found, l)
 		case l.Fields.Request == "":
-			if len(context) == mostContext {
+			if len(context) == maxContext {
 				context = context[1:]
 			}
 			context = append(context, l)
--- a/internal/direct/gateway/answer.go
+++ b/internal/direct/gateway/answer.go
@@ -12,21 +12,21 @@
 	"foxcross.dev/foxcross/internal/direct/upstream"
 )
 
-// mostBuffered is the longest answer that is read whole before any of it is
+// maxBuffered is the longest answer that is read whole before any of it is
 // passed on, so that one that breaks off can still be replaced.
-const mostBuffered = 256 << 10
+const maxBuffered = 256 << 10
 
 // passWhole passes on an answer that is no stream.
 func (g *Gateway) passWhole(ctx context.Context, w http.ResponseWriter, c *call, l *leg, a *upstream.Answer, more bool) verdict {
-	if a.Length > mostBuffered {
+	if a.Length > maxBuffered {
 		return g.pass(w, c, l, a, placement.Succeeded)
 	}
-	body, err := io.ReadAll(io.LimitReader(a.Body, mostBuffered))
+	body, err := io.ReadAll(io.LimitReader(a.Body, maxBuffered))
 	if err != nil || (a.Length >= 0 && int64(len(body)) != a.Length) {
 		a.Close()
 		return g.judgeFailure(ctx, c, l, errors.Join(upstream.ErrBroken, err), more)
 	}
-	if a.Length < 0 && len(body) == mostBuffered {
+	if a.Length < 0 && len(body) == maxBuffered {
 		return g.passRest(w, c, l, a, body)
 	}
 	g.begin(c, l)
--- a/internal/direct/gateway/forward.go
+++ b/internal/direct/gateway/forward.go
@@ -12,8 +12,8 @@
 	"foxcross.dev/foxcross/internal/direct/upstream"
 )
 
-// mostDials bounds the endpoints that are tried without a connection coming up.
-const mostDials = 4
+// maxDials bounds the endpoints that are tried without a connection coming up.
+const maxDials = 4
 
 // Times after which a caller may come back.
 const (
@@ -113,13 +113,13 @@
 		answer, err := g.exchange(ctx, c, l)
 		if errors.Is(err, upstream.ErrUnreachable) && ctx.Err() == nil {
 			g.end(c, l, placement.Unreachable, err.Error())
-			if dials++; dials < mostDials {
+			if dials++; dials < maxDials {
 				continue
 			}
 			return c.failure(result.NoEndpoint, "no endpoint could be reached"), false
 		}
 		sent++
-		more := sent < c.class.Route.MostAttempts
+		more := sent < c.class.Route.MaxAttempts
 		verdict := g.judge(ctx, w, c, l, answer, err, more)
 		if verdict.again {
 			continue
--- a/internal/direct/gateway/gateway.go
+++ b/internal/direct/gateway/gateway.go
@@ -146,7 +146,7 @@
 		all = append(all, placement.Service{
 			Name:         name,
 			MemoryTokens: i.MemoryTokens,
-			Most:         int(connectionShare * float64(i.MostConnections)),
+			Most:         int(connectionShare * float64(i.MaxConnections)),
 			EventTokens:  i.EventTokens,
 			Pause:        pause,
 		})
--- a/internal/direct/gateway/header.go
+++ b/internal/direct/gateway/header.go
@@ -48,7 +48,7 @@
 	}
 	h.Set(g.fields.Deadline, strconv.FormatInt(max(c.left().Milliseconds(), 1), 10))
 	h.Set(g.fields.Target, endpoint)
-	h.Set(g.fields.Priority, strconv.Itoa(min(max(c.job.Priority, 0), leastUrgent)))
+	h.Set(g.fields.Priority, strconv.Itoa(min(max(c.job.Priority, 0), minUrgent)))
 	if c.team != "" {
 		h.Set(g.fields.Team, c.team)
 	}
@@ -58,8 +58,8 @@
 	return h
 }
 
-// leastUrgent is the last priority that engines know.
-const leastUrgent = 9
+// minUrgent is the last priority that engines know.
+const minUrgent = 9
 
 // copyAnswerHeader passes an endpoint's header on to the caller.
 func copyAnswerHeader(to, from http.Header) {
--- a/internal/direct/gateway/room.go
+++ b/internal/direct/gateway/room.go
@@ -20,18 +20,18 @@
 
 // room bounds the open requests and the sum of their bodies.
 type room struct {
-	mostOpen   int
-	mostBodies int64
-	bodies     int64 // bytes held now
+	maxOpen   int
+	maxBodies int64
+	bodies    int64 // bytes held now
 }
 
 func roomOf(l driver.Limits) room {
-	r := room{mostOpen: defaultOpen, mostBodies: defaultBodies}
+	r := room{maxOpen: defaultOpen, maxBodies: defaultBodies}
 	if l.Descriptors > 0 {
-		r.mostOpen = max((l.Descriptors-spareDescriptors)/perRequest, 1)
+		r.maxOpen = max((l.Descriptors-spareDescriptors)/perRequest, 1)
 	}
 	if l.MemoryBytes > 0 {
-		r.mostBodies = l.MemoryBytes / bodyShare
+		r.maxBodies = l.MemoryBytes / bodyShare
 	}
 	return r
 }
@@ -42,7 +42,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	bytes = max(bytes, 0)
-	if g.open > g.room.mostOpen || g.room.bodies+bytes > g.room.mostBodies {
+	if g.open > g.room.maxOpen || g.room.bodies+bytes > g.room.maxBodies {
 		return &result.Error{Code: result.QueueFull, Run: result.NotRun, RetryAfter: fullRetry, Reason: "this entry holds too many requests"}
 	}
 	g.room.bodies += bytes
--- a/internal/direct/gateway/server.go
+++ b/internal/direct/gateway/server.go
@@ -12,12 +12,12 @@
 
 // Bounds of callers' connections that the settings do not change.
 const (
-	mostHeaderBytes = 1 << 20
-	headerTimeout   = 30 * time.Second
-	probeAfter      = time.Second
-	probeCount      = 4
-	idleSlack       = 1.05 // of the idle time that callers are promised
-	defaultIdle     = 2 * time.Minute
+	maxHeaderBytes = 1 << 20
+	headerTimeout  = 30 * time.Second
+	probeAfter     = time.Second
+	probeCount     = 4
+	idleSlack      = 1.05 // of the idle time that callers are promised
+	defaultIdle    = 2 * time.Minute
 )
 
 // Serve takes callers' requests on the address. The server it returns runs
@@ -33,7 +33,7 @@
 	s := &http.Server{
 		Handler:           g,
 		ReadHeaderTimeout: headerTimeout,
-		MaxHeaderBytes:    mostHeaderBytes,
+		MaxHeaderBytes:    maxHeaderBytes,
 		ConnState:         changed,
 	}
 	s.SetKeepAlivesEnabled(true)
--- a/internal/direct/gateway/stream.go
+++ b/internal/direct/gateway/stream.go
@@ -15,8 +15,8 @@
 	"foxcross.dev/foxcross/internal/direct/upstream"
 )
 
-// mostEvent bounds one event of a stream.
-const mostEvent = 1 << 20
+// maxEvent bounds one event of a stream.
+const maxEvent = 1 << 20
 
 var errLongEvent = errors.New("gateway: an event is longer than allowed")
 
@@ -103,7 +103,7 @@
 		if errors.Is(err, bufio.ErrBufferFull) {
 			err = nil
 		}
-		if len(event) > mostEvent {
+		if len(event) > maxEvent {
 			return nil, errLongEvent
 		}
 		if err != nil {
@@ -151,7 +151,7 @@
 		return failed
 	}
 	tried := map[string]bool{l.endpoint.ID: true}
-	for len(c.sends) < c.class.Route.MostAttempts && g.mayRepeat(c) {
+	for len(c.sends) < c.class.Route.MaxAttempts && g.mayRepeat(c) {
 		next, refusal := g.place(c, tried)
 		if refusal != nil {
 			return failed
--- a/internal/direct/peers/golden_test.go
+++ b/internal/direct/peers/golden_test.go
@@ -23,7 +23,7 @@
 var sampleJob = placement.Job{
 	Service: "pool",
 	Prompt: placement.Prompt{
-		Tokens: 120, MostOut: 40, LikelyOut: 30,
+		Tokens: 120, MaxOut: 40, LikelyOut: 30,
 		Parts: []placement.Part{{ID: 0xab, Tokens: 100}, {ID: 0xcd, Tokens: 20}},
 	},
 	Aim:      250 * time.Millisecond,
--- a/internal/direct/peers/members.go
+++ b/internal/direct/peers/members.go
@@ -11,8 +11,8 @@
 
 // Entries that ask the source.
 const (
-	leastSentinels = 2
-	toldByOne      = 16 // entries that one of them tells of changes, at the most
+	minSentinels = 2
+	toldByOne    = 16 // entries that one of them tells of changes, at the most
 
 	contactFor = 1300 * time.Millisecond // one that the source hasn't answered for so long is replaced
 
@@ -68,7 +68,7 @@
 			failing++
 		}
 	}
-	sentinels := max(leastSentinels, live/toldByOne)
+	sentinels := max(minSentinels, live/toldByOne)
 	switch {
 	case before < sentinels:
 		return directory.Sentinel
--- a/internal/direct/peers/packet.go
+++ b/internal/direct/peers/packet.go
@@ -53,16 +53,16 @@
 
 // Sizes and times.
 const (
-	mostPacket     = 1200 // bytes of notes in one datagram, about
-	mostDatagram   = 64 << 10
+	maxPacket      = 1200 // bytes of notes in one datagram, about
+	maxDatagram    = 64 << 10
 	flushAfter     = 10 * time.Millisecond // notes wait so long for others
 	heartbeatEvery = 250 * time.Millisecond
 	aliveFor       = 1200 * time.Millisecond
 	forgetAfter    = time.Minute
-	mostPeers      = 1024
-	mostNamed      = 16 // live entries that one heartbeat names, by chance
-	mostNotes      = 4096
-	mostNoteAge    = time.Second // that is believed
+	maxPeers       = 1024
+	maxNamed       = 16 // live entries that one heartbeat names, by chance
+	maxNotes       = 4096
+	maxNoteAge     = time.Second // that is believed
 	seedEvery      = time.Second
 	fetchTimeout   = 600 * time.Millisecond
 	fetchSoon      = 40 * time.Millisecond  // a peer is ahead for so long before it is asked
--- a/internal/direct/peers/receive.go
+++ b/internal/direct/peers/receive.go
@@ -10,7 +10,7 @@
 
 // receive takes in datagrams until the socket is closed.
 func (g *Group) receive() {
-	buffer := make([]byte, mostDatagram)
+	buffer := make([]byte, maxDatagram)
 	for {
 		n, from, err := g.socket.ReadFromUDP(buffer)
 		if err != nil {
@@ -47,7 +47,7 @@
 	}
 	if len(p.Notes) > 0 {
 		for n := range p.Notes {
-			p.Notes[n].AgeMS = min(max(p.Notes[n].AgeMS, 0), mostNoteAge.Milliseconds())
+			p.Notes[n].AgeMS = min(max(p.Notes[n].AgeMS, 0), maxNoteAge.Milliseconds())
 		}
 		g.listener.Heard(p.Owner, p.Notes)
 	}
@@ -93,7 +93,7 @@
 	key := from.String()
 	other := g.peers[key]
 	if other == nil {
-		if len(g.peers) >= mostPeers {
+		if len(g.peers) >= maxPeers {
 			return nil, 0
 		}
 		other = &peer{to: from}
@@ -110,11 +110,11 @@
 
 // learn adds an entry that another one knows. The group is locked.
 func (g *Group) learn(address string) {
-	if address == g.address || g.peers[address] != nil || len(g.peers) >= mostPeers || slices.Contains(g.seeds, address) {
+	if address == g.address || g.peers[address] != nil || len(g.peers) >= maxPeers || slices.Contains(g.seeds, address) {
 		return
 	}
 	g.seeds = append(g.seeds, address)
-	if len(g.seeds) > mostPeers {
+	if len(g.seeds) > maxPeers {
 		g.seeds = g.seeds[1:]
 	}
 }
--- a/internal/direct/peers/send.go
+++ b/internal/direct/peers/send.go
@@ -12,7 +12,7 @@
 	n.at = time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if len(g.notes) >= mostNotes {
+	if len(g.notes) >= maxNotes {
 		return // the others learn less of this entry's work
 	}
 	g.notes = append(g.notes, n)
@@ -43,7 +43,7 @@
 		if err != nil {
 			continue
 		}
-		if size+len(data) > mostPacket && len(p.Notes) > 0 {
+		if size+len(data) > maxPacket && len(p.Notes) > 0 {
 			g.send(p, to)
 			p.Notes = nil
 			size = 0
@@ -61,7 +61,7 @@
 func (g *Group) members(now time.Time) []string {
 	var all []string
 	for a, p := range g.peers {
-		if len(all) == mostNamed {
+		if len(all) == maxNamed {
 			break
 		}
 		if p.alive(now) {
--- a/internal/direct/peers/state.go
+++ b/internal/direct/peers/state.go
@@ -19,7 +19,7 @@
 // statePath serves the settings and endpoints to other entries.
 const (
 	statePath = "/state"
-	mostState = 64 << 20
+	maxState  = 64 << 20
 )
 
 // state is what one entry hands to another: the settings where they are newer
@@ -93,7 +93,7 @@
 		return fmt.Errorf("peers: %w", err)
 	}
 	defer func() { _ = answer.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(answer.Body, mostState))
+	data, err := io.ReadAll(io.LimitReader(answer.Body, maxState))
 	if err != nil {
 		return fmt.Errorf("peers: %w", err)
 	}
--- a/internal/direct/upstream/exchange.go
+++ b/internal/direct/upstream/exchange.go
@@ -14,9 +14,9 @@
 
 // Bounds of what is read beside the answer that is waited for.
 const (
-	mostSurplus     = 4       // answers of other requests that are skipped
-	mostSurplusBody = 1 << 20 // bytes of such an answer
-	wholeAtOnce     = 32 << 10
+	maxSurplus     = 4       // answers of other requests that are skipped
+	maxSurplusBody = 1 << 20 // bytes of such an answer
+	wholeAtOnce    = 32 << 10
 )
 
 // Errors of an exchange. After any but ErrUnreachable the endpoint may have run
@@ -147,7 +147,7 @@
 
 // receive reads heads until that of the request's own answer.
 func (c *conn) receive(names Names, r *Request) (*Answer, error) {
-	for range mostSurplus {
+	for range maxSurplus {
 		answer, err := c.readHead(r.Method)
 		if err != nil {
 			return nil, err
@@ -167,7 +167,7 @@
 		if id == "" || answer.ContentLength < 0 {
 			return nil, fmt.Errorf("%w: it carries id %q", ErrNoAnswer, id)
 		}
-		if _, err := io.CopyN(io.Discard, answer.Body, min(answer.ContentLength, mostSurplusBody)); err != nil {
+		if _, err := io.CopyN(io.Discard, answer.Body, min(answer.ContentLength, maxSurplusBody)); err != nil {
 			return nil, fmt.Errorf("%w: %w", ErrBroken, err)
 		}
 		c.surplus = true
@@ -225,16 +225,16 @@
 	a.conn.close()
 }
 
-// mostDrained bounds what is read of a body that nobody wants.
-const mostDrained = 64 << 10
+// maxDrained bounds what is read of a body that nobody wants.
+const maxDrained = 64 << 10
 
 // Drain reads the rest of a short body and gives the connection back.
 func (a *Answer) Drain() {
-	if !a.framed() || a.Length > mostDrained {
+	if !a.framed() || a.Length > maxDrained {
 		a.Close()
 		return
 	}
-	if n, err := io.Copy(io.Discard, io.LimitReader(a.Body, mostDrained)); err != nil || n == mostDrained {
+	if n, err := io.Copy(io.Discard, io.LimitReader(a.Body, maxDrained)); err != nil || n == maxDrained {
 		a.Close()
 		return
 	}
--- a/internal/direct/upstream/pool.go
+++ b/internal/direct/upstream/pool.go
@@ -19,7 +19,7 @@
 	dialTimeout = 500 * time.Millisecond
 	defaultIdle = 4 * time.Second // where the endpoint names no time
 	idleShare   = 0.6             // of the time that the endpoint names
-	mostIdle    = 64              // connections kept for one endpoint
+	maxIdle     = 64              // connections kept for one endpoint
 	sweepEvery  = 2 * time.Second
 	probeAfter  = time.Second
 	probeCount  = 3
@@ -67,7 +67,7 @@
 	if p.idle == nil {
 		p.idle = map[string][]*conn{}
 	}
-	if len(p.idle[id]) >= mostIdle {
+	if len(p.idle[id]) >= maxIdle {
 		c.close()
 		return
 	}
--- a/internal/logs/async.go
+++ b/internal/logs/async.go
@@ -6,8 +6,8 @@
 	"sync/atomic"
 )
 
-// mostLines bounds the lines that wait for a slow reader.
-const mostLines = 2048
+// maxLines bounds the lines that wait for a slow reader.
+const maxLines = 2048
 
 // Async is a writer that never blocks: lines beyond its bound are left out and
 // counted. Create it with NewAsync.
@@ -19,7 +19,7 @@
 // NewAsync returns a writer that passes lines on to w from a goroutine of its
 // own.
 func NewAsync(w io.Writer) *Async {
-	a := &Async{lines: make(chan []byte, mostLines)}
+	a := &Async{lines: make(chan []byte, maxLines)}
 	go a.run(w)
 	return a
 }
--- a/internal/process/listen.go
+++ b/internal/process/listen.go
@@ -24,7 +24,7 @@
 		Handler:           h,
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    entry.MostHeader,
+		MaxHeaderBytes:    entry.MaxHeader,
 	}
 	go func() {
 		if err := s.Serve(l); err != http.ErrServerClosed {
--- a/internal/relay/admin/tree.go
+++ b/internal/relay/admin/tree.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	mostTree       = 64 << 20
+	maxTree        = 64 << 20
 	defaultHistory = 20
-	mostHistory    = 1000
+	maxHistory     = 1000
 	authorField    = "X-Foxcross-Author"
 	noteField      = "X-Foxcross-Note"
 )
@@ -77,7 +77,7 @@
 // put replaces the tree of the version that If-Match names. With the query
 // dry_run the change is only checked.
 func (t *Tree) put(w http.ResponseWriter, r *http.Request) {
-	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, mostTree))
+	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxTree))
 	if err != nil {
 		writeError(w, result.Errorf(result.BodyTooLarge, "%v", err))
 		return
@@ -123,7 +123,7 @@
 
 func withNode(w http.ResponseWriter, r *http.Request, old settings.Tree, path string) (settings.Tree, error) {
 	var n settings.Node
-	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, mostTree))
+	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxTree))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&n); err != nil {
 		return old, result.Errorf(result.SettingsInvalid, "node %q: %v", path, err)
@@ -179,7 +179,7 @@
 func (t *Tree) history(w http.ResponseWriter, r *http.Request) {
 	count := defaultHistory
 	if n, err := strconv.Atoi(r.URL.Query().Get("count")); err == nil {
-		count = min(max(1, n), mostHistory)
+		count = min(max(1, n), maxHistory)
 	}
 	var lines []line
 	for v := t.Store.Holder.Version(); v > 0 && len(lines) < count; v-- {
--- a/internal/relay/claims/claims.go
+++ b/internal/relay/claims/claims.go
@@ -21,10 +21,10 @@
 	DefaultPartitions = 4
 	DefaultPeriod     = time.Minute
 	DefaultRetain     = 60
-	LeastPace         = 50 * time.Millisecond
+	MinPace           = 50 * time.Millisecond
 	SwapsPerSecond    = 80   // of all entries together
-	mostWaiting       = 4096 // requests per partition
-	mostBatch         = 1024
+	maxWaiting        = 4096 // requests per partition
+	maxBatch          = 1024
 )
 
 var log = logs.For("claims")
@@ -47,7 +47,7 @@
 	if o.Pace > 0 {
 		return o.Pace
 	}
-	return max(LeastPace, time.Duration(o.Entries()*o.Partitions)*time.Second/SwapsPerSecond)
+	return max(MinPace, time.Duration(o.Entries()*o.Partitions)*time.Second/SwapsPerSecond)
 }
 
 // Batcher collects claims. Create it with New.
@@ -83,7 +83,7 @@
 		b.partitions = append(b.partitions, &partition{
 			options:  &b.options,
 			name:     fmt.Sprintf("claims/%d", n),
-			waiting:  make(chan *waiter, mostWaiting),
+			waiting:  make(chan *waiter, maxWaiting),
 			segments: map[string]map[claim.Key]claim.Nonce{},
 		})
 	}
--- a/internal/relay/claims/partition.go
+++ b/internal/relay/claims/partition.go
@@ -34,7 +34,7 @@
 func (p *partition) release(q claim.Request) {
 	q.Release = true
 	p.mu.Lock()
-	if len(p.releases) < mostWaiting {
+	if len(p.releases) < maxWaiting {
 		p.releases = append(p.releases, q)
 	}
 	p.mu.Unlock()
@@ -80,7 +80,7 @@
 
 // gather adds what waits, up to a bound.
 func (p *partition) gather(batch []*waiter) []*waiter {
-	for len(batch) < mostBatch {
+	for len(batch) < maxBatch {
 		select {
 		case w := <-p.waiting:
 			batch = addWaiter(batch, w)
--- a/internal/relay/config/config.go
+++ b/internal/relay/config/config.go
@@ -45,9 +45,9 @@
 	TLS            keys.Files `json:"tls"`
 	Platform       Platform   `json:"platform"`
 	Log            Log        `json:"log"`
-	MostBodyBytes  int        `json:"most_body_bytes"`
-	MostRequests   int        `json:"most_requests"`
-	MostAgents     int        `json:"most_agents"` // connections to agents
+	MaxBodyBytes   int        `json:"most_body_bytes"`
+	MaxRequests    int        `json:"most_requests"`
+	MaxAgents      int        `json:"most_agents"` // connections to agents
 	Fanout         int        `json:"fanout"`
 	StopGraceMS    int        `json:"stop_grace_ms"`    // between not ready and refusing
 	StopTimeoutMS  int        `json:"stop_timeout_ms"`  // for running answers
--- a/internal/relay/endpoint/chat.go
+++ b/internal/relay/endpoint/chat.go
@@ -16,7 +16,7 @@
 
 const (
 	chatPath  = "/v1/chat/completions"
-	mostEvent = 1 << 20
+	maxEvent  = 1 << 20
 	doneEvent = "[DONE]"
 )
 
@@ -150,7 +150,7 @@
 func readEvents(answer *http.Response, k Sink) message.End {
 	end := message.End{Code: result.OK, Run: result.Ran}
 	whole := false
-	for event, err := range sse.Read(answer.Body, &sse.ReadConfig{MaxEventSize: mostEvent}) {
+	for event, err := range sse.Read(answer.Body, &sse.ReadConfig{MaxEventSize: maxEvent}) {
 		if err != nil {
 			return failed(result.Ran, err.Error())
 		}
--- a/internal/relay/endpoint/http.go
+++ b/internal/relay/endpoint/http.go
@@ -20,7 +20,7 @@
 const (
 	dialTimeout = 2 * time.Second
 	readBuffer  = 16 << 10
-	mostIdle    = 1024
+	maxIdle     = 1024
 )
 
 func init() { Drivers.Register("http", newService) }
@@ -54,7 +54,7 @@
 	return &http.Client{
 		Transport: &http.Transport{
 			DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
-			MaxIdleConnsPerHost: mostIdle,
+			MaxIdleConnsPerHost: maxIdle,
 			DisableKeepAlives:   !reuse,
 			DisableCompression:  true,
 		},
--- a/internal/relay/entry/call.go
+++ b/internal/relay/entry/call.go
@@ -10,9 +10,9 @@
 	"foxcross.dev/coord/result"
 )
 
-// mostPending is how many bytes of an answer wait for a slow caller before the
+// maxPending is how many bytes of an answer wait for a slow caller before the
 // agent's stream is no longer read.
-const mostPending = 1 << 20
+const maxPending = 1 << 20
 
 // piece is something to write to the caller: text, data, head or finished.
 type piece interface{ piece() }
@@ -127,7 +127,7 @@
 func (c *call) waitRoom(done <-chan struct{}) {
 	for {
 		c.mu.Lock()
-		full := c.bytes > mostPending && !c.over
+		full := c.bytes > maxPending && !c.over
 		c.mu.Unlock()
 		if !full {
 			return
--- a/internal/relay/entry/entry.go
+++ b/internal/relay/entry/entry.go
@@ -45,7 +45,7 @@
 	Settings   *versions.Holder
 	Metrics    tally.Scope
 	Seed       uint64        // of the choice among equals
-	MostBody   int           // bytes, 0 for DefaultMostBody
+	MaxBody    int           // bytes, 0 for DefaultMostBody
 	Requests   int           // most requests at once, 0 for the default
 	Agents     int           // most agents connected to, 0 for subset.Default
 	Fanout     int           // agents offered at once, 0 for the default
@@ -82,8 +82,8 @@
 
 // New returns an entry that does not run yet.
 func New(o Options) *Entry {
-	if o.MostBody <= 0 {
-		o.MostBody = DefaultMostBody
+	if o.MaxBody <= 0 {
+		o.MaxBody = DefaultMostBody
 	}
 	if o.Agents <= 0 {
 		o.Agents = subset.Default
--- a/internal/relay/entry/handler.go
+++ b/internal/relay/entry/handler.go
@@ -20,11 +20,11 @@
 const (
 	classField = "X-Foxcross-Class"
 	keyField   = "Idempotency-Key"
-	mostKey    = 256
+	maxKey     = 256
 )
 
-// MostHeader is the largest header in bytes that callers may send.
-const MostHeader = 64 << 10
+// MaxHeader is the largest header in bytes that callers may send.
+const MaxHeader = 64 << 10
 
 // Handler returns the routes for callers and the balancer.
 func (e *Entry) Handler() http.Handler {
@@ -107,10 +107,10 @@
 
 // readBody reads a body within the bound.
 func (e *Entry) readBody(w http.ResponseWriter, r *http.Request) ([]byte, *result.Error) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, int64(e.options.MostBody)))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, int64(e.options.MaxBody)))
 	var large *http.MaxBytesError
 	if errors.As(err, &large) {
-		return nil, result.Errorf(result.BodyTooLarge, "at most %d bytes", e.options.MostBody)
+		return nil, result.Errorf(result.BodyTooLarge, "at most %d bytes", e.options.MaxBody)
 	}
 	if err != nil {
 		return nil, result.Errorf(result.BadRequest, "body: %v", err)
@@ -124,8 +124,8 @@
 	if key == "" || k.Terms.Repeatable {
 		return func() {}, nil
 	}
-	if len(key) > mostKey || e.options.Claims == nil {
-		return nil, result.Errorf(result.BadKey, "at most %d bytes", mostKey)
+	if len(key) > maxKey || e.options.Claims == nil {
+		return nil, result.Errorf(result.BadKey, "at most %d bytes", maxKey)
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), k.GiveUp)
 	defer cancel()
--- a/internal/relay/entry/peers.go
+++ b/internal/relay/entry/peers.go
@@ -17,7 +17,7 @@
 const (
 	dialTimeout = 3 * time.Second
 	firstRedial = 50 * time.Millisecond
-	mostRedial  = time.Second
+	maxRedial   = time.Second
 	listTimeout = 2 * time.Second
 	keepAbsent  = time.Minute // an agent missing from the list is kept so long
 )
@@ -98,8 +98,8 @@
 	}
 }
 
-// mostWatchers is how many entries of a data centre watch the settings' root.
-const mostWatchers = 3
+// maxWatchers is how many entries of a data centre watch the settings' root.
+const maxWatchers = 3
 
 // isWatcher tells whether this entry is among the watchers of its data centre.
 // Entries that see different lists may come to different answers; then a few
@@ -116,7 +116,7 @@
 			before++
 		}
 	}
-	return before < mostWatchers
+	return before < maxWatchers
 }
 
 // wanted returns the agents of the entry's subset.
@@ -177,7 +177,7 @@
 func (e *Entry) keepPeer(ctx context.Context, p *peer) {
 	wait := backoff.NewExponentialBackOff()
 	wait.InitialInterval = firstRedial
-	wait.MaxInterval = mostRedial
+	wait.MaxInterval = maxRedial
 	for ctx.Err() == nil {
 		s, h, err := e.dial(ctx, p.address)
 		if err == nil {
--- a/internal/relay/kv/httpkv/client.go
+++ b/internal/relay/kv/httpkv/client.go
@@ -34,7 +34,7 @@
 const (
 	callTimeout = 5 * time.Second
 	dialTimeout = 2 * time.Second
-	mostAnswer  = 16 << 20
+	maxAnswer   = 16 << 20
 )
 
 func init() { kv.Drivers.Register("http", New) }
@@ -84,7 +84,7 @@
 		return answer{}, err
 	}
 	defer func() { _ = response.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(response.Body, mostAnswer))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
 	if err != nil {
 		return answer{}, err
 	}
--- a/internal/relay/link/codec.go
+++ b/internal/relay/link/codec.go
@@ -11,8 +11,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// MostFrame is the largest frame in bytes: a body and its wrapping.
-const MostFrame = 12 << 20
+// MaxFrame is the largest frame in bytes: a body and its wrapping.
+const MaxFrame = 12 << 20
 
 // errFrameTooLarge ends a stream whose peer breaks the bound.
 var errFrameTooLarge = errors.New("link: frame too large")
@@ -84,7 +84,7 @@
 }
 
 func (d *decoder) next() (message.Message, error) {
-	d.bound.left = MostFrame
+	d.bound.left = MaxFrame
 	var v any
 	if err := d.cbor.Decode(&v); err != nil {
 		return nil, err
--- a/internal/relay/link/quic.go
+++ b/internal/relay/link/quic.go
@@ -21,7 +21,7 @@
 	protocol        = "foxcross/1"
 	keepAlive       = 2 * time.Second
 	handshake       = 3 * time.Second
-	mostStreams     = 1 << 14
+	maxStreams      = 1 << 14
 	closeNormal     = quic.ApplicationErrorCode(0)
 	streamCancelled = quic.StreamErrorCode(1)
 )
@@ -31,7 +31,7 @@
 		HandshakeIdleTimeout:       handshake,
 		MaxIdleTimeout:             IdleTimeout,
 		KeepAlivePeriod:            keepAlive,
-		MaxIncomingStreams:         mostStreams,
+		MaxIncomingStreams:         maxStreams,
 		MaxIncomingUniStreams:      -1,
 		InitialStreamReceiveWindow: 64 << 10,
 	}
--- a/internal/relay/versions/store.go
+++ b/internal/relay/versions/store.go
@@ -24,8 +24,8 @@
 )
 
 const (
-	mostRebases = 8
-	mostReads   = 6 // of a root, to learn the outcome of a swap
+	maxRebases = 8
+	maxReads   = 6 // of a root, to learn the outcome of a swap
 )
 
 // Store is the settings in the platform's key-value service.
@@ -144,7 +144,7 @@
 		return settings.Root{}, err
 	}
 	id := s.NewID()
-	for range mostRebases {
+	for range maxRebases {
 		newest, revision, err := s.newest(ctx)
 		if err != nil {
 			return settings.Root{}, err
@@ -313,7 +313,7 @@
 		return storeError(cause)
 	}
 	wait := backoff.NewExponentialBackOff()
-	for range mostReads {
+	for range maxReads {
 		now, err := s.RootAt(ctx, r.Version)
 		var code *result.Error
 		switch {
--- a/internal/testing/caller/caller.go
+++ b/internal/testing/caller/caller.go
@@ -19,7 +19,7 @@
 	"github.com/tmaxmax/go-sse"
 )
 
-const mostEvent = 1 << 20
+const maxEvent = 1 << 20
 
 // Caller sends requests to one entry. The zero Client is the default one.
 type Caller struct {
@@ -71,10 +71,10 @@
 	return client.Do(request)
 }
 
-// mostIdle keeps connections for bursts.
-const mostIdle = 512
+// maxIdle keeps connections for bursts.
+const maxIdle = 512
 
-var shared = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: mostIdle}}
+var shared = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdle}}
 
 // Chat sends a prompt and reads the streamed answer.
 func (c Caller) Chat(ctx context.Context, model, prompt string) Answer {
@@ -101,7 +101,7 @@
 
 func refused(response *http.Response) Answer {
 	a := Answer{Code: result.BadRequest, Retry: response.Header.Get("Retry-After")}
-	data, err := io.ReadAll(io.LimitReader(response.Body, mostEvent))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxEvent))
 	if err != nil {
 		return Answer{Err: err}
 	}
@@ -153,7 +153,7 @@
 	var a Answer
 	var text strings.Builder
 	last := began
-	for event, err := range sse.Read(body, &sse.ReadConfig{MaxEventSize: mostEvent}) {
+	for event, err := range sse.Read(body, &sse.ReadConfig{MaxEventSize: maxEvent}) {
 		if err != nil {
 			a.Err = err
 			break
--- a/internal/testing/deployment/deployment.go
+++ b/internal/testing/deployment/deployment.go
@@ -111,7 +111,7 @@
 	if err != nil {
 		return nil, "", fmt.Errorf("deployment: %w", err)
 	}
-	s := &http.Server{Handler: h, ReadHeaderTimeout: time.Minute, MaxHeaderBytes: entry.MostHeader}
+	s := &http.Server{Handler: h, ReadHeaderTimeout: time.Minute, MaxHeaderBytes: entry.MaxHeader}
 	go func() { _ = s.Serve(l) }() // ends with Close
 	return s, "http://" + l.Addr().String(), nil
 }
--- a/internal/testing/standin/engine.go
+++ b/internal/testing/standin/engine.go
@@ -42,7 +42,7 @@
 }
 
 const (
-	leastAnswer = 8
+	minAnswer   = 8
 	answerRange = 32
 	otherWord   = 7919 // a prime, to make neighbouring words differ
 )
@@ -56,7 +56,7 @@
 		_, _ = h.Write([]byte(m + "\x00")) // a hash never fails
 	}
 	seed := h.Sum64()
-	count := leastAnswer + int(seed%answerRange)
+	count := minAnswer + int(seed%answerRange)
 	if most > 0 {
 		count = most
 	}
--- a/internal/testing/standin/store.go
+++ b/internal/testing/standin/store.go
@@ -14,8 +14,8 @@
 	"foxcross.dev/foxcross/internal/storeerr"
 )
 
-// MostValue is the largest value in bytes that the store takes.
-const MostValue = 1 << 20
+// MaxValue is the largest value in bytes that the store takes.
+const MaxValue = 1 << 20
 
 // Faults are what can go wrong with the store.
 type Faults struct {
@@ -218,7 +218,7 @@
 	if err := s.enter(ctx, func(c *Calls) { c.Swaps++ }); err != nil {
 		return 0, err
 	}
-	if len(data) > MostValue {
+	if len(data) > MaxValue {
 		return 0, errTooLarge
 	}
 	s.mu.Lock()
--- a/internal/testing/standin/storehttp.go
+++ b/internal/testing/standin/storehttp.go
@@ -21,8 +21,8 @@
 	errTooLarge = errors.New("standin: the value is too large")
 )
 
-// mostWatch is how long a watch waits over HTTP before it is asked again.
-const mostWatch = 30 * time.Second
+// maxWatch is how long a watch waits over HTTP before it is asked again.
+const maxWatch = 30 * time.Second
 
 // Handler serves the store over HTTP, as package httpkv describes it.
 func (s *Store) Handler() http.Handler {
@@ -51,7 +51,7 @@
 	var v kv.Value
 	var err error
 	if after := r.URL.Query().Get("after"); after != "" {
-		timer := time.AfterFunc(mostWatch, func() {
+		timer := time.AfterFunc(maxWatch, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			s.wake(keyOf(r))
@@ -70,7 +70,7 @@
 }
 
 func (s *Store) servePut(w http.ResponseWriter, r *http.Request) {
-	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MostValue))
+	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxValue))
 	if err != nil {
 		http.Error(w, errTooLarge.Error(), http.StatusRequestEntityTooLarge)
 		return
--- a/internal/workers/pool.go
+++ b/internal/workers/pool.go
@@ -60,13 +60,13 @@
 	}
 }
 
-// mostIdle is how many workers wait for jobs; the others end.
-const mostIdle = 64
+// maxIdle is how many workers wait for jobs; the others end.
+const maxIdle = 64
 
 func (p *Pool) park(w chan func()) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.closed || len(p.idle) >= mostIdle {
+	if p.closed || len(p.idle) >= maxIdle {
 		p.all--
 		return false
 	}
