--- a/coord/placement/admit.go
+++ b/coord/placement/admit.go
@@ -1,32 +1,61 @@
+// Whether a request is sent where Choose would send it, or refused for now.
+//
+// Rule: only long prompts are refused. One is refused if it would wait longer than
+// its first-event target, or, once half of the service's slots are busy, if it would
+// wait longer than a quarter of it or harm more than one request. What comes late
+// earns little and delays everything behind it.
+// Inputs: the estimates of a Choice, the request's target, the time to its deadline.
+// Unit: waits in first-event targets; harm in requests.
+// Never: a short prompt or a call of a plain service is not refused here; nothing
+// is refused because of its class or team.
+// Measured: docs/EXPERIMENTS.md 12 and 16.
+
 package placement
 
 import "time"
 
-// Bounds beyond which a long prompt is refused. What comes late earns little
-// and keeps all others waiting.
 const (
-	admitAims   = 1.0  // aims that it may wait
-	crowdedFrom = 0.5  // share of the service's slots that are taken, from which the service is crowded
-	crowdedAims = 0.25 // aims that it may wait at a crowded service
-	crowdedHarm = 1.0  // requests that it may harm there
-	crowdedWait = 700 * time.Millisecond
+	// maxWaitTargets is the longest admitted wait, in first-event targets. 2.5 was
+	// worse than 1.0: EXPERIMENTS 12.
+	maxWaitTargets = 1.0
+	// crowdedShare is the share of busy slots from which the service counts as
+	// crowded. 0.35 is within noise: EXPERIMENTS 16.
+	crowdedShare = 0.5
+	// crowdedWaitTargets is the longest admitted wait at a crowded service, in
+	// first-event targets. 0.1 is within noise: EXPERIMENTS 16.
+	crowdedWaitTargets = 0.25
+	// crowdedHarm is the most harm that is admitted at a crowded service, in
+	// requests. 0.3 is within noise: EXPERIMENTS 16.
+	crowdedHarm = 1.0
+	// crowdedRetryAfter is when a request refused at a crowded service may come back.
+	// Chosen, not measured.
+	crowdedRetryAfter = 700 * time.Millisecond
+	// maxRetryShare is the share of the time to its deadline that a refused caller is
+	// told to wait at the most, as one part in so many. Chosen, not measured.
+	maxRetryShare = 4
 )
 
-// Admit tells whether a request is to be sent where Choose would send it. If
-// not, it returns when the prompts that wait there now will have been read.
-func (c Choice) Admit(j Job, left time.Duration) (retryAfter time.Duration, ok bool) {
-	if !c.Long || j.Aim <= 0 {
+// Admit tells whether a request is to be sent to the chosen endpoint. If not, it
+// returns when to come back: when the prompts that wait there will have been
+// computed. left is the time to the request's deadline.
+func (c Choice) Admit(r Request, left time.Duration) (retryAfter time.Duration, ok bool) {
+	if !c.Long || r.FirstToken <= 0 {
 		return 0, true
 	}
 	wait := time.Duration(c.WaitMS * float64(time.Millisecond))
-	if wait > time.Duration(admitAims*float64(j.Aim)) {
-		return min(wait-j.Aim/2, left/4), false
+	if wait > targets(maxWaitTargets, r) {
+		return min(wait-r.FirstToken/2, left/maxRetryShare), false
 	}
-	if c.Taken < crowdedFrom {
+	if c.BusyShare < crowdedShare {
 		return 0, true
 	}
-	if wait > time.Duration(crowdedAims*float64(j.Aim)) || c.Terms.Harm > crowdedHarm {
-		return min(crowdedWait, left/4), false
+	if wait > targets(crowdedWaitTargets, r) || c.Terms.Harm > crowdedHarm {
+		return min(crowdedRetryAfter, left/maxRetryShare), false
 	}
 	return 0, true
 }
+
+// targets returns a multiple of the request's first-event target.
+func targets(n float64, r Request) time.Duration {
+	return time.Duration(n * float64(r.FirstToken))
+}
--- /dev/null
+++ b/coord/placement/attempts.go
@@ -0,0 +1,180 @@
+// What a table learns from the events of attempts. An attempt is sent (Place), has
+// its first event (FirstEvent), perhaps further ones (NextEvent, known only of this
+// entry's streams), and ends (End). Other entries tell theirs; what they tell may
+// come late or not at all, so attempts of others are also forgotten with their
+// owner (DropOwner) and some time after their deadline (Expire).
+
+package placement
+
+import "time"
+
+const (
+	// expirySlack is how long after its deadline an attempt of another entry is
+	// forgotten if its end was not heard. Chosen, not measured: above the delay of
+	// the messages between entries.
+	expirySlack = time.Second
+	// unknownTimeLeft stands for the deadline of an attempt that names none. Chosen,
+	// not measured.
+	unknownTimeLeft = 60 * time.Second
+)
+
+// Place records that a request was sent to an endpoint, by this entry or another.
+// An unknown endpoint, an id that is open, and what is beyond the table's bound are
+// passed over.
+func (t *Table) Place(now time.Time, id AttemptID, endpointID string, r Request) {
+	e := t.endpoints[endpointID]
+	if e == nil || e.attempts[id] != nil || len(t.byAttempt) >= maxAttempts {
+		return
+	}
+	if t.byAttempt == nil {
+		t.byAttempt = map[AttemptID]*endpoint{}
+	}
+	t.byAttempt[id] = e
+	service := t.service(e.Service)
+	baseMS, perTokenMS := service.prefill.line()
+	tokens := e.cache.uncached(r.Prompt)
+	prefillMS := float64(tokens) * perTokenMS
+	a := &attempt{
+		request:       r,
+		own:           id.Owner == t.Self,
+		sentAt:        now,
+		prefillTokens: tokens,
+		expectedMS:    baseMS + e.waitMS(now, r.Priority) + prefillMS*e.slowdown,
+		alone:         e.backlogMS(now) == 0,
+	}
+	if a.own && e.ownStreams() == 0 {
+		e.lastEvent = now
+	}
+	e.attempts[id] = a
+	e.tokens += r.Prompt.Tokens + r.Prompt.Out()
+	if e.Engine {
+		t.placePrompt(now, service, e, a, prefillMS)
+	}
+}
+
+// placePrompt records the prompt of an attempt at an engine.
+func (t *Table) placePrompt(now time.Time, s *service, e *endpoint, a *attempt, prefillMS float64) {
+	e.backlog.ms[level(a.request.Priority)] += prefillMS
+	e.lastSent = now
+	e.addPrefill(now, prefillMS)
+	e.cache.use(a.request.Prompt, cacheMemory(s.MemoryTokens, e.tokens))
+	t.remember(now, a.request.Prompt)
+	s.pool.add(now, prefillMS, s.isLong(prefillMS))
+}
+
+// FirstEvent records the first event of an attempt, which ends its prefill.
+func (t *Table) FirstEvent(now time.Time, id AttemptID) {
+	e := t.byAttempt[id]
+	if e == nil {
+		return
+	}
+	a := e.attempts[id]
+	if !a.waiting() {
+		return
+	}
+	a.firstAt = now
+	a.lastAt = now
+	a.backlogMS = e.backlogMS(now)
+	if !e.Engine {
+		return
+	}
+	observedMS := milliseconds(now.Sub(a.sentAt))
+	if a.alone && a.own {
+		t.service(e.Service).prefill.observe(a.prefillTokens, observedMS/e.slowdown)
+	}
+	if a.own {
+		e.lastEvent = now
+	}
+	e.updateSlowdown(a.expectedMS, observedMS)
+	t.boundBacklog(now, e)
+}
+
+// NextEvent records a later event of a stream of this entry. The interval since the
+// event before counts as undisturbed if no prompt waited meanwhile, as beside
+// prefill if prompts waited all the time, and else not at all.
+func (t *Table) NextEvent(now time.Time, id AttemptID) {
+	e := t.byAttempt[id]
+	if e == nil {
+		return
+	}
+	a := e.attempts[id]
+	if a.waiting() {
+		return
+	}
+	e.lastEvent = now
+	intervalMS := milliseconds(now.Sub(a.lastAt))
+	backlogMS := e.backlogMS(now)
+	service := t.service(e.Service)
+	switch {
+	case a.backlogMS >= intervalMS:
+		service.besidePrefill.observe(intervalMS / e.slowdown)
+	case a.backlogMS == 0 && backlogMS == 0 && e.lastSent.Before(a.lastAt):
+		service.undisturbed.observe(intervalMS / e.slowdown)
+	}
+	a.lastAt = now
+	a.backlogMS = backlogMS
+}
+
+// End records that an attempt has ended.
+func (t *Table) End(now time.Time, id AttemptID, o Outcome) {
+	if e := t.remove(now, id, o); e != nil {
+		t.boundBacklog(now, e)
+	}
+}
+
+// remove takes an ended attempt off its endpoint. It returns the endpoint if it is
+// an engine that has not finished the attempt's prefill, else nil.
+func (t *Table) remove(now time.Time, id AttemptID, o Outcome) *endpoint {
+	e := t.byAttempt[id]
+	if e == nil {
+		return nil
+	}
+	a := e.attempts[id]
+	delete(t.byAttempt, id)
+	delete(e.attempts, id)
+	e.tokens -= a.request.Prompt.Tokens + a.request.Prompt.Out()
+	e.record(now, o)
+	if !e.Engine || !a.waiting() {
+		return nil
+	}
+	return e
+}
+
+// boundBacklog lowers the backlog of an engine to the prompts that wait there.
+func (t *Table) boundBacklog(now time.Time, e *endpoint) {
+	_, perTokenMS := t.service(e.Service).prefill.line()
+	e.boundBacklog(now, perTokenMS)
+}
+
+// DropOwner forgets the attempts of an entry that is gone.
+func (t *Table) DropOwner(now time.Time, owner uint64) {
+	t.abandon(now, func(id AttemptID, _ *attempt) bool { return id.Owner == owner })
+}
+
+// Expire forgets the attempts of other entries whose deadline has passed: the
+// messages of their ends were lost.
+func (t *Table) Expire(now time.Time) {
+	t.abandon(now, func(_ AttemptID, a *attempt) bool {
+		left := a.request.TimeLeft
+		if left <= 0 {
+			left = unknownTimeLeft
+		}
+		return !a.own && now.Sub(a.sentAt) > left+expirySlack
+	})
+}
+
+// abandon forgets the attempts that are picked.
+func (t *Table) abandon(now time.Time, picked func(AttemptID, *attempt) bool) {
+	changed := map[*endpoint]bool{}
+	for id, e := range t.byAttempt {
+		if !picked(id, e.attempts[id]) {
+			continue
+		}
+		if waited := t.remove(now, id, Abandoned); waited != nil {
+			changed[waited] = true
+		}
+	}
+	for e := range changed {
+		t.boundBacklog(now, e)
+	}
+}
--- a/coord/placement/bench_test.go
+++ b/coord/placement/bench_test.go
@@ -17,20 +17,20 @@
 	var t placement.Table
 	t.Self = 1
 	t.ReuseLife = 10 * time.Second
-	t.SetServices([]placement.Service{{Name: "pool", MemoryTokens: 500_000, EventTokens: 6, Pause: 150 * time.Millisecond}})
+	t.SetServices([]placement.Service{{Name: "pool", MemoryTokens: 500_000, EventTokens: 6, BetweenTokens: 150 * time.Millisecond}})
 	list := make([]placement.Endpoint, endpoints)
 	for n := range list {
 		list[n] = placement.Endpoint{ID: fmt.Sprint("i-", n), Service: "pool", Slots: 48, Engine: true}
 	}
 	t.SetEndpoints(list)
 	random := rand.New(rand.NewPCG(1, 2))
-	job := func(n int) placement.Job {
+	job := func(n int) placement.Request {
 		tokens := 600
 		if n%4 == 0 {
 			tokens = 6000
 		}
-		return placement.Job{
-			Service: "pool", Aim: 250 * time.Millisecond, Pause: 150 * time.Millisecond, Priority: n % 3,
+		return placement.Request{
+			Service: "pool", FirstToken: 250 * time.Millisecond, BetweenTokens: 150 * time.Millisecond, Priority: n % 3,
 			Prompt: placement.Prompt{Tokens: tokens, MaxOut: 300, Parts: []placement.Part{{ID: uint64(n % 50), Tokens: 200}, {ID: uint64(1000 + n), Tokens: tokens - 200}}},
 		}
 	}
@@ -40,9 +40,9 @@
 		if !ok {
 			b.Fatal("no endpoint")
 		}
-		id := placement.JobID{Owner: 1, Number: uint64(n)}
+		id := placement.AttemptID{Owner: 1, Number: uint64(n)}
 		t.Place(now, id, c.Endpoint.ID, job(n))
-		t.Begin(now.Add(20*time.Millisecond), id)
+		t.FirstEvent(now.Add(20*time.Millisecond), id)
 	}
 	for n := range running {
 		place(n)
@@ -50,6 +50,6 @@
 	b.ReportAllocs()
 	for n := running; b.Loop(); n++ {
 		place(n)
-		t.End(now, placement.JobID{Owner: 1, Number: uint64(n - running)}, placement.Succeeded)
+		t.End(now, placement.AttemptID{Owner: 1, Number: uint64(n - running)}, placement.Succeeded)
 	}
 }
--- a/coord/placement/dump.go
+++ b/coord/placement/dump.go
@@ -6,33 +6,34 @@
 	"time"
 )
 
-// EndpointState is what is believed of one endpoint, for operators.
+// EndpointState is what is believed of one endpoint, for operators. The JSON names
+// are those of the state dump.
 type EndpointState struct {
-	ID         string  `json:"id"`
-	Service    string  `json:"service"`
-	DataCentre string  `json:"data_centre"`
-	Leaving    bool    `json:"leaving,omitempty"`
-	Requests   int     `json:"requests"`
-	ReadingMS  float64 `json:"reading_ms"` // until no prompt waits
-	Factor     float64 `json:"factor"`     // slowness, 1 for as expected
-	Errors     float64 `json:"errors"`     // share of recent requests that failed
-	Kept       int     `json:"kept_tokens"`
+	ID           string  `json:"id"`
+	Service      string  `json:"service"`
+	DataCentre   string  `json:"data_centre"`
+	Leaving      bool    `json:"leaving,omitempty"`
+	Requests     int     `json:"requests"`    // open attempts of all entries
+	BacklogMS    float64 `json:"reading_ms"`  // until no prompt waits for prefill
+	Slowdown     float64 `json:"factor"`      // 1 for as fast as expected
+	Failures     float64 `json:"errors"`      // decayed share of recent attempts that failed
+	CachedTokens int     `json:"kept_tokens"` // of prompt prefixes
 }
 
 // States returns what is believed of all endpoints, by service and id.
 func (t *Table) States(now time.Time) []EndpointState {
 	all := make([]EndpointState, 0, len(t.endpoints))
-	for _, s := range t.endpoints {
+	for _, e := range t.endpoints {
 		all = append(all, EndpointState{
-			ID:         s.ID,
-			Service:    s.Service,
-			DataCentre: s.DataCentre,
-			Leaving:    s.Leaving,
-			Requests:   len(s.jobs),
-			ReadingMS:  s.reading(now),
-			Factor:     s.factor,
-			Errors:     s.errors,
-			Kept:       s.cache.tokens,
+			ID:           e.ID,
+			Service:      e.Service,
+			DataCentre:   e.DataCentre,
+			Leaving:      e.Leaving,
+			Requests:     len(e.attempts),
+			BacklogMS:    e.backlogMS(now),
+			Slowdown:     e.slowdown,
+			Failures:     e.failures,
+			CachedTokens: e.cache.tokens,
 		})
 	}
 	slices.SortFunc(all, func(a, b EndpointState) int {
--- a/coord/placement/golden_test.go
+++ b/coord/placement/golden_test.go
@@ -20,8 +20,8 @@
 	const requests = 900
 	table := fleetOf(12)
 	table.SetServices([]placement.Service{
-		{Name: "pool", MemoryTokens: 120_000, EventTokens: 6, Pause: 150 * time.Millisecond, Most: 40},
-		{Name: "app", Most: 20},
+		{Name: "pool", MemoryTokens: 120_000, EventTokens: 6, BetweenTokens: 150 * time.Millisecond, MaxRequests: 40},
+		{Name: "app", MaxRequests: 20},
 	})
 	endpoints := engines(12)
 	endpoints[3].DataCentre = "zone-2"
@@ -35,19 +35,19 @@
 	var got strings.Builder
 	for n := range requests {
 		now = now.Add(time.Duration(1+n%9) * time.Millisecond)
-		q := recordedJob(n, random)
+		q := recordedRequest(n, random)
 		c, ok := table.Choose(now, q, func(id string) bool { return n%11 == 0 && id == "e-1" }, random)
 		if !ok {
 			fmt.Fprintf(&got, "%d none\n", n)
 			continue
 		}
-		retry, admitted := c.Admit(q, q.Left)
+		retry, admitted := c.Admit(q, q.TimeLeft)
 		fmt.Fprintf(&got, "%d %s cost=%.3f wait=%.1f first=%.1f read=%d again=%d long=%t pool=%d taken=%.3f factor=%.3f admitted=%t retry=%s terms=%.3f\n",
-			n, c.Endpoint.ID, c.Cost, c.WaitMS, c.FirstMS, c.Uncached, c.Again, c.Long, c.Pool, c.Taken, c.Factor, admitted, retry.Round(time.Millisecond), c.Terms)
+			n, c.Endpoint.ID, c.Cost, c.WaitMS, c.FirstMS, c.PrefillTokens, c.RereadTokens, c.Long, c.PoolSize, c.BusyShare, c.Slowdown, admitted, retry.Round(time.Millisecond), c.Terms)
 		if !admitted {
 			continue
 		}
-		id := placement.JobID{Owner: 1 + uint64(n%2), Number: uint64(n)}
+		id := placement.AttemptID{Owner: 1 + uint64(n%2), Number: uint64(n)}
 		table.Place(now, id, c.Endpoint.ID, q)
 		begins := now.Add(time.Duration((c.FirstMS + slow(c.Endpoint.ID, q)) * float64(time.Millisecond)))
 		open = append(open, run{id: id, number: n, begins: begins, ends: begins.Add(time.Duration(300+n%500) * time.Millisecond)})
@@ -64,7 +64,7 @@
 		}
 	}
 	for _, s := range table.States(now) {
-		fmt.Fprintf(&got, "%s requests=%d reading=%.1f factor=%.3f errors=%.3f kept=%d\n", s.ID, s.Requests, s.ReadingMS, s.Factor, s.Errors, s.Kept)
+		fmt.Fprintf(&got, "%s requests=%d reading=%.1f factor=%.3f errors=%.3f kept=%d\n", s.ID, s.Requests, s.BacklogMS, s.Slowdown, s.Failures, s.CachedTokens)
 	}
 	if os.Getenv("UPDATE_GOLDEN") != "" {
 		if err := os.WriteFile(decisionsFile, []byte(got.String()), 0o644); err != nil {
@@ -85,7 +85,7 @@
 
 // slow returns by how many ms the first event is later than expected: one engine
 // reads at a third of the speed, and each event takes its way.
-func slow(endpoint string, q placement.Job) float64 {
+func slow(endpoint string, q placement.Request) float64 {
 	const way, perToken = 3, 0.04
 	if endpoint != "e-2" {
 		return way
@@ -93,10 +93,10 @@
 	return way + perToken*float64(q.Prompt.Tokens)
 }
 
-// recordedJob returns the nth request: short chats, long prompts that share
+// recordedRequest returns the nth request: short chats, long prompts that share
 // their beginnings, and calls of a plain service.
-func recordedJob(n int, random *rand.Rand) placement.Job {
-	var q placement.Job
+func recordedRequest(n int, random *rand.Rand) placement.Request {
+	var q placement.Request
 	switch n % 5 {
 	case 0:
 		q = chat(uint64(1000 + n))
@@ -104,17 +104,17 @@
 		q = plan(uint64(50+random.IntN(4)), uint64(1000+n))
 	case 3:
 		q = chat(uint64(1000 + n))
-		q.Priority, q.Pause, q.Aim = 5, 0, 400*time.Millisecond
+		q.Priority, q.BetweenTokens, q.FirstToken = 5, 0, 400*time.Millisecond
 	default:
-		q = placement.Job{Service: "app", Aim: 300 * time.Millisecond}
+		q = placement.Request{Service: "app", FirstToken: 300 * time.Millisecond}
 	}
-	q.Left = 12 * time.Second
+	q.TimeLeft = 12 * time.Second
 	return q
 }
 
 // run is an open request of the recorded series.
 type run struct {
-	id     placement.JobID
+	id     placement.AttemptID
 	number int
 	begins time.Time // its first event
 	heard  bool
@@ -132,11 +132,11 @@
 	for _, r := range open {
 		if !r.heard && !now.Before(r.begins) {
 			r.heard = true
-			table.Begin(r.begins, r.id)
+			table.FirstEvent(r.begins, r.id)
 		}
 		if now.Before(r.ends) {
 			if r.heard {
-				table.Hear(now, r.id)
+				table.NextEvent(now, r.id)
 			}
 			left = append(left, r)
 			continue
--- /dev/null
+++ b/coord/placement/home.go
@@ -0,0 +1,41 @@
+// Where a prompt prefix goes that no endpoint is known to cache.
+//
+// Rule: each shared prefix has a home, the endpoint that comes first by rendezvous
+// hashing among those for prompts of its length (the pool, or the rest). Sending the
+// prompt elsewhere costs homeShare of computing the prefix again (cost.go). So
+// entries that have heard nothing of each other, as after a restart of all, still
+// send one prefix to one endpoint.
+// Inputs: the prompt's shared parts, the endpoints, the pool's size.
+// Never: a home is no more than a preference; a leaving endpoint is no home.
+// Measured: docs/EXPERIMENTS.md 19.
+
+package placement
+
+import (
+	"math"
+
+	"foxcross.dev/coord/rendezvous"
+)
+
+// home returns the home of a prompt's shared parts, nil if it shares nothing.
+func (t *Table) home(s *service, p Prompt, poolSize int) *endpoint {
+	shared := p.shared()
+	if len(shared) == 0 {
+		return nil
+	}
+	_, perTokenMS := s.prefill.line()
+	long := s.isLong(float64(p.Tokens) * perTokenMS)
+	prefix := shared[len(shared)-1].ID
+	var home *endpoint
+	lowest := uint64(math.MaxUint64)
+	for n, e := range s.endpoints {
+		inPool := n < poolSize
+		if e.Leaving || poolSize > 0 && inPool != long {
+			continue
+		}
+		if rank := rendezvous.Rank(prefix, e.hash); rank < lowest {
+			home, lowest = e, rank
+		}
+	}
+	return home
+}
--- a/coord/placement/placement.go
+++ b/coord/placement/placement.go
@@ -1,8 +1,20 @@
-// Package placement decides which endpoint takes a request. It keeps what is
-// known of each endpoint (the work placed there by every entry, the parts of
-// prompts it keeps, how fast it has proved) and chooses the endpoint where a
-// request is expected to cost least: in its own lateness, in the harm to the
-// requests beside it, and in prompt tokens that are read again.
+// Package placement decides which endpoint takes a request, for entries that
+// forward straight to endpoints. A Table keeps what one entry knows of every
+// endpoint: the attempts that all entries have sent there, the prompt prefixes it
+// caches, how fast it answers and how often it fails.
+//
+// The rules, each in a file of its own:
+//
+//   - cost.go: what it would cost to send a request to an endpoint;
+//   - choose.go: the endpoint of lowest cost among those that may be tried;
+//   - admit.go: whether the request is sent there or refused for now;
+//   - pool.go: how many endpoints long prompts are kept to;
+//   - home.go: where a prompt prefix goes that nobody is known to cache;
+//   - health.go: when an endpoint counts as slow, silent, failing, or back.
+//
+// What they learn from stands in attempts.go (events of attempts), backlog.go
+// (prompts waiting for prefill), prefill.go (time to the first event by prompt
+// length), interval.go (time between events) and prefixcache.go.
 //
 // Nothing here does I/O, starts a goroutine or reads a clock.
 package placement
@@ -10,18 +22,19 @@
 import "time"
 
 // Part is a piece of a prompt. Requests that share their first parts can reuse
-// what an engine has read of them.
+// what an engine has computed for them.
 type Part struct {
 	ID     uint64 `cbor:"1,keyasint"`
 	Tokens int    `cbor:"2,keyasint"`
 }
 
-// Prompt is what a request says of its prompt and of its answer's length.
+// Prompt is what a request says of its prompt and of its answer's length, in
+// tokens. The last part is the request's own; the others may be shared.
 type Prompt struct {
 	Tokens    int    `cbor:"1,keyasint,omitempty"`
 	MaxOut    int    `cbor:"2,keyasint,omitempty"`
 	LikelyOut int    `cbor:"3,keyasint,omitempty"` // the caller's guess, 0 for none
-	Parts     []Part `cbor:"4,keyasint,omitempty"` // in order; the last is the request's own
+	Parts     []Part `cbor:"4,keyasint,omitempty"` // in order
 }
 
 // Out returns the tokens that the answer is expected to have.
@@ -32,56 +45,64 @@
 	return p.MaxOut
 }
 
+// shared returns the parts that other requests may have too.
+func (p Prompt) shared() []Part { return p.Parts[:max(len(p.Parts)-1, 0)] }
+
 // Endpoint is an endpoint as the list of endpoints describes it.
 type Endpoint struct {
-	ID         string `cbor:"1,keyasint"` // of one start of the endpoint
+	ID         string `cbor:"1,keyasint"` // changes with each start of the endpoint
 	Service    string `cbor:"2,keyasint"`
 	Address    string `cbor:"3,keyasint"`
 	DataCentre string `cbor:"4,keyasint,omitempty"`
-	Slots      int    `cbor:"5,keyasint,omitempty"` // requests at once, 0 for not known
-	Leaving    bool   `cbor:"6,keyasint,omitempty"` // takes nothing new
+	Slots      int    `cbor:"5,keyasint,omitempty"` // requests that run at once, 0 for unknown
+	Leaving    bool   `cbor:"6,keyasint,omitempty"` // takes no new requests
 	Engine     bool   `cbor:"7,keyasint,omitempty"` // runs a language model
 }
 
 // Service is what the settings say of the endpoints of a service.
 type Service struct {
-	Name         string
-	MemoryTokens int           // that one engine keeps, 0 for not known
-	Most         int           // requests that one endpoint is given at once, 0 for no bound
-	EventTokens  int           // that one event of a stream holds
-	Pause        time.Duration // the shortest pause between events that a class of the service allows
+	Name          string
+	MemoryTokens  int           // tokens that one engine keeps in memory, 0 for unknown
+	MaxRequests   int           // open requests that one endpoint is given, 0 for no bound
+	EventTokens   int           // tokens in one event of a stream
+	BetweenTokens time.Duration // strictest target between events among the service's classes, 0 for none
 }
 
-// JobID names a placed request among all entries.
-type JobID struct {
-	Owner  uint64 `cbor:"1,keyasint"` // one life of an entry
-	Number uint64 `cbor:"2,keyasint"`
+// AttemptID names one send of a request to an endpoint, among all entries.
+type AttemptID struct {
+	Owner  uint64 `cbor:"1,keyasint"` // incarnation of the entry that sent it
+	Number uint64 `cbor:"2,keyasint"` // counted by that entry
 }
 
-// Job is a request as placement sees it.
-type Job struct {
-	Service  string        `cbor:"1,keyasint"`
-	Prompt   Prompt        `cbor:"2,keyasint"`
-	Aim      time.Duration `cbor:"3,keyasint,omitempty"` // until the first event or the answer
-	Pause    time.Duration `cbor:"4,keyasint,omitempty"` // between events, 0 for no stream
-	Priority int           `cbor:"5,keyasint,omitempty"` // 0 first
-	Left     time.Duration `cbor:"6,keyasint,omitempty"` // until its time is over, 0 for not known
+// Request is a request as placement sees it.
+type Request struct {
+	Service       string        `cbor:"1,keyasint"`
+	Prompt        Prompt        `cbor:"2,keyasint"`
+	FirstToken    time.Duration `cbor:"3,keyasint,omitempty"` // target for the first event, or for a whole answer
+	BetweenTokens time.Duration `cbor:"4,keyasint,omitempty"` // target between events, 0 for no stream
+	Priority      int           `cbor:"5,keyasint,omitempty"` // 0 is the most urgent
+	TimeLeft      time.Duration `cbor:"6,keyasint,omitempty"` // until its deadline, 0 for unknown
 }
 
-// Outcome is how a placed request ended.
+// firstTokenMS returns the target for the first event, at least one millisecond.
+func (r Request) firstTokenMS() float64 { return max(milliseconds(r.FirstToken), 1) }
+
+// Outcome is how an attempt ended.
 type Outcome uint8
 
-// The outcomes.
+// The outcomes. Their numbers travel between entries.
 const (
 	Succeeded   Outcome = iota
-	Abandoned           // the caller left or the time ran out
-	Rejected            // the endpoint did not run it
+	Abandoned           // the caller left or the deadline passed
+	Rejected            // the endpoint said that it did not run the request
 	Errored             // the endpoint answered with a failure of its own
-	Broken              // the connection failed or brought no proper answer
-	Unreachable         // no connection came up
+	Broken              // the connection failed or brought no valid answer
+	Unreachable         // no connection was established
 )
 
-// bad tells whether the outcome speaks against the endpoint.
-func (o Outcome) bad() bool {
+// failed tells whether the outcome speaks against the endpoint.
+func (o Outcome) failed() bool {
 	return o == Errored || o == Broken || o == Unreachable || o == Rejected
 }
+
+func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/coord/placement/placement_test.go
+++ b/coord/placement/placement_test.go
@@ -28,7 +28,7 @@
 // fleetOf returns a table of engines.
 func fleetOf(n int) *placement.Table {
 	t := &placement.Table{DataCentre: "zone-1", Self: self, ReuseLife: 10 * time.Second}
-	t.SetServices([]placement.Service{{Name: "pool", MemoryTokens: 500_000, EventTokens: 6, Pause: 150 * time.Millisecond}})
+	t.SetServices([]placement.Service{{Name: "pool", MemoryTokens: 500_000, EventTokens: 6, BetweenTokens: 150 * time.Millisecond}})
 	t.SetEndpoints(engines(n))
 	return t
 }
@@ -44,24 +44,24 @@
 }
 
 // chat is a short request whose pauses matter.
-func chat(own uint64) placement.Job {
-	return placement.Job{
-		Service: "pool", Aim: 250 * time.Millisecond, Pause: 150 * time.Millisecond,
+func chat(own uint64) placement.Request {
+	return placement.Request{
+		Service: "pool", FirstToken: 250 * time.Millisecond, BetweenTokens: 150 * time.Millisecond,
 		Prompt: placement.Prompt{Tokens: 700, LikelyOut: 300, Parts: []placement.Part{{ID: 7, Tokens: 100}, {ID: own, Tokens: 600}}},
 	}
 }
 
 // plan is a long request.
-func plan(subject, own uint64) placement.Job {
-	return placement.Job{
-		Service: "pool", Aim: 2 * time.Second, Pause: 600 * time.Millisecond, Priority: 2,
+func plan(subject, own uint64) placement.Request {
+	return placement.Request{
+		Service: "pool", FirstToken: 2 * time.Second, BetweenTokens: 600 * time.Millisecond, Priority: 2,
 		Prompt: placement.Prompt{Tokens: 12_000, LikelyOut: 380, Parts: []placement.Part{{ID: subject, Tokens: 5_000}, {ID: own, Tokens: 7_000}}},
 	}
 }
 
 func never(string) bool { return false }
 
-func choose(t *placement.Table, now time.Time, j placement.Job) placement.Choice {
+func choose(t *placement.Table, now time.Time, j placement.Request) placement.Choice {
 	c, ok := t.Choose(now, j, never, rand.New(rand.NewPCG(1, 2)))
 	Expect(ok).To(BeTrue())
 	return c
@@ -84,12 +84,12 @@
 	It("brings a prompt to where its shared part is kept, whoever placed it there", func() {
 		t := fleetOf(8)
 		first := choose(t, origin, plan(100, 1)).Endpoint.ID
-		t.Place(origin, placement.JobID{Owner: other, Number: 1}, first, plan(100, 1))
-		t.Begin(origin.Add(300*time.Millisecond), placement.JobID{Owner: other, Number: 1})
+		t.Place(origin, placement.AttemptID{Owner: other, Number: 1}, first, plan(100, 1))
+		t.FirstEvent(origin.Add(300*time.Millisecond), placement.AttemptID{Owner: other, Number: 1})
 		c := choose(t, origin.Add(time.Second), plan(100, 2))
 		Expect(c.Endpoint.ID).To(Equal(first))
-		Expect(c.Uncached).To(Equal(7_000))
-		Expect(c.Again).To(BeZero())
+		Expect(c.PrefillTokens).To(Equal(7_000))
+		Expect(c.RereadTokens).To(BeZero())
 	})
 
 	It("brings a shared part to the same endpoint after all knowledge was lost", func() {
@@ -106,7 +106,7 @@
 	It("rather lets a prompt wait a little than reads its shared part again", func() {
 		t := fleetOf(2)
 		first := choose(t, origin, plan(100, 1)).Endpoint.ID
-		t.Place(origin, placement.JobID{Owner: other, Number: 1}, first, plan(100, 1))
+		t.Place(origin, placement.AttemptID{Owner: other, Number: 1}, first, plan(100, 1))
 		c := choose(t, origin.Add(10*time.Millisecond), plan(100, 3))
 		Expect(c.WaitMS).To(BeNumerically(">", 100))
 		Expect(c.Endpoint.ID).To(Equal(first))
@@ -115,9 +115,9 @@
 	It("keeps a long prompt away from running streams whose pauses it would break", func() {
 		t := fleetOf(2)
 		for n := range 4 {
-			id := placement.JobID{Owner: other, Number: uint64(n + 1)}
+			id := placement.AttemptID{Owner: other, Number: uint64(n + 1)}
 			t.Place(origin, id, "e-0", chat(uint64(n+10)))
-			t.Begin(origin.Add(40*time.Millisecond), id)
+			t.FirstEvent(origin.Add(40*time.Millisecond), id)
 		}
 		Expect(choose(t, origin.Add(50*time.Millisecond), plan(100, 1)).Endpoint.ID).To(Equal("e-1"))
 	})
@@ -125,7 +125,7 @@
 	It("keeps a short request away from where long prompts come in", func() {
 		t := fleetOf(2)
 		for n := range 4 {
-			id := placement.JobID{Owner: other, Number: uint64(n + 1)}
+			id := placement.AttemptID{Owner: other, Number: uint64(n + 1)}
 			t.Place(origin, id, "e-0", plan(uint64(n+10), uint64(n+50)))
 		}
 		Expect(choose(t, origin.Add(50*time.Millisecond), chat(1)).Endpoint.ID).To(Equal("e-1"))
@@ -133,21 +133,21 @@
 
 	It("lets more urgent prompts wait for equals only", func() {
 		t := fleetOf(1)
-		t.Place(origin, placement.JobID{Owner: other, Number: 1}, "e-0", plan(1, 2))
+		t.Place(origin, placement.AttemptID{Owner: other, Number: 1}, "e-0", plan(1, 2))
 		Expect(choose(t, origin, chat(1)).WaitMS).To(BeZero())
 		Expect(choose(t, origin, plan(3, 4)).WaitMS).To(BeNumerically(">", 100))
 	})
 
 	It("leaves an endpoint that can't be reached, and tries it again later", func() {
 		t := fleetOf(2)
-		id := placement.JobID{Owner: self, Number: 1}
+		id := placement.AttemptID{Owner: self, Number: 1}
 		t.Place(origin, id, "e-0", chat(1))
 		t.End(origin, id, placement.Unreachable)
 		for n := range 5 {
 			Expect(choose(t, origin.Add(time.Duration(n)*50*time.Millisecond), chat(uint64(n))).Endpoint.ID).To(Equal("e-1"))
 		}
 		for n := range 400 {
-			id := placement.JobID{Owner: other, Number: uint64(n + 10)}
+			id := placement.AttemptID{Owner: other, Number: uint64(n + 10)}
 			t.Place(origin, id, "e-1", chat(uint64(n+10)))
 		}
 		Expect(choose(t, origin.Add(time.Minute), chat(1)).Endpoint.ID).To(Equal("e-0"))
@@ -155,14 +155,14 @@
 
 	It("leaves an endpoint from which nothing comes", func() {
 		t := fleetOf(2)
-		t.Place(origin, placement.JobID{Owner: other, Number: 1}, "e-0", chat(1))
+		t.Place(origin, placement.AttemptID{Owner: other, Number: 1}, "e-0", chat(1))
 		c := choose(t, origin.Add(time.Second), chat(1)) // its shared part is kept at e-0
 		Expect(c.Endpoint.ID).To(Equal("e-1"))
 	})
 
 	It("forgets the work of an entry that is gone", func() {
 		t := fleetOf(1)
-		t.Place(origin, placement.JobID{Owner: other, Number: 1}, "e-0", plan(1, 2))
+		t.Place(origin, placement.AttemptID{Owner: other, Number: 1}, "e-0", plan(1, 2))
 		Expect(choose(t, origin, plan(3, 4)).WaitMS).To(BeNumerically(">", 100))
 		t.DropOwner(origin, other)
 		Expect(choose(t, origin, plan(3, 4)).WaitMS).To(BeZero())
@@ -171,9 +171,9 @@
 	It("forgets the work of another entry whose end was not heard, when its time is over", func() {
 		t := fleetOf(2)
 		j := plan(1, 2)
-		j.Left = 5 * time.Second
-		t.Place(origin, placement.JobID{Owner: other, Number: 1}, "e-0", j) // never begins, as far as is heard
-		t.Place(origin, placement.JobID{Owner: self, Number: 1}, "e-1", j)
+		j.TimeLeft = 5 * time.Second
+		t.Place(origin, placement.AttemptID{Owner: other, Number: 1}, "e-0", j) // never begins, as far as is heard
+		t.Place(origin, placement.AttemptID{Owner: self, Number: 1}, "e-1", j)
 		t.Expire(origin.Add(5 * time.Second))
 		Expect(t.Open()).To(Equal(2))
 		t.Expire(origin.Add(7 * time.Second))
@@ -187,12 +187,12 @@
 	It("bounds the requests and the shared parts that it remembers", func() {
 		t := fleetOf(1)
 		for n := range 70_000 {
-			t.Place(origin, placement.JobID{Owner: other, Number: uint64(n + 1)}, "e-0", plan(uint64(n+1000), 1))
+			t.Place(origin, placement.AttemptID{Owner: other, Number: uint64(n + 1)}, "e-0", plan(uint64(n+1000), 1))
 		}
 		Expect(t.Open()).To(Equal(1 << 16))
 		t.DropOwner(origin, other)
 		for n := range 70_000 {
-			id := placement.JobID{Owner: self, Number: uint64(n + 1)}
+			id := placement.AttemptID{Owner: self, Number: uint64(n + 1)}
 			t.Place(origin, id, "e-0", plan(uint64(n+100_000), 1))
 			t.End(origin, id, placement.Succeeded)
 		}
@@ -209,12 +209,12 @@
 				slow float64
 			}{{"e-0", 1}, {"e-1", 3}} {
 				number++
-				id := placement.JobID{Owner: self, Number: number}
+				id := placement.AttemptID{Owner: self, Number: number}
 				j := plan(number, number+1_000_000)
 				j.Prompt.Tokens = 2_000 + int(number%7)*1_500
 				t.Place(now, id, e.id, j)
 				ms := e.slow * (5 + 0.016*float64(j.Prompt.Tokens))
-				t.Begin(now.Add(time.Duration(ms*float64(time.Millisecond))), id)
+				t.FirstEvent(now.Add(time.Duration(ms*float64(time.Millisecond))), id)
 				now = now.Add(2 * time.Second)
 				t.End(now, id, placement.Succeeded)
 			}
@@ -227,27 +227,27 @@
 
 	It("gives an endpoint no more requests than it takes connections", func() {
 		t := fleetOf(1)
-		t.SetServices([]placement.Service{{Name: "pool", Most: 3}})
+		t.SetServices([]placement.Service{{Name: "pool", MaxRequests: 3}})
 		for n := range 3 {
 			choose(t, origin, chat(1))
-			t.Place(origin, placement.JobID{Owner: other, Number: uint64(n + 1)}, "e-0", chat(1))
+			t.Place(origin, placement.AttemptID{Owner: other, Number: uint64(n + 1)}, "e-0", chat(1))
 		}
 		_, ok := t.Choose(origin, chat(1), never, rand.New(rand.NewPCG(1, 2)))
 		Expect(ok).To(BeFalse())
-		t.End(origin, placement.JobID{Owner: other, Number: 1}, placement.Succeeded)
+		t.End(origin, placement.AttemptID{Owner: other, Number: 1}, placement.Succeeded)
 		choose(t, origin, chat(1))
 	})
 
 	It("refuses long prompts sooner where most slots are taken", func() {
 		t := fleetOf(1)
 		for n := range 30 {
-			id := placement.JobID{Owner: other, Number: uint64(n + 1)}
+			id := placement.AttemptID{Owner: other, Number: uint64(n + 1)}
 			t.Place(origin, id, "e-0", chat(uint64(n+10)))
-			t.Begin(origin, id)
+			t.FirstEvent(origin, id)
 		}
 		j := plan(1, 2)
 		c := choose(t, origin.Add(time.Second), j)
-		Expect(c.Taken).To(BeNumerically(">", 0.5))
+		Expect(c.BusyShare).To(BeNumerically(">", 0.5))
 		retry, ok := c.Admit(j, 15*time.Second)
 		Expect(ok).To(BeFalse())
 		Expect(retry).To(BeNumerically(">", 0))
@@ -258,9 +258,9 @@
 		t.SetEndpoints([]placement.Endpoint{{ID: "a", Service: "s", Slots: 2}, {ID: "b", Service: "s", Slots: 2}})
 		counts := map[string]int{}
 		for n := range 4 {
-			c := choose(t, origin, placement.Job{Service: "s", Aim: time.Second})
+			c := choose(t, origin, placement.Request{Service: "s", FirstToken: time.Second})
 			counts[c.Endpoint.ID]++
-			t.Place(origin, placement.JobID{Owner: self, Number: uint64(n + 1)}, c.Endpoint.ID, placement.Job{Service: "s"})
+			t.Place(origin, placement.AttemptID{Owner: self, Number: uint64(n + 1)}, c.Endpoint.ID, placement.Request{Service: "s"})
 		}
 		Expect(counts).To(Equal(map[string]int{"a": 2, "b": 2}))
 	})
@@ -270,7 +270,7 @@
 	It("refuses a long prompt that would wait beyond its aim, and says when to come back", func() {
 		t := fleetOf(1)
 		for n := range 30 {
-			t.Place(origin, placement.JobID{Owner: other, Number: uint64(n + 1)}, "e-0", plan(uint64(n+10), uint64(n+100)))
+			t.Place(origin, placement.AttemptID{Owner: other, Number: uint64(n + 1)}, "e-0", plan(uint64(n+10), uint64(n+100)))
 		}
 		j := plan(1, 2)
 		c := choose(t, origin, j)
@@ -286,7 +286,7 @@
 		_, ok := choose(t, origin, j).Admit(j, 15*time.Second)
 		Expect(ok).To(BeTrue())
 		for n := range 30 {
-			t.Place(origin, placement.JobID{Owner: other, Number: uint64(n + 1)}, "e-0", plan(uint64(n+10), uint64(n+100)))
+			t.Place(origin, placement.AttemptID{Owner: other, Number: uint64(n + 1)}, "e-0", plan(uint64(n+10), uint64(n+100)))
 		}
 		s := chat(1)
 		s.Priority = 9
@@ -300,12 +300,12 @@
 func TestTableKeepsNothing(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		table := &placement.Table{DataCentre: "zone-1", Self: self, ReuseLife: time.Second}
-		table.SetServices([]placement.Service{{Name: "pool", MemoryTokens: 50_000, EventTokens: 6, Pause: 150 * time.Millisecond}})
+		table.SetServices([]placement.Service{{Name: "pool", MemoryTokens: 50_000, EventTokens: 6, BetweenTokens: 150 * time.Millisecond}})
 		listed := rapid.IntRange(0, 6).Draw(r, "endpoints")
 		table.SetEndpoints(engines(listed))
 		random := rand.New(rand.NewPCG(3, 4))
 		now := origin
-		var open []placement.JobID
+		var open []placement.AttemptID
 		number := uint64(0)
 		for range rapid.IntRange(1, 60).Draw(r, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(r, "ms")) * time.Millisecond)
@@ -322,16 +322,16 @@
 				if !ok {
 					continue
 				}
-				if _, there := table.Endpoint(c.Endpoint.ID); !there || c.FirstMS < 0 || c.Uncached < 0 {
+				if _, there := table.Endpoint(c.Endpoint.ID); !there || c.FirstMS < 0 || c.PrefillTokens < 0 {
 					r.Fatalf("chose %+v", c)
 				}
 				number++
-				id := placement.JobID{Owner: 1 + number%2, Number: number}
+				id := placement.AttemptID{Owner: 1 + number%2, Number: number}
 				table.Place(now, id, c.Endpoint.ID, j)
 				open = append(open, id)
 			case 2:
 				if len(open) > 0 {
-					table.Begin(now, open[rapid.IntRange(0, len(open)-1).Draw(r, "begin")])
+					table.FirstEvent(now, open[rapid.IntRange(0, len(open)-1).Draw(r, "begin")])
 				}
 			case 3:
 				if len(open) > 0 {
--- a/internal/direct/explain/explain.go
+++ b/internal/direct/explain/explain.go
@@ -114,6 +114,6 @@
 			s.WaitMS, s.FirstMS, s.Uncached, s.Factor)
 		t := s.Terms
 		fmt.Fprintf(w, "    cost %.2f = late %.2f + harm %.2f + again %.2f + crowding %.2f + pool %.2f + trouble %.2f + distance %.2f\n",
-			s.Cost, t.Late, t.Harm, t.Again, t.Crowding, t.Pool, t.Trouble, t.Distance)
+			s.Cost, t.Late, t.Harm, t.Reread, t.Crowding, t.Pool, t.Trouble, t.Distance)
 	}
 }
--- a/internal/direct/gateway/call.go
+++ b/internal/direct/gateway/call.go
@@ -23,7 +23,7 @@
 	class    settings.ClassInfo
 	team     string
 	service  string
-	job      placement.Job
+	job      placement.Request
 	body     []byte
 	held     int64 // bytes of room that the body takes
 	request  *http.Request
@@ -110,9 +110,9 @@
 	g.mu.Unlock()
 	c.service = class.Route.Pick(point)
 	c.job.Service = c.service
-	c.job.Aim = class.Terms.FirstToken
+	c.job.FirstToken = class.Terms.FirstToken
 	if class.Route.Streaming {
-		c.job.Pause = class.Terms.BetweenTokens
+		c.job.BetweenTokens = class.Terms.BetweenTokens
 	}
 	return nil
 }
--- a/internal/direct/gateway/forward.go
+++ b/internal/direct/gateway/forward.go
@@ -25,7 +25,7 @@
 
 // leg is one send of a call to one endpoint.
 type leg struct {
-	id       placement.JobID
+	id       placement.AttemptID
 	endpoint placement.Endpoint
 	index    int // among the sends of the call
 	begun    bool
@@ -36,7 +36,7 @@
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	c.job.Left = c.left()
+	c.job.TimeLeft = c.left()
 	choice, ok := g.table.Choose(now, c.job, func(id string) bool { return tried[id] }, g.random)
 	if !ok {
 		return nil, c.failure(result.NoEndpoint, "")
@@ -46,7 +46,7 @@
 		return nil, &result.Error{Code: result.QueueFull, Run: result.NotRun, RetryAfter: retry, Reason: "prompts wait too long"}
 	}
 	g.number++
-	id := placement.JobID{Owner: g.options.Owner, Number: g.number}
+	id := placement.AttemptID{Owner: g.options.Owner, Number: g.number}
 	g.table.Place(now, id, choice.Endpoint.ID, c.job)
 	g.tell(peers.Note{Kind: peers.Placed, Number: g.number, Endpoint: choice.Endpoint.ID, Job: &c.job})
 	c.sends = append(c.sends, send{choice: choice, at: now, outcome: "open"})
@@ -66,7 +66,7 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.table.Begin(now, l.id)
+	g.table.FirstEvent(now, l.id)
 	g.tell(peers.Note{Kind: peers.Begun, Number: l.id.Number})
 }
 
@@ -77,7 +77,7 @@
 	c.event = now
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.table.Hear(now, l.id)
+	g.table.NextEvent(now, l.id)
 }
 
 // end notes how a send ended.
--- a/internal/direct/gateway/gateway.go
+++ b/internal/direct/gateway/gateway.go
@@ -144,11 +144,11 @@
 	for name, pause := range pauses {
 		i, _ := s.ServiceNamed(name)
 		all = append(all, placement.Service{
-			Name:         name,
-			MemoryTokens: i.MemoryTokens,
-			Most:         int(connectionShare * float64(i.MaxConnections)),
-			EventTokens:  i.EventTokens,
-			Pause:        pause,
+			Name:          name,
+			MemoryTokens:  i.MemoryTokens,
+			MaxRequests:   int(connectionShare * float64(i.MaxConnections)),
+			EventTokens:   i.EventTokens,
+			BetweenTokens: pause,
 		})
 	}
 	return all
@@ -166,7 +166,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, n := range notes {
-		id := placement.JobID{Owner: owner, Number: n.Number}
+		id := placement.AttemptID{Owner: owner, Number: n.Number}
 		at := now.Add(-time.Duration(n.AgeMS) * time.Millisecond)
 		switch n.Kind {
 		case peers.Placed:
@@ -174,7 +174,7 @@
 				g.table.Place(at, id, n.Endpoint, *n.Job)
 			}
 		case peers.Begun:
-			g.table.Begin(at, id)
+			g.table.FirstEvent(at, id)
 		case peers.Ended:
 			g.table.End(at, id, n.Outcome)
 		}
--- a/internal/direct/peers/golden_test.go
+++ b/internal/direct/peers/golden_test.go
@@ -20,16 +20,16 @@
 )
 
 // sampleJob has every field set.
-var sampleJob = placement.Job{
+var sampleJob = placement.Request{
 	Service: "pool",
 	Prompt: placement.Prompt{
 		Tokens: 120, MaxOut: 40, LikelyOut: 30,
 		Parts: []placement.Part{{ID: 0xab, Tokens: 100}, {ID: 0xcd, Tokens: 20}},
 	},
-	Aim:      250 * time.Millisecond,
-	Pause:    150 * time.Millisecond,
-	Priority: 2,
-	Left:     12 * time.Second,
+	FirstToken:    250 * time.Millisecond,
+	BetweenTokens: 150 * time.Millisecond,
+	Priority:      2,
+	TimeLeft:      12 * time.Second,
 }
 
 // TestPacketsOnTheWire holds the datagrams between entries to those of former
@@ -41,7 +41,7 @@
 		packet packet
 	}{
 		{"placed", packet{Owner: 7, Version: 3, Revision: 9, Notes: []Note{{Kind: Placed, Number: 5, Endpoint: "i-1", Job: &sampleJob, AgeMS: 2}}}},
-		{"placed, least", packet{Owner: 7, Notes: []Note{{Kind: Placed, Number: 5, Endpoint: "i-1", Job: &placement.Job{Service: "app"}}}}},
+		{"placed, least", packet{Owner: 7, Notes: []Note{{Kind: Placed, Number: 5, Endpoint: "i-1", Job: &placement.Request{Service: "app"}}}}},
 		{"begun and ended", packet{Owner: 7, Notes: []Note{{Kind: Begun, Number: 5}, {Kind: Ended, Number: 5, Outcome: placement.Unreachable}}}},
 		{"heartbeat", packet{Owner: 7, Version: 3, Revision: 9, Heartbeat: &heartbeat{
 			Name: "entry-1", Members: []string{"10.0.0.1:7340"}, Leaving: true, ConfirmMS: 12, SourceMS: -1, Asking: true, Lost: true,
--- a/internal/direct/peers/packet.go
+++ b/internal/direct/peers/packet.go
@@ -21,12 +21,12 @@
 
 // Note is one thing that happened to a request of the sender.
 type Note struct {
-	Kind     Kind              `cbor:"1,keyasint"`
-	Number   uint64            `cbor:"2,keyasint"`           // of the request at its owner
-	Endpoint string            `cbor:"3,keyasint,omitempty"` // of Placed
-	Job      *placement.Job    `cbor:"4,keyasint,omitempty"` // of Placed
-	Outcome  placement.Outcome `cbor:"5,keyasint,omitempty"` // of Ended
-	AgeMS    int64             `cbor:"6,keyasint,omitempty"` // since it happened, when it is sent
+	Kind     Kind               `cbor:"1,keyasint"`
+	Number   uint64             `cbor:"2,keyasint"`           // of the request at its owner
+	Endpoint string             `cbor:"3,keyasint,omitempty"` // of Placed
+	Job      *placement.Request `cbor:"4,keyasint,omitempty"` // of Placed
+	Outcome  placement.Outcome  `cbor:"5,keyasint,omitempty"` // of Ended
+	AgeMS    int64              `cbor:"6,keyasint,omitempty"` // since it happened, when it is sent
 
 	at time.Time // when it happened, at the sender
 }
--- a/internal/direct/peers/peers_test.go
+++ b/internal/direct/peers/peers_test.go
@@ -116,7 +116,7 @@
 		for _, e := range []*entry{a, b, c} {
 			Eventually(e.group.Live).Should(Equal(3))
 		}
-		job := &placement.Job{Service: "pool", Prompt: placement.Prompt{Tokens: 9}}
+		job := &placement.Request{Service: "pool", Prompt: placement.Prompt{Tokens: 9}}
 		b.group.Tell(peers.Note{Kind: peers.Placed, Number: 7, Endpoint: "i-1", Job: job})
 		for _, e := range []*entry{a, c} {
 			Eventually(e.heard).Should(HaveExactElements(And(
--- a/internal/direct/record/record.go
+++ b/internal/direct/record/record.go
@@ -27,18 +27,18 @@
 		Terms:    rounded(c.Terms),
 		WaitMS:   round(c.WaitMS),
 		FirstMS:  round(c.FirstMS),
-		Uncached: c.Uncached,
-		Again:    c.Again,
+		Uncached: c.PrefillTokens,
+		Again:    c.RereadTokens,
 		Long:     c.Long,
-		Pool:     c.Pool,
-		Factor:   round(c.Factor),
+		Pool:     c.PoolSize,
+		Factor:   round(c.Slowdown),
 		Outcome:  outcome,
 	}
 }
 
 func rounded(t placement.Terms) placement.Terms {
 	return placement.Terms{
-		Late: round(t.Late), Harm: round(t.Harm), Again: round(t.Again), Crowding: round(t.Crowding),
+		Late: round(t.Late), Harm: round(t.Harm), Reread: round(t.Reread), Crowding: round(t.Crowding),
 		Pool: round(t.Pool), Trouble: round(t.Trouble), Distance: round(t.Distance),
 	}
 }
