--- /dev/null
+++ b/internal/direct/gateway/accept.go
@@ -0,0 +1,153 @@
+package gateway
+
+import (
+	"context"
+	"errors"
+	"io"
+	"math"
+	"net"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"foxcross.dev/coord/placement"
+	"foxcross.dev/coord/result"
+	"foxcross.dev/coord/settings"
+)
+
+// request is one request of a caller.
+type request struct {
+	incoming *http.Request
+	id       string
+	received time.Time
+	deadline time.Time // the caller's or the route's, whichever is sooner
+	class    settings.ClassInfo
+	team     string
+	spec     placement.Request // as placement sees it
+	body     []byte
+	heldBody int64 // bytes of the entry's capacity that the body takes
+
+	attempts []*attempt // in order
+	first    time.Time  // when the first event was passed on, zero before it
+	last     time.Time  // when the last event was passed on
+	pause    time.Duration
+}
+
+// timeLeft returns the time until the deadline.
+func (q *request) timeLeft() time.Duration { return time.Until(q.deadline) }
+
+// bounded returns a context that ends at the deadline or when the caller leaves.
+func (q *request) bounded() (context.Context, context.CancelFunc) {
+	return context.WithDeadline(q.incoming.Context(), q.deadline)
+}
+
+// accept reads a request and finds its class and team. The request is returned
+// also where it fails, as far as it was read.
+func (g *Gateway) accept(w http.ResponseWriter, r *http.Request) (*request, *result.Error) {
+	q := &request{id: r.Header.Get(g.fields.RequestID), received: time.Now(), incoming: r}
+	inForce := g.directory.Settings()
+	if inForce == nil || !g.directory.Known() {
+		return q, notReady("no settings yet")
+	}
+	if g.refusing.Load() {
+		return q, &result.Error{Code: result.Draining, Run: result.NotRun, RetryAfter: drainingRetryAfter}
+	}
+	limits := inForce.Snapshot.Limits()
+	if headerBytes(r) > limits.HeaderBytes {
+		return q, result.Errorf(result.HeadersTooLarge, "at most %d bytes", limits.HeaderBytes)
+	}
+	if failed := g.classify(q, inForce.Snapshot); failed != nil {
+		return q, failed
+	}
+	if failed := g.capacity.holdBody(q, min(r.ContentLength, int64(limits.BodyBytes))); failed != nil {
+		return q, failed
+	}
+	body, failed := readBody(w, r, limits.BodyBytes)
+	if failed != nil {
+		return q, failed
+	}
+	q.body = body
+	g.capacity.resizeBody(q)
+	q.deadline = g.deadline(q)
+	q.spec.Prompt = g.options.Driver.Prompt(r.Header)
+	return q, nil
+}
+
+// classify finds the class by host and path, and the team by its key.
+func (g *Gateway) classify(q *request, s settings.Snapshot) *result.Error {
+	r := q.incoming
+	host := r.Host
+	if name, _, err := net.SplitHostPort(host); err == nil {
+		host = name
+	}
+	path, _, _ := strings.Cut(r.URL.RequestURI(), "?")
+	class, ok := s.Route(host, path)
+	if !ok {
+		return g.deny(result.Errorf(result.NotFound, "no route"))
+	}
+	q.class = class
+	q.spec.Priority = s.Urgency(settings.TeamInfo{}, class)
+	if s.HasTeams() && !class.Route.Public {
+		team, ok := s.Team(r.Header.Get(g.fields.Key))
+		if !ok {
+			return g.deny(result.Errorf(result.UnknownTeam, "no such key"))
+		}
+		q.team = team.Name
+		q.spec.Priority = s.Urgency(team, class)
+	}
+	q.spec.Service = class.Route.Pick(g.attempts.randomPoint())
+	q.spec.FirstToken = class.Terms.FirstToken
+	if class.Route.Streaming {
+		q.spec.BetweenTokens = class.Terms.BetweenTokens
+	}
+	return nil
+}
+
+// deadline returns the route's deadline, or the caller's where that is sooner.
+func (g *Gateway) deadline(q *request) time.Time {
+	route := q.received.Add(q.class.GiveUp)
+	text := q.incoming.Header.Get(g.fields.Deadline)
+	if text == "" {
+		return route
+	}
+	ms, err := strconv.ParseFloat(text, 64)
+	if err != nil || ms < 0 || math.IsNaN(ms) {
+		log.With("request", q.id).Limited("deadline", "A caller's deadline is malformed; the route's deadline counts.")
+		return route
+	}
+	own := q.received.Add(time.Duration(ms * float64(time.Millisecond)))
+	if own.Before(route) {
+		return own
+	}
+	return route
+}
+
+// fieldOverhead is the bytes of a header field beside its name and value: colon,
+// space and line end (RFC 9112, 5).
+const fieldOverhead = 4
+
+func headerBytes(r *http.Request) int {
+	n := len(r.Method) + len(r.RequestURI) + len(r.Host)
+	for name, values := range r.Header {
+		for _, v := range values {
+			n += len(name) + len(v) + fieldOverhead
+		}
+	}
+	return n
+}
+
+func readBody(w http.ResponseWriter, r *http.Request, maxBytes int) ([]byte, *result.Error) {
+	if r.ContentLength == 0 {
+		return nil, nil
+	}
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, int64(maxBytes)))
+	var large *http.MaxBytesError
+	if errors.As(err, &large) {
+		return nil, result.Errorf(result.BodyTooLarge, "at most %d bytes", maxBytes)
+	}
+	if err != nil {
+		return nil, result.Errorf(result.BadRequest, "body: %v", err)
+	}
+	return body, nil
+}
--- /dev/null
+++ b/internal/direct/gateway/attempts.go
@@ -0,0 +1,281 @@
+package gateway
+
+import (
+	"math/rand/v2"
+	"sync"
+	"time"
+
+	"foxcross.dev/coord/budget"
+	"foxcross.dev/coord/placement"
+	"foxcross.dev/coord/result"
+	"foxcross.dev/coord/settings"
+	"foxcross.dev/foxcross/internal/direct/directory"
+	"foxcross.dev/foxcross/internal/direct/driver"
+	"foxcross.dev/foxcross/internal/direct/peers"
+)
+
+// requestShare is the share of the connections that an endpoint takes which may
+// carry requests; the rest is for those that are idle or being closed. Chosen, not
+// measured.
+const requestShare = 0.8
+
+// attempt is one send of a request to an endpoint, or the refusal to send it.
+type attempt struct {
+	id      placement.AttemptID
+	choice  placement.Choice
+	begun   bool   // its first event has come
+	outcome string // for the log
+}
+
+// Outcomes of an attempt in the log, beside those of its events.
+const (
+	outcomeOpen    = "open"
+	outcomeRefused = "refused"
+)
+
+func (a *attempt) endpoint() placement.Endpoint { return a.choice.Endpoint }
+
+// attempts places requests at endpoints, keeps what is known of the attempts of
+// all entries, and tells the other entries of this one's. The lock guards the
+// decision as a whole: the choice of an endpoint, the record of it and the order in
+// which others are told.
+type attempts struct {
+	owner uint64
+
+	mu      sync.Mutex
+	bounds  driver.Bounds
+	table   placement.Table
+	budgets map[string]*budget.Budget // by service
+	random  *rand.Rand
+	last    uint64       // number of the last attempt
+	group   *peers.Group // nil before Join
+}
+
+func (a *attempts) init(o Options) {
+	a.owner = o.Owner
+	a.bounds = o.Process.Bounds
+	a.budgets = map[string]*budget.Budget{}
+	a.random = rand.New(rand.NewPCG(o.Seed, o.Owner))
+	a.table = placement.Table{
+		DataCentre: o.Process.DataCentre,
+		Self:       o.Owner,
+		ReuseLife:  o.Process.Bounds.ReuseWithin,
+	}
+}
+
+func (a *attempts) join(group *peers.Group) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.group = group
+}
+
+func (a *attempts) setBounds(b driver.Bounds) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.bounds = b
+	a.table.ReuseLife = b.ReuseWithin
+	for _, x := range a.budgets {
+		x.Rules = rulesOf(b)
+	}
+}
+
+func rulesOf(b driver.Bounds) budget.Rules {
+	return budget.Rules{Ratio: b.RetryRatio, Window: b.RetryWindow, Slack: b.RetrySlack}
+}
+
+func (a *attempts) takeSettings(f directory.InForce) {
+	services := servicesOf(f.Snapshot)
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.table.SetServices(services)
+}
+
+func (a *attempts) takeEndpoints(list []placement.Endpoint) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.table.SetEndpoints(list)
+}
+
+// servicesOf returns what placement is to know of each service: the strictest
+// target between events among the classes that go there.
+func servicesOf(s settings.Snapshot) []placement.Service {
+	strictest := map[string]time.Duration{}
+	for _, name := range s.Classes() {
+		c, _ := s.Class(name)
+		for _, share := range c.Route.Split {
+			target := c.Terms.BetweenTokens
+			if !c.Route.Streaming || target <= 0 {
+				strictest[share.Service] += 0 // known, without a target of this class
+				continue
+			}
+			if old := strictest[share.Service]; old <= 0 || target < old {
+				strictest[share.Service] = target
+			}
+		}
+	}
+	var all []placement.Service
+	for name, target := range strictest {
+		i, _ := s.ServiceNamed(name)
+		all = append(all, placement.Service{
+			Name:          name,
+			MemoryTokens:  i.MemoryTokens,
+			MaxRequests:   int(requestShare * float64(i.MaxConnections)),
+			EventTokens:   i.EventTokens,
+			BetweenTokens: target,
+		})
+	}
+	return all
+}
+
+// randomPoint returns a number in [0, 1).
+func (a *attempts) randomPoint() float64 {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.random.Float64()
+}
+
+// place chooses an endpoint that is not excluded and records the attempt there. It
+// returns neither an attempt nor a refusal if there is no endpoint to try. A request
+// that was sent before is not refused any more.
+func (a *attempts) place(q *request, excluded map[string]bool) (*attempt, *result.Error) {
+	now := time.Now()
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	q.spec.TimeLeft = q.timeLeft()
+	choice, ok := a.table.Choose(now, q.spec, func(id string) bool { return excluded[id] }, a.random)
+	if !ok {
+		return nil, nil
+	}
+	if retry, admitted := choice.Admit(q.spec, q.timeLeft()); !admitted && len(q.attempts) == 0 {
+		q.attempts = append(q.attempts, &attempt{choice: choice, outcome: outcomeRefused})
+		return nil, &result.Error{Code: result.QueueFull, Run: result.NotRun, RetryAfter: retry, Reason: "prompts wait too long"}
+	}
+	a.last++
+	x := &attempt{
+		id:      placement.AttemptID{Owner: a.owner, Number: a.last},
+		choice:  choice,
+		outcome: outcomeOpen,
+	}
+	a.table.Place(now, x.id, choice.Endpoint.ID, q.spec)
+	a.tell(peers.Note{Kind: peers.Placed, Number: x.id.Number, Endpoint: choice.Endpoint.ID, Job: &q.spec})
+	q.attempts = append(q.attempts, x)
+	return x, nil
+}
+
+// firstEvent records the first event of an attempt; later calls change nothing.
+func (a *attempts) firstEvent(q *request, x *attempt) {
+	if x.begun {
+		return
+	}
+	x.begun = true
+	now := time.Now()
+	if q.first.IsZero() {
+		q.first = now
+		q.last = now
+	}
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.table.FirstEvent(now, x.id)
+	a.tell(peers.Note{Kind: peers.Begun, Number: x.id.Number})
+}
+
+// nextEvent records a later event of a stream.
+func (a *attempts) nextEvent(q *request, x *attempt) {
+	now := time.Now()
+	q.pause = max(q.pause, now.Sub(q.last))
+	q.last = now
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.table.NextEvent(now, x.id)
+}
+
+// end records how an attempt ended.
+func (a *attempts) end(x *attempt, e event) {
+	x.outcome = e.text()
+	o := e.placementOutcome()
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.table.End(time.Now(), x.id, o)
+	a.tell(peers.Note{Kind: peers.Ended, Number: x.id.Number, Outcome: o})
+}
+
+// countRequest counts a request for the retry budget of its service.
+func (a *attempts) countRequest(q *request) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.budget(q.spec.Service).Request(q.received)
+}
+
+// allowRetry asks the retry budget of a service for one more attempt, and counts it.
+func (a *attempts) allowRetry(service string) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.budget(service).Repeat(time.Now(), a.entries())
+}
+
+// budget returns the budget of a service. attempts.mu is held.
+func (a *attempts) budget(service string) *budget.Budget {
+	b := a.budgets[service]
+	if b == nil {
+		b = &budget.Budget{Rules: rulesOf(a.bounds)}
+		a.budgets[service] = b
+	}
+	return b
+}
+
+// entries returns the number of live entries. attempts.mu is held.
+func (a *attempts) entries() int {
+	if a.group == nil {
+		return 1
+	}
+	return a.group.Live()
+}
+
+// tell passes a message on to the other entries. attempts.mu is held.
+func (a *attempts) tell(n peers.Note) {
+	if a.group != nil {
+		a.group.Tell(n)
+	}
+}
+
+// expire forgets attempts of other entries whose deadline has passed.
+func (a *attempts) expire(now time.Time) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.table.Expire(now)
+}
+
+// Heard implements peers.Listener.
+func (a *attempts) Heard(owner uint64, notes []peers.Note) {
+	now := time.Now()
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	for _, n := range notes {
+		id := placement.AttemptID{Owner: owner, Number: n.Number}
+		at := now.Add(-time.Duration(n.AgeMS) * time.Millisecond)
+		switch n.Kind {
+		case peers.Placed:
+			if n.Job != nil {
+				a.table.Place(at, id, n.Endpoint, *n.Job)
+			}
+		case peers.Begun:
+			a.table.FirstEvent(at, id)
+		case peers.Ended:
+			a.table.End(at, id, n.Outcome)
+		}
+	}
+}
+
+// Lost implements peers.Listener.
+func (a *attempts) Lost(owner uint64) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.table.DropOwner(time.Now(), owner)
+}
+
+// state returns the number of live entries and what is known of the endpoints.
+func (a *attempts) state() (entries int, endpoints []placement.EndpointState) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.entries(), a.table.States(time.Now())
+}
--- a/internal/direct/gateway/dump.go
+++ b/internal/direct/gateway/dump.go
@@ -31,10 +31,7 @@
 		Following: g.directory.Following(),
 		Confirmed: time.Since(g.directory.Confirmed()).Milliseconds(),
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	d.Entries = g.entries()
-	d.Open = g.open
-	d.Endpoints = g.table.States(time.Now())
+	d.Open = g.capacity.openRequests()
+	d.Entries, d.Endpoints = g.attempts.state()
 	return d
 }
--- a/internal/direct/gateway/export_test.go
+++ b/internal/direct/gateway/export_test.go
@@ -7,12 +7,12 @@
 )
 
 // Refusing tells whether new requests are refused near the end of a stop.
-func (g *Gateway) Refusing() bool { return g.refuse.Load() }
+func (g *Gateway) Refusing() bool { return g.refusing.Load() }
 
 // RefuseNow brings the gateway to the last part of a stop.
 func (g *Gateway) RefuseNow() {
 	g.life.Stop()
-	g.refuse.Store(true)
+	g.refusing.Store(true)
 }
 
 // WriteFailure writes the answer to a request that failed.
--- a/internal/direct/gateway/header.go
+++ b/internal/direct/gateway/header.go
@@ -14,16 +14,17 @@
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// ownFields are the fields of a caller that are not passed on as they are.
-func ownFields(f driver.Fields) map[string]bool {
-	own := map[string]bool{"Content-Length": true, "Expect": true, "Host": true}
+// droppedFields are the header fields of callers that are not passed on: those of
+// the connection, and those that the entry sets itself.
+func droppedFields(f driver.Fields) map[string]bool {
+	dropped := map[string]bool{"Content-Length": true, "Expect": true, "Host": true}
 	for _, name := range connectionFields {
-		own[name] = true
+		dropped[name] = true
 	}
 	for _, name := range append([]string{f.Deadline, f.Key, f.Team, f.Target, f.Priority}, f.Internal...) {
-		own[http.CanonicalHeaderKey(name)] = true
+		dropped[http.CanonicalHeaderKey(name)] = true
 	}
-	return own
+	return dropped
 }
 
 // named returns the fields that a Connection field names.
@@ -37,20 +38,21 @@
 	return all
 }
 
-// requestHeader returns the header for an endpoint.
-func (g *Gateway) requestHeader(c *call, endpoint string, lastEvent string) http.Header {
+// requestHeader returns the header for an endpoint. A stream that is resumed names
+// the last event that the caller has.
+func (g *Gateway) requestHeader(q *request, endpoint string, lastEvent string) http.Header {
 	h := http.Header{}
-	dropped := named(c.request.Header)
-	for name, values := range c.request.Header {
-		if !g.own[name] && !dropped[name] {
+	connection := named(q.incoming.Header)
+	for name, values := range q.incoming.Header {
+		if !g.dropped[name] && !connection[name] {
 			h[name] = values
 		}
 	}
-	h.Set(g.fields.Deadline, strconv.FormatInt(max(c.left().Milliseconds(), 1), 10))
+	h.Set(g.fields.Deadline, strconv.FormatInt(max(q.timeLeft().Milliseconds(), 1), 10))
 	h.Set(g.fields.Target, endpoint)
-	h.Set(g.fields.Priority, strconv.Itoa(min(max(c.job.Priority, 0), minUrgent)))
-	if c.team != "" {
-		h.Set(g.fields.Team, c.team)
+	h.Set(g.fields.Priority, strconv.Itoa(min(max(q.spec.Priority, 0), lowestPriority)))
+	if q.team != "" {
+		h.Set(g.fields.Team, q.team)
 	}
 	if lastEvent != "" {
 		h.Set(g.fields.LastEvent, lastEvent)
@@ -58,8 +60,8 @@
 	return h
 }
 
-// minUrgent is the last priority that engines know.
-const minUrgent = 9
+// lowestPriority is the least urgent priority that engines know.
+const lowestPriority = 9
 
 // copyAnswerHeader passes an endpoint's header on to the caller.
 func copyAnswerHeader(to, from http.Header) {
--- a/internal/direct/gateway/idle.go
+++ b/internal/direct/gateway/idle.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// idleListener accepts callers' connections whose rest is bounded by a limit
+// idleListener accepts callers' connections whose idle time is bounded by a limit
 // that may change.
 type idleListener struct {
 	net.Listener
@@ -23,67 +23,69 @@
 	return &callerConn{Conn: c, limit: l.limit}, nil
 }
 
-// callerConn is a caller's connection. It closes itself when it has rested for
-// too long. From the first byte of a request on it does not rest: a request is
-// either read and answered, or it is not read at all.
+// callerConn is a caller's connection. It closes itself when it has been idle for
+// too long. From the first byte of a request on it is not idle: a request is either
+// read and answered, or it is not read at all.
 type callerConn struct {
 	net.Conn
 	limit func() time.Duration
 
-	mu     sync.Mutex
-	rested time.Time // since when it rests, zero for not
-	closed bool      // since it rested for too long
-	timer  *time.Timer
+	mu        sync.Mutex
+	idleSince time.Time // zero while it is not idle
+	expired   bool      // it was idle for too long and is closed
+	timer     *time.Timer
 }
 
-// changed is told of the state of a server's connection.
-func changed(c net.Conn, s http.ConnState) {
+// connStateChanged is told of the state of a server's connection.
+func connStateChanged(c net.Conn, s http.ConnState) {
 	own, ok := c.(*callerConn)
 	switch {
 	case !ok:
 	case s == http.StateIdle:
-		own.rest(time.Now())
+		own.becomeIdle(time.Now())
 	default:
-		own.wake()
+		own.becomeActive()
 	}
 }
 
-// wake ends a rest: a request is being read, perhaps from what was buffered.
-func (c *callerConn) wake() {
+// becomeActive ends the idle time: a request is being read, perhaps from what was
+// buffered.
+func (c *callerConn) becomeActive() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.rested = time.Time{}
+	c.idleSince = time.Time{}
 }
 
-// rest begins a rest.
-func (c *callerConn) rest(now time.Time) {
+// becomeIdle starts the idle time.
+func (c *callerConn) becomeIdle(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.rested = now
-	c.wait(now)
+	c.idleSince = now
+	c.startTimer(now)
 }
 
-// wait looks at the connection again when its time is over. It is locked.
-func (c *callerConn) wait(now time.Time) {
+// startTimer looks at the connection again when its idle time is over. The
+// connection is locked.
+func (c *callerConn) startTimer(now time.Time) {
 	if c.timer != nil {
 		c.timer.Stop()
 	}
-	c.timer = time.AfterFunc(c.rested.Add(c.limit()).Sub(now), c.expire)
+	c.timer = time.AfterFunc(c.idleSince.Add(c.limit()).Sub(now), c.expire)
 }
 
-// expire closes the connection if it has rested for too long.
+// expire closes the connection if it has been idle for too long.
 func (c *callerConn) expire() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
 	switch {
-	case c.rested.IsZero():
+	case c.idleSince.IsZero():
 		return
-	case now.Sub(c.rested) < c.limit():
-		c.wait(now) // the limit has been raised
+	case now.Sub(c.idleSince) < c.limit():
+		c.startTimer(now) // the limit has been raised
 		return
 	}
-	c.closed = true
+	c.expired = true
 	_ = c.Conn.Close() // nobody waits for it
 }
 
@@ -92,11 +94,11 @@
 	n, err := c.Conn.Read(b)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closed {
+	if c.expired {
 		return 0, net.ErrClosed
 	}
 	if n > 0 {
-		c.rested = time.Time{}
+		c.idleSince = time.Time{}
 	}
 	return n, err
 }
@@ -107,7 +109,7 @@
 	if c.timer != nil {
 		c.timer.Stop()
 	}
-	c.rested = time.Time{}
+	c.idleSince = time.Time{}
 	c.mu.Unlock()
 	return c.Conn.Close()
 }
--- a/internal/direct/gateway/idle_test.go
+++ b/internal/direct/gateway/idle_test.go
@@ -26,7 +26,7 @@
 	here, there := net.Pipe()
 	b.set(limit)
 	c := &callerConn{Conn: here, limit: b.get}
-	changed(c, http.StateIdle)
+	connStateChanged(c, http.StateIdle)
 	return c, there
 }
 
@@ -71,8 +71,8 @@
 		if !open(caller) {
 			t.Error("closed under a request")
 		}
-		changed(c, http.StateActive)
-		changed(c, http.StateIdle)
+		connStateChanged(c, http.StateActive)
+		connStateChanged(c, http.StateIdle)
 		time.Sleep(limit + time.Millisecond)
 		if open(caller) {
 			t.Error("open after its next rest")
--- /dev/null
+++ b/internal/direct/gateway/report.go
@@ -0,0 +1,65 @@
+package gateway
+
+import (
+	"time"
+
+	"foxcross.dev/coord/result"
+	"foxcross.dev/foxcross/internal/direct/record"
+	"foxcross.dev/foxcross/internal/logs"
+
+	"github.com/uber-go/tally/v4"
+)
+
+// report writes the line that explains what became of a request, and counts it.
+func (g *Gateway) report(q *request, f *result.Error) {
+	code := result.OK
+	fields := logs.Fields{
+		"request":  q.id,
+		"class":    q.class.Name,
+		"team":     q.team,
+		"service":  q.spec.Service,
+		"priority": q.spec.Priority,
+		"total_ms": time.Since(q.received).Milliseconds(),
+	}
+	if f != nil {
+		code = f.Code
+		fields["reason"] = f.Reason
+		fields["run"] = f.Run.String()
+	}
+	fields["code"] = int(code)
+	fields["result"] = code.Entry().Name
+	if !q.first.IsZero() {
+		fields["first_ms"] = q.first.Sub(q.received).Milliseconds()
+	}
+	if q.pause > 0 {
+		fields["pause_ms"] = q.pause.Milliseconds()
+	}
+	if len(q.attempts) > 0 {
+		fields["sends"] = q.records()
+	}
+	log.Event("A request ended.", fields)
+	g.measure(q, code)
+}
+
+// records returns the attempts of a request for the log.
+func (q *request) records() []record.Send {
+	all := make([]record.Send, 0, len(q.attempts))
+	for _, a := range q.attempts {
+		all = append(all, record.SendOf(a.choice, a.outcome))
+	}
+	return all
+}
+
+// buckets of the measured times: 5 ms to 10 s, each twice the one before.
+var buckets = tally.MustMakeExponentialDurationBuckets(5*time.Millisecond, 2, 12)
+
+// measure counts an ended request.
+func (g *Gateway) measure(q *request, code result.Code) {
+	scope := g.options.Metrics.Tagged(map[string]string{"class": q.class.Name, "result": code.Entry().Name})
+	scope.Counter("requests").Inc(1)
+	scope.Counter("sends").Inc(int64(len(q.attempts)))
+	scope.Histogram("total_seconds", buckets).RecordDuration(time.Since(q.received))
+	if !q.first.IsZero() {
+		scope.Histogram("first_seconds", buckets).RecordDuration(q.first.Sub(q.received))
+	}
+}
--- a/internal/direct/gateway/stream.go
+++ b/internal/direct/gateway/stream.go
@@ -3,85 +3,81 @@
 import (
 	"bufio"
 	"bytes"
-	"context"
 	"errors"
 	"io"
 	"net/http"
-	"strconv"
 	"strings"
 
-	"foxcross.dev/coord/placement"
-	"foxcross.dev/coord/result"
 	"foxcross.dev/foxcross/internal/direct/upstream"
 )
 
-// maxEvent bounds one event of a stream.
+// maxEvent bounds one event of a stream, in bytes. Chosen, not measured.
 const maxEvent = 1 << 20
 
 var errLongEvent = errors.New("gateway: an event is longer than allowed")
 
 // stream is a streamed answer on its way to the caller.
 type stream struct {
-	gateway *Gateway
-	writer  http.ResponseWriter
-	call    *call
-	begun   bool   // the head was passed on
-	last    string // id of the last event that was passed on
-	written bool   // the caller takes what is written
+	*forwarding
+	last       string // id of the last event that was passed on, empty for none
+	callerGone bool   // a write to the caller failed
 }
 
-// passStream passes on the events of a stream as they come, each whole.
-func (g *Gateway) passStream(ctx context.Context, w http.ResponseWriter, c *call, l *leg, a *upstream.Answer, more bool) verdict {
-	s := &stream{gateway: g, writer: w, call: c, written: true}
-	err := s.copyEvents(l, a)
-	if err == nil {
-		return s.finish(l, a)
-	}
-	a.Close()
-	if !s.begun {
-		return g.judgeFailure(ctx, c, l, err, more)
+// passStream passes on the events of a stream as they come, each whole, and goes on
+// at another endpoint where it breaks and may be resumed.
+func (f *forwarding) passStream(a *attempt, answer *upstream.Answer) outcome {
+	s := &stream{forwarding: f}
+	for {
+		err := s.copyEvents(a, answer)
+		if err == nil {
+			return s.finish(a, answer)
+		}
+		answer.Close()
+		if !s.begun {
+			return f.fail(a, err)
+		}
+		e := s.broken(a, err)
+		o := decideBroken(s.situation(), e)
+		if _, resumes := o.(resume); !resumes {
+			return o
+		}
+		if a, answer = s.resume(a); a == nil {
+			return fail{unresumable(e)}
+		}
 	}
-	return s.broken(ctx, l, err)
 }
 
 // finish ends a stream that came whole.
-func (s *stream) finish(l *leg, a *upstream.Answer) verdict {
-	s.open(l, a)
-	a.Finish()
-	s.gateway.end(s.call, l, placement.Succeeded, "status "+strconv.Itoa(a.Status))
-	return verdict{}
+func (s *stream) finish(a *attempt, answer *upstream.Answer) outcome {
+	s.open(a, answer)
+	answer.Finish()
+	s.gateway.attempts.end(a, answered{answer.Status})
+	return done{}
 }
 
-// open passes the head on before the first event.
-func (s *stream) open(l *leg, a *upstream.Answer) {
-	s.gateway.begin(s.call, l)
+// open passes the head on before the first event. The head of an endpoint at which
+// the stream is resumed is not passed on.
+func (s *stream) open(a *attempt, answer *upstream.Answer) {
+	s.gateway.attempts.firstEvent(s.request, a)
 	if s.begun {
 		return
 	}
 	s.begun = true
-	writeAnswerHead(s.writer, a, a.Length)
+	writeAnswerHead(s.writer, answer, answer.Length)
 }
 
 // copyEvents passes events on until the stream ends.
-func (s *stream) copyEvents(l *leg, a *upstream.Answer) error {
+func (s *stream) copyEvents(a *attempt, answer *upstream.Answer) error {
 	control := http.NewResponseController(s.writer)
-	reader := bufio.NewReader(a.Body)
+	reader := bufio.NewReader(answer.Body)
 	for {
 		event, err := readEvent(reader)
 		if err != nil && !errors.Is(err, io.EOF) {
 			return err
 		}
 		if len(event) > 0 {
-			if l.begun {
-				s.gateway.hear(s.call, l)
-			}
-			s.open(l, a)
-			if id, ok := eventID(event); ok {
-				s.last = id
-			}
-			if _, failure := s.writer.Write(event); failure != nil {
-				s.written = false
-				return failure
+			if err := s.passEvent(a, answer, event); err != nil {
+				return err
 			}
 		}
 		if err != nil {
@@ -93,6 +89,22 @@
 	}
 }
 
+// passEvent passes one event on.
+func (s *stream) passEvent(a *attempt, answer *upstream.Answer, event []byte) error {
+	if a.begun {
+		s.gateway.attempts.nextEvent(s.request, a)
+	}
+	s.open(a, answer)
+	if id, ok := eventID(event); ok {
+		s.last = id
+	}
+	if _, err := s.writer.Write(event); err != nil {
+		s.callerGone = true
+		return err
+	}
+	return nil
+}
+
 // readEvent returns the next event with the blank line that ends it. With
 // io.EOF it returns what came after the last one.
 func readEvent(r *bufio.Reader) ([]byte, error) {
@@ -125,54 +137,48 @@
 	return "", false
 }
 
-// broken handles a stream that broke off after some of it was passed on.
-func (s *stream) broken(ctx context.Context, l *leg, err error) verdict {
-	g := s.gateway
+// broken records that the stream of an attempt broke after some of it was passed on.
+func (s *stream) broken(a *attempt, err error) event {
 	_ = http.NewResponseController(s.writer).Flush() // the caller is to get what came
-	switch {
-	case !s.written || errors.Is(ctx.Err(), context.Canceled):
-		g.end(s.call, l, placement.Abandoned, "the caller left")
-		return verdict{failure: &result.Error{Code: result.Cancelled, Run: result.Ran}, begun: true}
-	case ctx.Err() != nil:
-		g.end(s.call, l, placement.Abandoned, "out of time")
-		return verdict{failure: &result.Error{Code: result.Stalled, Run: result.Ran, Reason: "the time allowed is over"}, begun: true}
+	e := eventOfError(s.ctx.Err(), err)
+	if s.callerGone {
+		e = callerLeft{}
 	}
-	g.end(s.call, l, placement.Broken, err.Error())
-	return s.resume(ctx, l, err)
+	s.gateway.attempts.end(a, e)
+	return e
+}
+
+// situation adds to that of the request whether the stream can be resumed.
+func (s *stream) situation() situation {
+	x := s.forwarding.situation()
+	x.resumable = s.request.class.Route.Resumable && s.last != ""
+	return x
 }
 
 // resume takes the stream up at another endpoint after the last event that was
-// passed on, as often as the route allows.
-func (s *stream) resume(ctx context.Context, l *leg, err error) verdict {
-	g := s.gateway
-	c := s.call
-	failed := verdict{failure: &result.Error{Code: result.Unresumable, Run: result.Ran, Reason: err.Error()}, begun: true}
-	if !c.class.Route.Resumable || s.last == "" {
-		return failed
-	}
-	tried := map[string]bool{l.endpoint.ID: true}
-	for len(c.sends) < c.class.Route.MaxAttempts && g.mayRepeat(c) {
-		next, refusal := g.place(c, tried)
-		if refusal != nil {
-			return failed
-		}
-		tried[next.endpoint.ID] = true
-		a, err := g.exchangeAfter(ctx, c, next, s.last)
+// passed on. It returns nil if the route's attempts, the retry budget or the
+// endpoints are used up.
+func (s *stream) resume(broken *attempt) (*attempt, *upstream.Answer) {
+	q := s.request
+	attempts := &s.gateway.attempts
+	tried := map[string]bool{broken.endpoint().ID: true}
+	for len(q.attempts) < q.class.Route.MaxAttempts && attempts.allowRetry(q.spec.Service) {
+		a, refusal := attempts.place(q, tried)
+		if refusal != nil || a == nil {
+			return nil, nil
+		}
+		tried[a.endpoint().ID] = true
+		answer, err := s.send(a, s.last)
 		if err != nil {
-			g.end(c, next, placement.Broken, err.Error())
+			attempts.end(a, noAnswer{err})
 			continue
 		}
-		if a.Status/100 != 2 || a.Header.Get(g.fields.Seal) == "" {
-			g.end(c, next, placement.Rejected, "status "+strconv.Itoa(a.Status))
-			a.Close()
+		if !succeeded(answer.Status) || answer.Header.Get(s.gateway.fields.Seal) == "" {
+			attempts.end(a, notResumed{answer.Status})
+			answer.Close()
 			continue
 		}
-		err = s.copyEvents(next, a)
-		if err == nil {
-			return s.finish(next, a)
-		}
-		a.Close()
-		return s.broken(ctx, next, err)
+		return a, answer
 	}
-	return failed
+	return nil, nil
 }
--- a/internal/process/gateway.go
+++ b/internal/process/gateway.go
@@ -92,7 +92,7 @@
 		Address:  place.Peers,
 		Owner:    g.Owner(),
 		Seeds:    place.Seeds,
-		Listener: g,
+		Listener: g.Listener(),
 		Book:     d,
 		Fetch: func(ctx context.Context, address string) {
 			if err := peers.FetchState(ctx, d, address); err != nil {
