--- a/internal/direct/gateway/outcome.go
+++ b/internal/direct/gateway/outcome.go
@@ -113,7 +113,7 @@
 	case s.attemptsLeft && s.repeatable:
 		return retry{mayHaveRun: true}
 	case promisesNotRun(e.status):
-		return fail{ownFailure(result.EndpointFailed, "the endpoint failed", s.mayHaveRun)}
+		return fail{ownFailure(result.EndpointFailed, "the endpoint failed", true)}
 	default:
 		return passOn{}
 	}
--- a/internal/direct/gateway/outcome_test.go
+++ b/internal/direct/gateway/outcome_test.go
@@ -8,6 +8,7 @@
 	"strings"
 	"testing"
 
+	"foxcross.dev/coord/result"
 	"foxcross.dev/foxcross/internal/direct/driver"
 	"foxcross.dev/foxcross/internal/direct/upstream"
 	"foxcross.dev/foxcross/internal/testing/golden"
@@ -104,7 +105,8 @@
 					t.Errorf("%s in %+v: sent again: %+v", e.name, s, o)
 				}
 			case fail:
-				if s.mayHaveRun && promisesNotRun(o.err.Code.Entry().Status) {
+				promises := o.err.Run == result.NotRun || promisesNotRun(o.err.Code.Entry().Status)
+				if (ran || s.mayHaveRun) && promises {
 					t.Errorf("%s in %+v: %v promises that it was not run", e.name, s, o.err)
 				}
 			}
