--- a/internal/testing/simulation/load.go
+++ b/internal/testing/simulation/load.go
@@ -4,6 +4,7 @@
 	"context"
 	"fmt"
 	"math/rand/v2"
+	"slices"
 	"sync"
 	"time"
 
@@ -70,11 +71,15 @@
 	open.Wait()
 }
 
-// pick returns an entry as a balancer would.
+// pick returns an entry as a balancer would: one of those that say they are ready,
+// and any if none does.
 func (t *Simulation) pick(random *rand.Rand) *Entry {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.entries[random.IntN(len(t.entries))]
+	all := t.Entries()
+	ready := slices.DeleteFunc(slices.Clone(all), func(e *Entry) bool { return !e.Ready() })
+	if len(ready) == 0 {
+		ready = all
+	}
+	return ready[random.IntN(len(ready))]
 }
 
 func (s *sender) note(a caller.Answer) {
