--- a/coord/budget/budget.go
+++ b/coord/budget/budget.go
@@ -1,57 +1,70 @@
-// Package budget bounds the repeats of requests, so that the sum over all
-// entries stays within what the operator allows for a service.
+// Package budget bounds the retries of a service, so that their sum over all
+// entries stays within what the operator allows.
+//
+// Rule: within the window an entry may retry a share of the requests that it saw
+// itself, and beside that its part of the slack, which is divided by the number of
+// live entries.
+// Inputs: the operator's rules, the times of this entry's requests and retries, the
+// number of live entries as this one sees it.
+// Units: requests and retries in a window.
+// Never: entries do not ask each other, so each uses less than its part (ratioShare,
+// slackShare): the sum stays within the rules while entries have not heard of each
+// other or have started anew. TestSumStaysBelow holds that.
 package budget
 
 import "time"
 
-// Shares of what is allowed that one entry uses: some is left for entries that
-// another one hasn't heard of and for one that has just started anew.
 const (
+	// ratioShare is the share of the allowed ratio that an entry uses. Chosen; half,
+	// so that an entry that starts anew within a window cannot exceed the sum.
 	ratioShare = 0.5
+	// slackShare is the share of the slack that all entries together use. Chosen for
+	// the same reason, a little below a half since parts of a retry do not count.
 	slackShare = 0.45
+	// maxTimes bounds the remembered times of a service. Chosen, not measured: some
+	// 6,500 requests a second in a window of ten seconds.
+	maxTimes = 1 << 16
 )
 
-// maxTimes bounds the remembered times of a service.
-const maxTimes = 1 << 16
-
 // Rules are what the operator allows for each service, over all entries.
 type Rules struct {
-	Ratio  float64 // repeats per request
-	Window time.Duration
-	Slack  int // repeats beside the ratio in a window
+	Ratio  float64       // retries per request
+	Window time.Duration // in which requests and retries are counted
+	Slack  int           // retries in a window beside the ratio
 }
 
-// Budget counts the requests and repeats of one service at one entry. The zero
-// value allows nothing.
+// Budget counts the requests and retries of one service at one entry. The zero
+// value allows nothing. It is not safe for concurrent use.
 type Budget struct {
 	Rules    Rules
-	requests []time.Time
-	repeats  []time.Time
+	requests []time.Time // within the window, oldest first
+	retries  []time.Time // the same
 }
 
 // Request counts a request that came for the service.
 func (b *Budget) Request(now time.Time) {
-	b.requests = recent(b.requests, now, b.Rules.Window)
+	b.requests = within(b.Rules.Window, now, b.requests)
 	if len(b.requests) < maxTimes {
 		b.requests = append(b.requests, now)
 	}
 }
 
-// Repeat asks for one more send of a request. It is counted if allowed.
-func (b *Budget) Repeat(now time.Time, entries int) bool {
-	b.requests = recent(b.requests, now, b.Rules.Window)
-	b.repeats = recent(b.repeats, now, b.Rules.Window)
+// Retry tells whether one more attempt of a request is allowed beside so many live
+// entries, and counts it if so.
+func (b *Budget) Retry(now time.Time, entries int) bool {
+	b.requests = within(b.Rules.Window, now, b.requests)
+	b.retries = within(b.Rules.Window, now, b.retries)
 	slack := slackShare * float64(b.Rules.Slack) / float64(max(entries, 1))
 	allowed := ratioShare*b.Rules.Ratio*float64(len(b.requests)) + slack
-	if float64(len(b.repeats)+1) > allowed {
+	if float64(len(b.retries)+1) > allowed {
 		return false
 	}
-	b.repeats = append(b.repeats, now)
+	b.retries = append(b.retries, now)
 	return true
 }
 
-// recent drops the times before the window.
-func recent(times []time.Time, now time.Time, window time.Duration) []time.Time {
+// within drops the times before the window.
+func within(window time.Duration, now time.Time, times []time.Time) []time.Time {
 	n := 0
 	for n < len(times) && now.Sub(times[n]) >= window {
 		n++
--- a/coord/budget/budget_test.go
+++ b/coord/budget/budget_test.go
@@ -17,15 +17,15 @@
 	allowed := 0
 	for range 20 {
 		b.Request(origin)
-		if b.Repeat(origin, 2) {
+		if b.Retry(origin, 2) {
 			allowed++
 		}
 	}
-	fmt.Println(allowed, "of 20 repeats")
-	// Output: 4 of 20 repeats
+	fmt.Println(allowed, "of 20 retries")
+	// Output: 4 of 20 retries
 }
 
-// TestSumStaysBelow lets several entries repeat whatever they may, some of them
+// TestSumStaysBelow lets several entries retry whatever they may, some of them
 // started anew, and counts over every window.
 func TestSumStaysBelow(t *testing.T) {
 	rules := budget.Rules{Ratio: 0.2, Window: 10 * time.Second, Slack: 50}
@@ -36,7 +36,7 @@
 			all[n].Rules = rules
 		}
 		restarted := rapid.IntRange(-1, entries-1).Draw(r, "restarted")
-		var requests, repeats []time.Time
+		var requests, retries []time.Time
 		now := origin
 		for step := range 400 {
 			now = now.Add(time.Duration(rapid.IntRange(0, 200).Draw(r, "ms")) * time.Millisecond)
@@ -47,12 +47,12 @@
 			all[n].Request(now)
 			requests = append(requests, now)
 			for range 3 {
-				if all[n].Repeat(now, entries) {
-					repeats = append(repeats, now)
+				if all[n].Retry(now, entries) {
+					retries = append(retries, now)
 				}
 			}
 		}
-		for _, end := range repeats {
+		for _, end := range retries {
 			in := func(times []time.Time) int {
 				count := 0
 				for _, at := range times {
@@ -62,8 +62,8 @@
 				}
 				return count
 			}
-			if bound := rules.Ratio*float64(in(requests)) + float64(rules.Slack); float64(in(repeats)) > bound {
-				r.Fatalf("%d repeats in a window of %d requests", in(repeats), in(requests))
+			if bound := rules.Ratio*float64(in(requests)) + float64(rules.Slack); float64(in(retries)) > bound {
+				r.Fatalf("%d retries in a window of %d requests", in(retries), in(requests))
 			}
 		}
 	})
@@ -72,7 +72,7 @@
 func TestZeroValueAllowsNothing(t *testing.T) {
 	var b budget.Budget
 	b.Request(origin)
-	if b.Repeat(origin, 1) {
-		t.Error("a budget without rules allowed a repeat")
+	if b.Retry(origin, 1) {
+		t.Error("a budget without rules allowed a retry")
 	}
 }
--- /dev/null
+++ b/coord/placement/example_test.go
@@ -0,0 +1,46 @@
+package placement_test
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"time"
+
+	"foxcross.dev/coord/placement"
+)
+
+// A table learns from each attempt that is placed: here a prompt goes where its
+// prefix is cached.
+func ExampleTable() {
+	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+	table := placement.Table{Self: 1, ReuseLife: 10 * time.Second}
+	table.SetServices([]placement.Service{{Name: "pool", BetweenTokens: 150 * time.Millisecond}})
+	table.SetEndpoints([]placement.Endpoint{
+		{ID: "i-1", Service: "pool", Slots: 8, Engine: true},
+		{ID: "i-2", Service: "pool", Slots: 8, Engine: true},
+	})
+	prompt := func(own uint64) placement.Prompt {
+		return placement.Prompt{Tokens: 5100, MaxOut: 100, Parts: []placement.Part{{ID: 7, Tokens: 5000}, {ID: own, Tokens: 100}}}
+	}
+	request := placement.Request{Service: "pool", Prompt: prompt(1), FirstToken: time.Second, BetweenTokens: 200 * time.Millisecond}
+	table.Place(now, placement.AttemptID{Owner: 1, Number: 1}, "i-2", request)
+
+	request.Prompt = prompt(2)
+	exclude := func(string) bool { return false }
+	choice, ok := table.Choose(now.Add(time.Second), request, exclude, rand.New(rand.NewPCG(1, 2)))
+	fmt.Println(ok, choice.Endpoint.ID, choice.PrefillTokens, "tokens to compute")
+	// Output: true i-2 100 tokens to compute
+}
+
+// Admit refuses what would wait longer than its target, and says when to come back.
+func ExampleChoice_Admit() {
+	choice := placement.Choice{Long: true, WaitMS: 3000}
+	request := placement.Request{FirstToken: 2 * time.Second}
+	retryAfter, ok := choice.Admit(request, 15*time.Second)
+	fmt.Println(ok, retryAfter)
+	// Output: false 2s
+}
+
+func ExamplePrompt_Out() {
+	fmt.Println(placement.Prompt{MaxOut: 300}.Out(), placement.Prompt{MaxOut: 300, LikelyOut: 40}.Out())
+	// Output: 300 40
+}
--- a/internal/direct/gateway/attempts.go
+++ b/internal/direct/gateway/attempts.go
@@ -210,7 +210,7 @@
 func (a *attempts) allowRetry(service string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.budget(service).Repeat(time.Now(), a.entries())
+	return a.budget(service).Retry(time.Now(), a.entries())
 }
 
 // budget returns the budget of a service. attempts.mu is held.
