--- /dev/null
+++ b/internal/decisions_test.go
@@ -0,0 +1,141 @@
+package internal_test
+
+import (
+	"fmt"
+	"go/ast"
+	"go/parser"
+	"go/printer"
+	"go/token"
+	"os"
+	"strings"
+	"testing"
+)
+
+// decisionsPage lists the rules and their numbers. It is made from the code by
+// this test: UPDATE_GOLDEN=1 go test ./internal -run TestDecisionsPage.
+const decisionsPage = "../docs/DECISIONS.md"
+
+const decisionsHead = `# Decisions
+
+Made from the code by internal/decisions_test.go (UPDATE_GOLDEN=1 go test ./internal
+-run TestDecisionsPage writes it); do not edit. Each rule of the direct way stands in
+the file named, which opens with what is shown here. "Chosen" means that no other value
+was tried; a number of docs/EXPERIMENTS.md is where it was measured.
+`
+
+// decisionFiles are the files that hold rules or their numbers, in the order of a
+// request's path.
+var decisionFiles = []string{
+	"internal/direct/gateway/deny.go",
+	"internal/direct/gateway/capacity.go",
+	"internal/direct/gateway/attempts.go",
+	"coord/placement/choose.go",
+	"coord/placement/cost.go",
+	"coord/placement/admit.go",
+	"coord/placement/pool.go",
+	"coord/placement/home.go",
+	"coord/placement/health.go",
+	"coord/placement/attempts.go",
+	"coord/placement/endpoint.go",
+	"coord/placement/prefill.go",
+	"coord/placement/interval.go",
+	"coord/placement/prefixcache.go",
+	"coord/placement/table.go",
+	"internal/direct/gateway/outcome.go",
+	"coord/budget/budget.go",
+	"internal/direct/gateway/whole.go",
+	"internal/direct/gateway/stream.go",
+	"internal/direct/gateway/gateway.go",
+	"internal/direct/gateway/server.go",
+	"internal/direct/gateway/stop.go",
+}
+
+// TestDecisionsPage holds docs/DECISIONS.md to the code, and wants a comment on
+// each constant of the files.
+func TestDecisionsPage(t *testing.T) {
+	var page strings.Builder
+	page.WriteString(decisionsHead)
+	for _, name := range decisionFiles {
+		describe(t, &page, name)
+	}
+	if os.Getenv("UPDATE_GOLDEN") != "" {
+		if err := os.WriteFile(decisionsPage, []byte(page.String()), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(decisionsPage)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if page.String() != string(want) {
+		t.Errorf("%s is not what the code says; %s", decisionsPage, decisionsHead)
+	}
+}
+
+// describe writes the rule at the head of a file and its constants.
+func describe(t *testing.T, page *strings.Builder, name string) {
+	t.Helper()
+	files := token.NewFileSet()
+	f, err := parser.ParseFile(files, "../"+name, nil, parser.ParseComments)
+	if err != nil {
+		t.Fatal(err)
+	}
+	fmt.Fprintf(page, "\n## %s\n", name)
+	if rule := headOf(f); rule != "" {
+		fmt.Fprintf(page, "\n%s", rule)
+	}
+	rows := 0
+	for _, d := range f.Decls {
+		g, ok := d.(*ast.GenDecl)
+		if !ok || g.Tok != token.CONST {
+			continue
+		}
+		group := g.Doc.Text()
+		for _, s := range g.Specs {
+			v := s.(*ast.ValueSpec)
+			if len(v.Values) == 0 || isText(v.Values[0]) || v.Type != nil {
+				continue // names and enumerations are no numbers
+			}
+			switch {
+			case v.Doc != nil:
+				group = v.Doc.Text()
+			case v.Comment != nil:
+				group = v.Comment.Text()
+			}
+			if group == "" {
+				t.Errorf("%s: a constant has no comment", files.Position(v.Pos()))
+			}
+			if rows == 0 {
+				page.WriteString("\n| constant | value | meaning and source |\n| --- | --- | --- |\n")
+			}
+			rows++
+			fmt.Fprintf(page, "| `%s` | `%s` | %s |\n", v.Names[0].Name, source(t, files, v.Values[0]), strings.Join(strings.Fields(group), " "))
+		}
+	}
+}
+
+// headOf returns the comment before the package clause: the file's rule, or the
+// package's comment.
+func headOf(f *ast.File) string {
+	var text string
+	for _, c := range f.Comments {
+		if c.End() < f.Package {
+			text += c.Text()
+		}
+	}
+	return text
+}
+
+func isText(x ast.Expr) bool {
+	literal, ok := x.(*ast.BasicLit)
+	return ok && literal.Kind == token.STRING
+}
+
+func source(t *testing.T, files *token.FileSet, x ast.Expr) string {
+	t.Helper()
+	var b strings.Builder
+	if err := printer.Fprint(&b, files, x); err != nil {
+		t.Fatal(err)
+	}
+	return b.String()
+}
