--- a/internal/decisions_test.go
+++ b/internal/decisions_test.go
@@ -48,6 +48,16 @@
 	"internal/direct/gateway/gateway.go",
 	"internal/direct/gateway/server.go",
 	"internal/direct/gateway/stop.go",
+	"internal/direct/directory/follow.go",
+	"internal/direct/directory/lapse.go",
+	"internal/direct/directory/changes.go",
+	"internal/direct/peers/member.go",
+	"internal/direct/peers/role.go",
+	"internal/direct/peers/catchup.go",
+	"internal/direct/peers/group.go",
+	"internal/direct/peers/events.go",
+	"internal/direct/peers/packet.go",
+	"internal/direct/peers/state.go",
 }
 
 // TestDecisionsPage holds docs/DECISIONS.md to the code, and wants a comment on
--- a/internal/direct/directory/directory.go
+++ b/internal/direct/directory/directory.go
@@ -1,9 +1,14 @@
-// Package directory holds what a process knows of the settings and of the
-// endpoints: read from the platform's store, told by other entries, and never
-// going back within the life of the process.
+// Package directory holds what a process knows of the settings and of the list of
+// endpoints: read from the platform's store, or told by other entries. Neither goes
+// back to an older version while the process runs.
+//
+// follow.go reads the store, role.go says whether this process does, lapse.go keeps
+// endpoints whose leases ran out in an outage, changes.go remembers changes for
+// entries that lack only these.
 package directory
 
 import (
+	"cmp"
 	"slices"
 	"sync"
 	"time"
@@ -23,7 +28,7 @@
 	Snapshot settings.Snapshot
 }
 
-// Directory is the state. Create it with New.
+// Directory is that knowledge. Create it with New. It is safe for concurrent use.
 type Directory struct {
 	onSettings  func(InForce)
 	onEndpoints func([]placement.Endpoint)
@@ -34,21 +39,17 @@
 	revision  uint64    // of the endpoints
 	listed    bool
 	endpoints map[string]placement.Endpoint
-	recent    recent
+	changes   changes
 
-	lapsed      map[string]lapse // endpoints that vanished and are still used
+	lapsed      map[string]lapse // by id
 	leaveWithin time.Duration    // an endpoint that has left gets nothing new after so long
-	regained    time.Time        // when the source was last heard again after an outage
-	outage      bool             // the source has been lost since it first answered
-
-	contact     time.Time // when the last call was made that the source answered
-	following   bool      // the source answered the last call
+	contact     contact
 	role        Role
 	roleChanged chan struct{}
 }
 
-// New returns an empty directory. The functions are called, one at a time and
-// with the directory locked, when something changes.
+// New returns an empty directory. The functions are called when something changes,
+// one at a time and with the directory locked: they must not call it.
 func New(onSettings func(InForce), onEndpoints func([]placement.Endpoint)) *Directory {
 	return &Directory{
 		onSettings:  onSettings,
@@ -89,7 +90,7 @@
 	return d.confirmed
 }
 
-// Confirm notes that the version was the newest at the time.
+// Confirm records that the version was the newest at the time.
 func (d *Directory) Confirm(version uint64, at time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -111,11 +112,11 @@
 	}
 	snapshot, err := settings.Compile(t)
 	if err != nil {
-		log.With("version", version).With("from", source).Errorf("The settings can't be used: %v.", err)
+		log.With("version", version).With("from", source).Errorf("Settings can't be used; those in force stay: %v.", err)
 		return
 	}
 	d.settings = &InForce{Version: version, Tree: t, Snapshot: snapshot}
-	log.With("version", version).With("before", before).With("from", source).Info("New settings are in force.")
+	log.With("version", version).With("before", before).With("from", source).Info("Settings are in force.")
 	d.onSettings(*d.settings)
 }
 
@@ -123,28 +124,20 @@
 func (d *Directory) TakeEndpoints(list driver.Endpoints, source string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.replace(list, source, d.holdFor)
+	d.replace(list, source, d.keepFor)
 }
 
-// TakeFromPeer is TakeEndpoints for what another process read, with the
-// endpoints that it still uses though they have vanished.
+// TakeFromPeer is TakeEndpoints for what another entry read, with the endpoints that
+// it keeps in use though they have vanished.
 func (d *Directory) TakeFromPeer(list driver.Endpoints, lapsed map[string]time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.replace(list, "peer", heldByPeer(lapsed))
+	d.replace(list, "peer", keptByPeer(lapsed))
 }
 
-// holding tells how long an endpoint that has just vanished stays in use.
-type holding func(now time.Time, e placement.Endpoint) time.Duration
-
-// heldByPeer holds what another process holds.
-func heldByPeer(lapsed map[string]time.Duration) holding {
-	return func(_ time.Time, e placement.Endpoint) time.Duration { return min(lapsed[e.ID], lapseEnd) }
-}
-
-// replace takes in a whole list. hold tells how long an endpoint that is not on
-// it stays in use. The directory is locked.
-func (d *Directory) replace(list driver.Endpoints, source string, hold holding) {
+// replace takes in a whole list. keep tells how long an endpoint that is not on it
+// stays in use. The directory is locked.
+func (d *Directory) replace(list driver.Endpoints, source string, keep keeping) {
 	if d.listed && list.Revision <= d.revision {
 		return
 	}
@@ -158,31 +151,31 @@
 	now := time.Now()
 	for id, e := range d.endpoints {
 		if !listed[id] {
-			d.vanish(e, hold(now, e))
+			d.vanish(e, keep(now, e))
 		}
 	}
-	d.recent.reset(list.Revision)
+	d.changes.reset(list.Revision)
 	log.With("revision", d.revision).With("endpoints", len(d.endpoints)).With("from", source).Info("The list of endpoints was read.")
 	d.onEndpoints(d.usable())
 }
 
-// Apply takes in changes of the list since the revision that was waited from.
+// Apply takes in changes of the list that a watch brought.
 func (d *Directory) Apply(c driver.Change) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.apply(c, d.holdFor)
+	d.apply(c, d.keepFor)
 }
 
-// ApplyFromPeer is Apply for what another process was told, with the endpoints
-// that it still uses though they have vanished.
+// ApplyFromPeer is Apply for what another entry was told, with the endpoints that it
+// keeps in use though they have vanished.
 func (d *Directory) ApplyFromPeer(c driver.Change, lapsed map[string]time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.apply(c, heldByPeer(lapsed))
+	d.apply(c, keptByPeer(lapsed))
 }
 
 // apply takes in changes. The directory is locked.
-func (d *Directory) apply(c driver.Change, hold holding) {
+func (d *Directory) apply(c driver.Change, keep keeping) {
 	if !d.listed || c.Revision <= d.revision {
 		return
 	}
@@ -190,10 +183,10 @@
 	if len(c.Changed) == 0 && len(c.Gone) == 0 {
 		return
 	}
-	d.recent.add(c)
+	d.changes.add(c)
 	for _, e := range c.Changed {
 		d.set(e)
-		log.With("endpoint", e.ID).With("service", e.Service).With("leaving", e.Leaving).With("revision", c.Revision).Info("An endpoint changed.")
+		log.With("endpoint", e.ID).With("service", e.Service).With("leaving", e.Leaving).With("revision", c.Revision).Info("An endpoint changed or came.")
 	}
 	now := time.Now()
 	for _, id := range c.Gone {
@@ -201,21 +194,21 @@
 		if !known {
 			continue
 		}
-		d.vanish(e, hold(now, e))
-		log.With("endpoint", id).With("revision", c.Revision).Info("An endpoint is gone.")
+		d.vanish(e, keep(now, e))
+		log.With("endpoint", id).With("revision", c.Revision).Info("An endpoint left the list.")
 	}
 	d.onEndpoints(d.usable())
 }
 
-// Since returns what changed in the list after a revision, and the endpoints
-// that vanished and are still used; false where that is not known any more.
+// Since returns what changed in the list after a revision; false if that is not
+// known any more. What is kept beside the list is told by Lapsed.
 func (d *Directory) Since(revision uint64) (driver.Change, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !d.listed {
 		return driver.Change{}, false
 	}
-	return d.recent.since(revision, d.revision)
+	return d.changes.since(revision, d.revision)
 }
 
 // Endpoints returns the list.
@@ -237,11 +230,6 @@
 	for _, e := range d.endpoints {
 		list = append(list, e)
 	}
-	slices.SortFunc(list, func(a, b placement.Endpoint) int {
-		if a.ID < b.ID {
-			return -1
-		}
-		return 1
-	})
+	slices.SortFunc(list, func(a, b placement.Endpoint) int { return cmp.Compare(a.ID, b.ID) })
 	return list
 }
--- a/internal/direct/directory/directory_test.go
+++ b/internal/direct/directory/directory_test.go
@@ -189,7 +189,7 @@
 	s := &source{version: 1, revision: 3}
 	follow(t, s, func(d *directory.Directory) {
 		time.Sleep(100 * time.Millisecond)
-		d.SetRole(directory.Relaxed)
+		d.SetRole(directory.Follower)
 		time.Sleep(time.Second) // the watch that was begun ends
 		waits := s.count()
 		time.Sleep(time.Minute)
@@ -200,13 +200,13 @@
 		s.set(func() { s.version, s.revision = 2, 9 })
 		time.Sleep(time.Second)
 		expect(t, d, 1, 8)
-		d.SetRole(directory.Substitute)
+		d.SetRole(directory.Standby)
 		time.Sleep(100 * time.Millisecond)
 		expect(t, d, 2, 9)
 		if s.count() == waits || s.after() < 8 {
 			t.Errorf("%d calls, changes asked for from revision %d", s.count()-waits, s.after())
 		}
-		d.SetRole(directory.Sentinel)
+		d.SetRole(directory.Reader)
 		waits = s.count()
 		time.Sleep(time.Minute)
 		if often := s.count() - waits; often < 60 {
@@ -230,7 +230,7 @@
 			time.Sleep(5 * time.Second)
 			return n
 		}
-		sentinel, substitute := calls(directory.Sentinel), calls(directory.Substitute)
+		sentinel, substitute := calls(directory.Reader), calls(directory.Standby)
 		if sentinel < 80 || substitute > sentinel/2 {
 			t.Errorf("%d calls a minute as a sentinel, %d as a substitute", sentinel, substitute)
 		}
--- a/internal/direct/directory/follow.go
+++ b/internal/direct/directory/follow.go
@@ -1,3 +1,14 @@
+// How a process follows the platform's store.
+//
+// Rule: a reader or standby reads the list of endpoints and then the settings, and
+// waits for changes after the revision of the list; it reads all anew when the store
+// no longer knows the changes since. Calls that fail are retried with growing delays.
+// Inputs: the store, the role, the revision that other entries have told.
+// Never: settings that are held are not older than the revision of the list, from
+// which changes are asked for and which other entries are told (docs/FINDINGS.md,
+// "CONFIG 8"); nothing known is dropped because the store fails.
+// Measured: docs/EXPERIMENTS.md 17 and 20.
+
 package directory
 
 import (
@@ -11,43 +22,50 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// Times of following the source.
 const (
-	watchWait   = 700 * time.Millisecond // of a watch: a lost one is noticed soon after
-	watchRest   = 100 * time.Millisecond // after changes, so that more of them come at once
-	firstRetry  = 60 * time.Millisecond
-	longRetry   = 500 * time.Millisecond
-	slowRetry   = 2 * time.Second // of a substitute
-	retryFactor = 1.6
+	// watchWait is how long a watch waits for changes; a lost one is noticed soon
+	// after. EXPERIMENTS 17 and 20.
+	watchWait = 700 * time.Millisecond
+	// watchPause is the time after changes before the next watch, so that it brings
+	// more of them at once. EXPERIMENTS 17.
+	watchPause = 100 * time.Millisecond
+	// minRetryDelay, maxRetryDelay and retryFactor space calls that fail. Chosen, not
+	// measured.
+	minRetryDelay = 60 * time.Millisecond
+	maxRetryDelay = 500 * time.Millisecond
+	retryFactor   = 1.6
+	// maxStandbyRetryDelay is the longest delay of a standby, of which there may be
+	// many. Chosen, not measured.
+	maxStandbyRetryDelay = 2 * time.Second
 )
 
-// Follow keeps the directory up to date from the source until ctx is done.
+// Follow keeps the directory up to date from the store until ctx is done.
 func (d *Directory) Follow(ctx context.Context, s driver.Source) {
 	f := &follower{directory: d, source: s}
-	f.wait.InitialInterval = firstRetry
-	f.wait.MaxInterval = longRetry
-	f.wait.Multiplier = retryFactor
-	f.wait.RandomizationFactor = backoff.DefaultRandomizationFactor
-	f.wait.Reset()
+	f.delays.InitialInterval = minRetryDelay
+	f.delays.MaxInterval = maxRetryDelay
+	f.delays.Multiplier = retryFactor
+	f.delays.RandomizationFactor = backoff.DefaultRandomizationFactor
+	f.delays.Reset()
 	for ctx.Err() == nil {
-		if f.directory.rests(ctx) {
+		if d.awaitRole(ctx) {
 			continue
 		}
 		if err := f.step(ctx); err != nil {
-			f.pause(ctx, err)
+			f.retryLater(ctx, err)
 			continue
 		}
-		f.wait.Reset()
+		f.delays.Reset()
 	}
 }
 
-// follower reads the source: all of it at first and when changes were missed,
-// then the changes.
+// follower reads the store: all of it at first and when changes were missed, then
+// the changes.
 type follower struct {
 	directory *Directory
 	source    driver.Source
-	revision  uint64 // to wait from, 0 to read all
-	wait      backoff.ExponentialBackOff
+	revision  uint64 // to ask for changes after, 0 to read all
+	delays    backoff.ExponentialBackOff
 }
 
 func (f *follower) step(ctx context.Context) error {
@@ -57,9 +75,7 @@
 	return f.readChanges(ctx)
 }
 
-// readAll reads the list of endpoints, then the settings: those that are held
-// are never older than the revision of the list, from which changes are asked
-// for and which other processes are told.
+// readAll reads the list of endpoints, then the settings.
 func (f *follower) readAll(ctx context.Context) error {
 	asked := time.Now()
 	list, err := f.source.ReadEndpoints(ctx)
@@ -70,13 +86,14 @@
 	if err != nil && !errors.Is(err, storeerr.ErrNotFound) {
 		return err
 	}
-	f.directory.answered()
+	d := f.directory
+	d.storeAnswered()
 	if err == nil {
-		f.directory.TakeSettings(read.Version, read.Tree, "store")
-		f.directory.Confirm(read.Version, asked)
+		d.TakeSettings(read.Version, read.Tree, "store")
+		d.Confirm(read.Version, asked)
 	}
-	f.directory.TakeEndpoints(list, "store")
-	f.directory.contacted(asked)
+	d.TakeEndpoints(list, "store")
+	d.setLastContact(asked)
 	f.revision = list.Revision
 	return nil
 }
@@ -84,73 +101,58 @@
 // readChanges waits for changes and takes them in.
 func (f *follower) readChanges(ctx context.Context) error {
 	asked := time.Now()
-	after := f.directory.reached(f.revision)
-	c, err := f.source.Wait(ctx, after, watchWait)
+	d := f.directory
+	c, err := f.source.Wait(ctx, d.newestRevision(f.revision), watchWait)
 	switch {
 	case errors.Is(err, driver.ErrHistoryGone):
-		log.With("revision", f.revision).Info("The history of the source is gone.")
+		log.With("revision", f.revision).Info("The store no longer knows the changes since the revision; reading all anew.")
 		f.revision = 0
 		return nil
 	case err != nil:
 		return err
 	}
-	f.directory.answered()
+	d.storeAnswered()
 	if c.Settings != nil {
-		f.directory.TakeSettings(c.Settings.Version, c.Settings.Tree, "watch")
+		d.TakeSettings(c.Settings.Version, c.Settings.Tree, "watch")
 	}
-	f.directory.Apply(c)
-	version, _ := f.directory.Versions()
-	f.directory.Confirm(version, asked)
-	f.directory.contacted(asked)
+	d.Apply(c)
+	version, _ := d.Versions()
+	d.Confirm(version, asked)
+	d.setLastContact(asked)
 	f.revision = c.Revision
 	if c.Settings != nil || len(c.Changed) > 0 || len(c.Gone) > 0 {
-		sleep(ctx, watchRest)
+		wait(ctx, watchPause, nil)
 	}
 	return nil
 }
 
-// pause waits after a failed call and logs the first of a row.
-func (f *follower) pause(ctx context.Context, err error) {
-	if f.directory.lost() {
-		log.With("reason", err.Error()).Warnf("The source is lost.")
-	}
-	f.wait.MaxInterval = f.directory.maxPause()
-	timer := time.NewTimer(f.wait.NextBackOff())
-	defer timer.Stop()
-	select {
-	case <-ctx.Done():
-	case <-f.directory.roleChanged:
-	case <-timer.C:
+// retryLater waits after a failed call, or until the role changes, and logs the
+// first failure of a row.
+func (f *follower) retryLater(ctx context.Context, err error) {
+	d := f.directory
+	if d.storeFailed() {
+		version, _ := d.Versions()
+		log.With("reason", err.Error()).With("version", version).Warnf("The store does not answer; the settings and endpoints that are known stay in use.")
 	}
+	f.delays.MaxInterval = d.maxRetryDelay()
+	wait(ctx, f.delays.NextBackOff(), d.roleChanged)
 }
 
-// sleep waits for the time, or until ctx is done.
-func sleep(ctx context.Context, d time.Duration) {
+// wait returns after the time, when ctx is done, or when a value comes.
+func wait(ctx context.Context, d time.Duration, until <-chan struct{}) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
+	case <-until:
 	case <-timer.C:
 	}
 }
 
-// Following tells whether the source answered the last call.
-func (d *Directory) Following() bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.following
-}
-
-// contacted notes that the source answered a call made at the time.
-func (d *Directory) contacted(at time.Time) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.contact = at
-}
-
-// Contact returns when the last call was made that the source answered.
-func (d *Directory) Contact() time.Time {
+// newestRevision returns the revision to ask for changes after, given the one that
+// the store was last asked from: other entries may have told more.
+func (d *Directory) newestRevision(asked uint64) uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.contact
+	return max(asked, d.revision)
 }
--- a/internal/direct/directory/lapse.go
+++ b/internal/direct/directory/lapse.go
@@ -1,3 +1,14 @@
+// When an endpoint that vanished from the list is kept in use.
+//
+// Rule: leases of endpoints may run out while the store is away. One that vanishes
+// within lapseWindow of the store's return, without having said that it leaves, is
+// kept until lapseEnd after the return, but no longer than an endpoint may get new
+// requests after it left. If it has come back by then it stays; else it is dropped.
+// Inputs: the store's return, the platform's bound on leaving, other entries' word on
+// what they keep.
+// Never: an endpoint that said it leaves is not kept; outside an outage none is.
+// Measured: an own day with lapsed leases, docs/FINDINGS.md ("own day, two outages").
+
 package directory
 
 import (
@@ -7,13 +18,16 @@
 	"foxcross.dev/foxcross/internal/direct/driver"
 )
 
-// Leases of endpoints may run out while the source is away. Endpoints that live
-// renew theirs soon after its return, so one that vanishes then without having
-// said that it leaves stays in use for a while.
 const (
-	lapseWindow = time.Second             // after the source's return in which an endpoint may vanish by a lapse
-	lapseEnd    = 2300 * time.Millisecond // after the source's return at which all that vanished are taken as gone
-	leaveSlack  = 100 * time.Millisecond  // of the time allowed for leaving that is not used
+	// lapseWindow is how long after the store's return an endpoint may vanish by a
+	// lapse. Chosen, not measured.
+	lapseWindow = time.Second
+	// lapseEnd is when, after the store's return, all that have vanished are dropped.
+	// Derived: live endpoints are back within about two seconds of the return.
+	lapseEnd = 2300 * time.Millisecond
+	// leaveSlack is the part of the time allowed after leaving that is not used.
+	// Chosen, not measured.
+	leaveSlack = 100 * time.Millisecond
 )
 
 // lapse is an endpoint that vanished from the list and is still used.
@@ -22,53 +36,39 @@
 	until    time.Time
 }
 
-// answered notes that the source answered, before its answer is taken in.
-func (d *Directory) answered() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.following {
-		return
-	}
-	d.following = true
-	if d.outage {
-		d.regained = time.Now()
+// keepFor returns how long an endpoint that has just vanished stays in use, 0 for
+// not at all. The directory is locked.
+func (d *Directory) keepFor(now time.Time, e placement.Endpoint) time.Duration {
+	regained := d.contact.regained
+	if e.Leaving || regained.IsZero() || now.Sub(regained) > lapseWindow {
+		return 0
 	}
-	log.Info("The source answers.")
+	return min(regained.Add(lapseEnd).Sub(now), d.leaveWithin-leaveSlack)
 }
 
-// lost notes that the source did not answer; true if that is news.
-func (d *Directory) lost() bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	news := d.following
-	d.following = false
-	d.outage = d.outage || news
-	return news
-}
+// keeping tells how long an endpoint that has just vanished stays in use.
+type keeping func(now time.Time, e placement.Endpoint) time.Duration
 
-// holdFor returns how long an endpoint that has just vanished stays in use. The
-// directory is locked.
-func (d *Directory) holdFor(now time.Time, e placement.Endpoint) time.Duration {
-	if e.Leaving || d.regained.IsZero() || now.Sub(d.regained) > lapseWindow {
-		return 0
-	}
-	return min(d.regained.Add(lapseEnd).Sub(now), d.leaveWithin-leaveSlack)
+// keptByPeer keeps what another entry keeps.
+func keptByPeer(lapsed map[string]time.Duration) keeping {
+	return func(_ time.Time, e placement.Endpoint) time.Duration { return min(lapsed[e.ID], lapseEnd) }
 }
 
-// vanish takes an endpoint off the list. The directory is locked.
-func (d *Directory) vanish(e placement.Endpoint, hold time.Duration) {
+// vanish takes an endpoint off the list and keeps it in use for a time. The
+// directory is locked.
+func (d *Directory) vanish(e placement.Endpoint, keep time.Duration) {
 	delete(d.endpoints, e.ID)
-	if hold <= 0 {
+	if keep <= 0 {
 		return
 	}
 	if d.lapsed == nil {
 		d.lapsed = map[string]lapse{}
 	}
-	d.lapsed[e.ID] = lapse{endpoint: e, until: time.Now().Add(hold)}
-	time.AfterFunc(hold, d.dropLapsed)
+	d.lapsed[e.ID] = lapse{endpoint: e, until: time.Now().Add(keep)}
+	time.AfterFunc(keep, d.dropLapsed)
 }
 
-// dropLapsed gives up the endpoints that have not come back in time.
+// dropLapsed drops the endpoints that have not come back in time.
 func (d *Directory) dropLapsed() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -80,7 +80,7 @@
 		}
 		delete(d.lapsed, id)
 		dropped = true
-		log.With("endpoint", id).Info("An endpoint that vanished in an outage has not come back.")
+		log.With("endpoint", id).Info("An endpoint that vanished during an outage of the store has not come back; it is dropped.")
 	}
 	if dropped {
 		d.onEndpoints(d.usable())
@@ -93,8 +93,8 @@
 	d.endpoints[e.ID] = e
 }
 
-// usable returns the list with the endpoints that are still used beside it. The
-// directory is locked.
+// usable returns the list with the endpoints that are kept beside it. The directory
+// is locked.
 func (d *Directory) usable() []placement.Endpoint {
 	list := d.list()
 	for _, l := range d.lapsed {
@@ -103,8 +103,8 @@
 	return list
 }
 
-// Lapsed returns the ids of the endpoints that vanished and are still used, and
-// for how long.
+// Lapsed returns the endpoints that vanished and are kept in use, by id, and for how
+// much longer.
 func (d *Directory) Lapsed() map[string]time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/direct/directory/role.go
+++ b/internal/direct/directory/role.go
@@ -5,26 +5,27 @@
 	"time"
 )
 
-// Role is what a process does to learn of changes.
+// Role is what a process does to learn of changes of the store. Package peers
+// decides it.
 type Role int
 
-// The roles. Few processes ask the source, whose calls are counted; the others
-// are told by them.
+// The roles. Few processes read the store, whose calls are counted; the others are
+// told by them.
 const (
-	Sentinel   Role = iota // asks the source
-	Substitute             // asks it in the place of sentinels that it does not answer, seldom while it fails
-	Relaxed                // does not ask it
+	Reader   Role = iota // reads the store
+	Standby              // reads it in place of readers that it does not answer, seldom while it fails
+	Follower             // does not read it
 )
 
-// String returns the role's name.
+// String returns the role's name for the log.
 func (r Role) String() string {
 	switch r {
-	case Sentinel:
-		return "sentinel"
-	case Substitute:
-		return "substitute"
+	case Reader:
+		return "reader"
+	case Standby:
+		return "standby"
 	default:
-		return "relaxed"
+		return "follower"
 	}
 }
 
@@ -36,7 +37,7 @@
 		return
 	}
 	d.role = r
-	log.With("role", r.String()).Info("The role changed.")
+	log.With("role", r.String()).Info("The role towards the store changed.")
 	select {
 	case d.roleChanged <- struct{}{}:
 	default:
@@ -50,13 +51,13 @@
 	return d.role
 }
 
-// Asking tells whether the process asks the source.
-func (d *Directory) Asking() bool { return d.Role() != Relaxed }
+// ReadsStore tells whether the process reads the store.
+func (d *Directory) ReadsStore() bool { return d.Role() != Follower }
 
-// rests waits while the process is relaxed, until its role changes or ctx is
-// done. It returns false at once if the process asks the source.
-func (d *Directory) rests(ctx context.Context) bool {
-	if d.Asking() {
+// awaitRole waits while the process is a follower, until its role changes or ctx is
+// done. It returns false at once if the process reads the store.
+func (d *Directory) awaitRole(ctx context.Context) (waited bool) {
+	if d.ReadsStore() {
 		return false
 	}
 	select {
@@ -66,18 +67,10 @@
 	return true
 }
 
-// reached returns the revision from which changes are to be asked for, given the
-// one that the source was last asked from: other processes may have told more.
-func (d *Directory) reached(asked uint64) uint64 {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return max(asked, d.revision)
-}
-
-// maxPause returns the longest pause between calls that fail.
-func (d *Directory) maxPause() time.Duration {
-	if d.Role() == Substitute {
-		return slowRetry
+// maxRetryDelay returns the longest delay between calls that fail.
+func (d *Directory) maxRetryDelay() time.Duration {
+	if d.Role() == Standby {
+		return maxStandbyRetryDelay
 	}
-	return longRetry
+	return maxRetryDelay
 }
--- a/internal/direct/gateway/attempts.go
+++ b/internal/direct/gateway/attempts.go
@@ -157,7 +157,7 @@
 		outcome: outcomeOpen,
 	}
 	a.table.Place(now, x.id, choice.Endpoint.ID, q.spec)
-	a.tell(peers.Note{Kind: peers.Placed, Number: x.id.Number, Endpoint: choice.Endpoint.ID, Job: &q.spec})
+	a.broadcast(peers.Event{Kind: peers.AttemptSent, Number: x.id.Number, Endpoint: choice.Endpoint.ID, Request: &q.spec})
 	q.attempts = append(q.attempts, x)
 	return x, nil
 }
@@ -176,7 +176,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.table.FirstEvent(now, x.id)
-	a.tell(peers.Note{Kind: peers.Begun, Number: x.id.Number})
+	a.broadcast(peers.Event{Kind: peers.FirstEvent, Number: x.id.Number})
 }
 
 // nextEvent records a later event of a stream.
@@ -196,7 +196,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.table.End(time.Now(), x.id, o)
-	a.tell(peers.Note{Kind: peers.Ended, Number: x.id.Number, Outcome: o})
+	a.broadcast(peers.Event{Kind: peers.AttemptEnded, Number: x.id.Number, Outcome: o})
 }
 
 // countRequest counts a request for the retry budget of its service.
@@ -231,10 +231,10 @@
 	return a.group.Live()
 }
 
-// tell passes a message on to the other entries. attempts.mu is held.
-func (a *attempts) tell(n peers.Note) {
+// broadcast passes an event on to the other entries. attempts.mu is held.
+func (a *attempts) broadcast(e peers.Event) {
 	if a.group != nil {
-		a.group.Tell(n)
+		a.group.Broadcast(e)
 	}
 }
 
@@ -245,29 +245,29 @@
 	a.table.Expire(now)
 }
 
-// Heard implements peers.Listener.
-func (a *attempts) Heard(owner uint64, notes []peers.Note) {
+// TakeEvents implements peers.Listener.
+func (a *attempts) TakeEvents(owner uint64, events []peers.Event) {
 	now := time.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, n := range notes {
-		id := placement.AttemptID{Owner: owner, Number: n.Number}
-		at := now.Add(-time.Duration(n.AgeMS) * time.Millisecond)
-		switch n.Kind {
-		case peers.Placed:
-			if n.Job != nil {
-				a.table.Place(at, id, n.Endpoint, *n.Job)
+	for _, e := range events {
+		id := placement.AttemptID{Owner: owner, Number: e.Number}
+		at := now.Add(-time.Duration(e.AgeMS) * time.Millisecond)
+		switch e.Kind {
+		case peers.AttemptSent:
+			if e.Request != nil {
+				a.table.Place(at, id, e.Endpoint, *e.Request)
 			}
-		case peers.Begun:
+		case peers.FirstEvent:
 			a.table.FirstEvent(at, id)
-		case peers.Ended:
-			a.table.End(at, id, n.Outcome)
+		case peers.AttemptEnded:
+			a.table.End(at, id, e.Outcome)
 		}
 	}
 }
 
-// Lost implements peers.Listener.
-func (a *attempts) Lost(owner uint64) {
+// MemberGone implements peers.Listener.
+func (a *attempts) MemberGone(owner uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.table.DropOwner(time.Now(), owner)
--- a/internal/direct/peers/golden_test.go
+++ b/internal/direct/peers/golden_test.go
@@ -19,8 +19,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// sampleJob has every field set.
-var sampleJob = placement.Request{
+// sampleRequest has every field set.
+var sampleRequest = placement.Request{
 	Service: "pool",
 	Prompt: placement.Prompt{
 		Tokens: 120, MaxOut: 40, LikelyOut: 30,
@@ -40,13 +40,13 @@
 		name   string
 		packet packet
 	}{
-		{"placed", packet{Owner: 7, Version: 3, Revision: 9, Notes: []Note{{Kind: Placed, Number: 5, Endpoint: "i-1", Job: &sampleJob, AgeMS: 2}}}},
-		{"placed, least", packet{Owner: 7, Notes: []Note{{Kind: Placed, Number: 5, Endpoint: "i-1", Job: &placement.Request{Service: "app"}}}}},
-		{"begun and ended", packet{Owner: 7, Notes: []Note{{Kind: Begun, Number: 5}, {Kind: Ended, Number: 5, Outcome: placement.Unreachable}}}},
+		{"placed", packet{Owner: 7, Version: 3, Revision: 9, Events: []Event{{Kind: AttemptSent, Number: 5, Endpoint: "i-1", Request: &sampleRequest, AgeMS: 2}}}},
+		{"placed, least", packet{Owner: 7, Events: []Event{{Kind: AttemptSent, Number: 5, Endpoint: "i-1", Request: &placement.Request{Service: "app"}}}}},
+		{"begun and ended", packet{Owner: 7, Events: []Event{{Kind: FirstEvent, Number: 5}, {Kind: AttemptEnded, Number: 5, Outcome: placement.Unreachable}}}},
 		{"heartbeat", packet{Owner: 7, Version: 3, Revision: 9, Heartbeat: &heartbeat{
-			Name: "entry-1", Members: []string{"10.0.0.1:7340"}, Leaving: true, ConfirmMS: 12, SourceMS: -1, Asking: true, Lost: true,
+			Name: "entry-1", Members: []string{"10.0.0.1:7340"}, Leaving: true, ConfirmMS: 12, ContactMS: -1, Reading: true, StoreLost: true,
 		}}},
-		{"first heartbeat", packet{Owner: 7, Heartbeat: &heartbeat{Name: "entry-1", ConfirmMS: -1, SourceMS: -1}}},
+		{"first heartbeat", packet{Owner: 7, Heartbeat: &heartbeat{Name: "entry-1", ConfirmMS: -1, ContactMS: -1}}},
 	} {
 		data, err := cbor.Marshal(s.packet)
 		if err != nil {
--- a/internal/direct/peers/group.go
+++ b/internal/direct/peers/group.go
@@ -13,110 +13,105 @@
 
 var log = logs.For("peers")
 
-// Listener takes in what other entries say.
+const (
+	// heartbeatInterval is the time between two heartbeats. Chosen, not measured.
+	heartbeatInterval = 250 * time.Millisecond
+	// newsInterval is how often the group checks whether there is news that does not
+	// wait for a heartbeat. Chosen, not measured.
+	newsInterval = 25 * time.Millisecond
+)
+
+// Listener takes in what other entries say. It is not called with the group's lock
+// held.
 type Listener interface {
-	// Heard takes in the notes of another entry.
-	Heard(owner uint64, notes []Note)
-	// Lost is told that an entry is gone, or has started anew.
-	Lost(owner uint64)
+	// TakeEvents takes in events of another entry's attempts.
+	TakeEvents(owner uint64, events []Event)
+	// MemberGone is told that an incarnation of an entry has ended or is lost.
+	MemberGone(owner uint64)
 }
 
-// Book is what entries compare and pass on.
-type Book interface {
+// Directory is what entries compare and pass on: settings and list of endpoints.
+type Directory interface {
 	Versions() (version, revision uint64)
 	Confirmed() time.Time
 	Confirm(version uint64, at time.Time)
-	Contact() time.Time
+	LastContact() time.Time
 	Following() bool
-	Asking() bool
+	ReadsStore() bool
 	SetRole(directory.Role)
 }
 
 // Options are what a group is made of.
 type Options struct {
-	Name     string
-	Address  string // for datagrams and for TCP
-	Owner    uint64 // of this life of the process
-	Seeds    []string
-	Listener Listener
-	Book     Book
-	// Fetch reads the settings and endpoints of a peer at the address.
+	Name      string
+	Address   string // for datagrams and for TCP
+	Owner     uint64 // incarnation of this process
+	Seeds     []string
+	Listener  Listener
+	Directory Directory
+	// Fetch reads the settings and endpoints of the entry at an address.
 	Fetch func(ctx context.Context, address string)
 }
 
-// Group is the entry's view of the other entries. Create it with New.
+// Group is this entry's view of the other entries. Create it with New; Run ends it.
 type Group struct {
-	name     string
-	address  string
-	owner    uint64
-	seeds    []string
-	listener Listener
-	book     Book
-	fetch    func(ctx context.Context, address string)
-	socket   *net.UDPConn
+	name      string
+	address   string
+	owner     uint64
+	listener  Listener
+	directory Directory
+	fetch     func(ctx context.Context, address string)
+	socket    *net.UDPConn
 
-	substitute time.Time // when it was last to be a substitute; of Run alone
+	standbySince time.Time // when this entry was last needed as a standby; of Run alone
 
 	mu       sync.Mutex
-	peers    map[string]*peer // by address
-	notes    []Note
+	seeds    []string
+	members  map[string]*member // by address
+	events   []Event            // to be sent
 	leaving  bool
-	seeded   time.Time
+	seededAt time.Time // when seeds were last tried
 	fetching bool
-	told     told // what the last heartbeat said
+	told     news // of the last heartbeat
 
-	noted chan struct{} // there are notes to send
-	news  chan struct{} // a peer has become ahead
+	eventsWaiting chan struct{} // events is not empty any more
+	memberAhead   chan struct{} // a member has become ahead
 }
 
-// told is what others are to hear of without waiting for a heartbeat.
-type told struct {
+// news is what other entries are told without waiting for a heartbeat.
+type news struct {
 	version, revision uint64
-	lost              bool
+	storeLost         bool
 }
 
 // New opens the socket.
 func New(o Options) (*Group, error) {
 	a, err := net.ResolveUDPAddr("udp4", o.Address)
 	if err != nil {
-		return nil, fmt.Errorf("peers: %w", err)
+		return nil, fmt.Errorf("peers: address %q: %w", o.Address, err)
 	}
 	socket, err := net.ListenUDP("udp4", a)
 	if err != nil {
-		return nil, fmt.Errorf("peers: %w", err)
+		return nil, fmt.Errorf("peers: listen on %s: %w", o.Address, err)
 	}
 	return &Group{
-		name:     o.Name,
-		address:  socket.LocalAddr().String(),
-		owner:    o.Owner,
-		seeds:    o.Seeds,
-		listener: o.Listener,
-		book:     o.Book,
-		fetch:    o.Fetch,
-		socket:   socket,
-		peers:    map[string]*peer{},
-		noted:    make(chan struct{}, 1),
-		news:     make(chan struct{}, 1),
+		name:          o.Name,
+		address:       socket.LocalAddr().String(),
+		owner:         o.Owner,
+		seeds:         o.Seeds,
+		listener:      o.Listener,
+		directory:     o.Directory,
+		fetch:         o.Fetch,
+		socket:        socket,
+		members:       map[string]*member{},
+		eventsWaiting: make(chan struct{}, 1),
+		memberAhead:   make(chan struct{}, 1),
 	}, nil
 }
 
 // Address returns the address that the group listens on.
 func (g *Group) Address() string { return g.address }
 
-// Live returns the number of live entries, this one included.
-func (g *Group) Live() int {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	n := 1
-	now := time.Now()
-	for _, p := range g.peers {
-		if p.alive(now) {
-			n++
-		}
-	}
-	return n
-}
-
 // Leave tells the others that this entry takes nothing new.
 func (g *Group) Leave() {
 	g.mu.Lock()
@@ -124,19 +119,15 @@
 	g.leaving = true
 }
 
-// changesEvery is how often it is looked whether there is something that the
-// others are to hear of at once.
-const changesEvery = 25 * time.Millisecond
-
 // Run sends and receives until ctx is done.
 func (g *Group) Run(ctx context.Context) {
 	go g.receive()
 	defer func() { _ = g.socket.Close() }() // nothing is sent any more
-	heartbeats := time.NewTicker(heartbeatEvery)
+	heartbeats := time.NewTicker(heartbeatInterval)
 	defer heartbeats.Stop()
-	changes := time.NewTicker(changesEvery)
-	defer changes.Stop()
-	flush := time.NewTimer(flushAfter)
+	checks := time.NewTicker(newsInterval)
+	defer checks.Stop()
+	flush := time.NewTimer(flushDelay)
 	defer flush.Stop()
 	g.sendHeartbeat(time.Now())
 	for {
@@ -145,12 +136,12 @@
 			return
 		case <-heartbeats.C:
 			g.beat(ctx, time.Now())
-		case <-changes.C:
-			g.tellChanges(time.Now())
-		case <-g.news:
-			time.AfterFunc(fetchSoon, func() { g.catchUp(ctx, time.Now()) })
-		case <-g.noted:
-			flush.Reset(flushAfter)
+		case <-checks.C:
+			g.sendNews(time.Now())
+		case <-g.memberAhead:
+			time.AfterFunc(fetchDelay, func() { g.catchUp(ctx, time.Now()) })
+		case <-g.eventsWaiting:
+			flush.Reset(flushDelay)
 		case <-flush.C:
 			g.flush(time.Now())
 		}
@@ -162,5 +153,5 @@
 	g.expire(now)
 	g.sendHeartbeat(now)
 	g.catchUp(ctx, now)
-	g.book.SetRole(g.steady(now, g.role(now)))
+	g.directory.SetRole(g.steadyRole(now, g.role(now)))
 }
--- /dev/null
+++ b/internal/direct/peers/heartbeat.go
@@ -0,0 +1,60 @@
+package peers
+
+import "time"
+
+// sendHeartbeat tells all live entries of this one; every seedInterval it names
+// members and goes to seeds and lost entries as well.
+func (g *Group) sendHeartbeat(now time.Time) {
+	p := g.newPacket()
+	h := &heartbeat{
+		Name:      g.name,
+		ConfirmMS: age(g.directory.Confirmed()),
+		ContactMS: age(g.directory.LastContact()),
+		Reading:   g.directory.ReadsStore(),
+	}
+	h.StoreLost = h.Reading && !g.directory.Following()
+	p.Heartbeat = h
+	g.mu.Lock()
+	g.told = news{version: p.Version, revision: p.Revision, storeLost: h.StoreLost}
+	h.Leaving = g.leaving
+	to := g.liveAddresses(now)
+	if now.Sub(g.seededAt) > seedInterval {
+		g.seededAt = now
+		h.Members = g.named(now)
+		to = append(to, g.unheard(now)...)
+	}
+	g.mu.Unlock()
+	g.send(p, to)
+}
+
+// sendNews sends a heartbeat ahead of its time if there is news.
+func (g *Group) sendNews(now time.Time) {
+	version, revision := g.directory.Versions()
+	lost := g.directory.ReadsStore() && !g.directory.Following()
+	g.mu.Lock()
+	changed := g.told != news{version: version, revision: revision, storeLost: lost}
+	g.mu.Unlock()
+	if changed {
+		g.sendHeartbeat(now)
+	}
+}
+
+// takeHeartbeat learns what an entry says of itself. The group is locked.
+func (g *Group) takeHeartbeat(m *member, h *heartbeat, now time.Time) {
+	if m.name != h.Name {
+		m.name = h.Name
+		m.rank = readerRank(h.Name)
+		log.With("peer", h.Name).With("address", m.address.String()).Info("An entry was met.")
+	}
+	m.inContact = h.ContactMS >= 0 && h.ContactMS <= contactFor.Milliseconds()
+	m.storeLost = h.StoreLost
+	switch {
+	case !h.Reading:
+		m.readingSince = time.Time{}
+	case m.readingSince.IsZero():
+		m.readingSince = now
+	}
+	for _, a := range h.Members {
+		g.learn(a)
+	}
+}
--- a/internal/direct/peers/packet.go
+++ b/internal/direct/peers/packet.go
@@ -1,6 +1,13 @@
-// Package peers carries what entries tell each other: which work they placed
-// where and how it went, as datagrams that may be lost, and on request the
-// settings and the list of endpoints, over TCP.
+// Package peers keeps the entries of the direct way informed of each other: which
+// attempts each has sent where and how they went, as datagrams that may be lost, and
+// on request the settings and the list of endpoints, over TCP.
+//
+// What goes over the wire stands in packet.go and state.go; who is a member in
+// member.go; who reads the platform's store in role.go; when an entry fetches what
+// another knows in catchup.go.
+//
+// Group.mu is taken last: a caller may hold locks of its own, and listeners are not
+// called while it is held.
 package peers
 
 import (
@@ -9,34 +16,34 @@
 	"foxcross.dev/coord/placement"
 )
 
-// Kind says what a note is about.
+// Kind says what an event is.
 type Kind uint8
 
-// The kinds of notes.
+// The kinds of events. Their numbers are on the wire.
 const (
-	Placed Kind = iota + 1
-	Begun
-	Ended
+	AttemptSent Kind = iota + 1
+	FirstEvent       // of the attempt's answer
+	AttemptEnded
 )
 
-// Note is one thing that happened to a request of the sender.
-type Note struct {
+// Event is one thing that happened to an attempt of the sender.
+type Event struct {
 	Kind     Kind               `cbor:"1,keyasint"`
-	Number   uint64             `cbor:"2,keyasint"`           // of the request at its owner
-	Endpoint string             `cbor:"3,keyasint,omitempty"` // of Placed
-	Job      *placement.Request `cbor:"4,keyasint,omitempty"` // of Placed
-	Outcome  placement.Outcome  `cbor:"5,keyasint,omitempty"` // of Ended
+	Number   uint64             `cbor:"2,keyasint"`           // of the attempt, at its owner
+	Endpoint string             `cbor:"3,keyasint,omitempty"` // of AttemptSent
+	Request  *placement.Request `cbor:"4,keyasint,omitempty"` // of AttemptSent
+	Outcome  placement.Outcome  `cbor:"5,keyasint,omitempty"` // of AttemptEnded
 	AgeMS    int64              `cbor:"6,keyasint,omitempty"` // since it happened, when it is sent
 
 	at time.Time // when it happened, at the sender
 }
 
-// packet is one datagram: a heartbeat, or notes.
+// packet is one datagram: a heartbeat, or events.
 type packet struct {
-	Owner     uint64     `cbor:"1,keyasint"`           // one life of the sender
+	Owner     uint64     `cbor:"1,keyasint"`           // incarnation of the sender
 	Version   uint64     `cbor:"2,keyasint,omitempty"` // of the settings in force
 	Revision  uint64     `cbor:"3,keyasint,omitempty"` // of the list of endpoints
-	Notes     []Note     `cbor:"4,keyasint,omitempty"`
+	Events    []Event    `cbor:"4,keyasint,omitempty"`
 	Heartbeat *heartbeat `cbor:"5,keyasint,omitempty"`
 }
 
@@ -45,34 +52,26 @@
 	Name      string   `cbor:"1,keyasint"`
 	Members   []string `cbor:"2,keyasint,omitempty"` // addresses of some live entries, now and then
 	Leaving   bool     `cbor:"3,keyasint,omitempty"`
-	ConfirmMS int64    `cbor:"4,keyasint"`           // since the version was known to be the newest, -1 for never
-	SourceMS  int64    `cbor:"5,keyasint"`           // since the source last answered a call of the sender, -1 for never
-	Asking    bool     `cbor:"6,keyasint,omitempty"` // the sender is one of those that ask the source
-	Lost      bool     `cbor:"7,keyasint,omitempty"` // the source did not answer the last call
+	ConfirmMS int64    `cbor:"4,keyasint"`           // since the settings were confirmed as the newest, -1 for never
+	ContactMS int64    `cbor:"5,keyasint"`           // since the last call that the store answered, -1 for never
+	Reading   bool     `cbor:"6,keyasint,omitempty"` // the sender reads the store
+	StoreLost bool     `cbor:"7,keyasint,omitempty"` // the store did not answer the last call
 }
 
-// Sizes and times.
 const (
-	maxPacket      = 1200 // bytes of notes in one datagram, about
-	maxDatagram    = 64 << 10
-	flushAfter     = 10 * time.Millisecond // notes wait so long for others
-	heartbeatEvery = 250 * time.Millisecond
-	aliveFor       = 1200 * time.Millisecond
-	forgetAfter    = time.Minute
-	maxPeers       = 1024
-	maxNamed       = 16 // live entries that one heartbeat names, by chance
-	maxNotes       = 4096
-	maxNoteAge     = time.Second // that is believed
-	seedEvery      = time.Second
-	fetchTimeout   = 600 * time.Millisecond
-	fetchSoon      = 40 * time.Millisecond  // a peer is ahead for so long before it is asked
-	fetchLate      = 900 * time.Millisecond // the same while the source answers, which then tells it sooner
+	// maxEventBytes is about how many bytes of events go into one datagram: one
+	// Ethernet frame with some room.
+	maxEventBytes = 1200
+	// maxDatagram is the largest datagram that UDP carries, in bytes.
+	maxDatagram = 64 << 10
+	// never stands for an age that is unknown.
+	never = -1
 )
 
-// age returns the milliseconds since the time, -1 for never.
+// age returns the milliseconds since a time, never for the zero time.
 func age(at time.Time) int64 {
 	if at.IsZero() {
-		return -1
+		return never
 	}
 	return time.Since(at).Milliseconds()
 }
--- a/internal/direct/peers/peers_test.go
+++ b/internal/direct/peers/peers_test.go
@@ -32,27 +32,27 @@
 	directory *directory.Directory
 	end       context.CancelFunc
 
-	mu    sync.Mutex
-	notes []peers.Note
-	lost  []uint64
+	mu     sync.Mutex
+	events []peers.Event
+	lost   []uint64
 }
 
-func (e *entry) Heard(_ uint64, notes []peers.Note) {
+func (e *entry) TakeEvents(_ uint64, events []peers.Event) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.notes = append(e.notes, notes...)
+	e.events = append(e.events, events...)
 }
 
-func (e *entry) Lost(owner uint64) {
+func (e *entry) MemberGone(owner uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.lost = append(e.lost, owner)
 }
 
-func (e *entry) heard() []peers.Note {
+func (e *entry) heard() []peers.Event {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return append([]peers.Note(nil), e.notes...)
+	return append([]peers.Event(nil), e.events...)
 }
 
 func (e *entry) gone() []uint64 {
@@ -74,7 +74,7 @@
 	server := &http.Server{Handler: peers.StateHandler(e.directory)}
 	go func() { _ = server.Serve(listener) }()
 	e.group, err = peers.New(peers.Options{
-		Name: name, Address: address, Owner: owner, Seeds: seeds, Listener: e, Book: e.directory,
+		Name: name, Address: address, Owner: owner, Seeds: seeds, Listener: e, Directory: e.directory,
 		Fetch: func(ctx context.Context, from string) { _ = peers.FetchState(ctx, e.directory, from) },
 	})
 	Expect(err).NotTo(HaveOccurred())
@@ -109,19 +109,19 @@
 }
 
 var _ = Describe("a group of entries", func() {
-	It("meets over one seed and passes notes on to all", func() {
+	It("meets over one seed and passes events on to all", func() {
 		a := join("a", "", 1)
 		b := join("b", "", 2, a.group.Address())
 		c := join("c", "", 3, a.group.Address())
 		for _, e := range []*entry{a, b, c} {
 			Eventually(e.group.Live).Should(Equal(3))
 		}
-		job := &placement.Request{Service: "pool", Prompt: placement.Prompt{Tokens: 9}}
-		b.group.Tell(peers.Note{Kind: peers.Placed, Number: 7, Endpoint: "i-1", Job: job})
+		request := &placement.Request{Service: "pool", Prompt: placement.Prompt{Tokens: 9}}
+		b.group.Broadcast(peers.Event{Kind: peers.AttemptSent, Number: 7, Endpoint: "i-1", Request: request})
 		for _, e := range []*entry{a, c} {
 			Eventually(e.heard).Should(HaveExactElements(And(
-				HaveField("Kind", peers.Placed), HaveField("Number", uint64(7)),
-				HaveField("Endpoint", "i-1"), HaveField("Job", job),
+				HaveField("Kind", peers.AttemptSent), HaveField("Number", uint64(7)),
+				HaveField("Endpoint", "i-1"), HaveField("Request", request),
 			)))
 		}
 		Expect(b.heard()).To(BeEmpty())
@@ -168,11 +168,11 @@
 		b := join("b", "", 2, a.group.Address())
 		Eventually(a.group.Live).Should(Equal(2))
 		Eventually(b.group.Live).Should(Equal(2))
-		b.group.Tell(peers.Note{Kind: peers.Begun, Number: 7})
+		b.group.Broadcast(peers.Event{Kind: peers.FirstEvent, Number: 7})
 		Eventually(a.heard).Should(HaveLen(1))
 		Expect(a.heard()[0].AgeMS).To(BeNumerically(">=", 9), "it waited for others")
-		b.group.Tell(peers.Note{Kind: peers.Ended, Number: 7})
-		b.group.Tell(peers.Note{Kind: peers.Placed, Number: 8})
+		b.group.Broadcast(peers.Event{Kind: peers.AttemptEnded, Number: 7})
+		b.group.Broadcast(peers.Event{Kind: peers.AttemptSent, Number: 8})
 		Eventually(a.heard).Should(HaveLen(3))
 		Expect(a.heard()[1].AgeMS).To(BeNumerically("<", 1000))
 	})
--- a/internal/direct/peers/receive.go
+++ b/internal/direct/peers/receive.go
@@ -2,7 +2,6 @@
 
 import (
 	"net"
-	"slices"
 	"time"
 
 	"github.com/fxamacker/cbor/v2"
@@ -17,9 +16,13 @@
 			return // closed
 		}
 		var p packet
-		if err := cbor.Unmarshal(buffer[:n], &p); err != nil || p.Owner == 0 || p.Owner == g.owner {
+		if err := cbor.Unmarshal(buffer[:n], &p); err != nil {
+			log.With("address", from.String()).With("reason", err.Error()).Limited("packet", "A datagram can't be read and is left out.")
 			continue
 		}
+		if p.Owner == 0 || p.Owner == g.owner {
+			continue // no entry's, or this entry's own
+		}
 		g.take(p, from)
 	}
 }
@@ -27,94 +30,29 @@
 // take learns from a packet.
 func (g *Group) take(p packet, from *net.UDPAddr) {
 	now := time.Now()
-	version, revision := g.book.Versions()
+	version, revision := g.directory.Versions()
 	g.mu.Lock()
-	other, lost := g.meet(p, from, now)
-	if other == nil {
+	m, ended := g.meet(p, from, now)
+	if m == nil {
 		g.mu.Unlock()
+		log.With("address", from.String()).Limited("members", "There are too many entries; one is left out.")
 		return
 	}
-	g.compare(other, p.Version > version || p.Revision > revision, now)
+	g.noteAhead(m, p.Version > version || p.Revision > revision, now)
 	if p.Heartbeat != nil {
-		g.takeHeartbeat(other, p.Heartbeat, now)
+		g.takeHeartbeat(m, p.Heartbeat, now)
 	}
 	g.mu.Unlock()
-	if lost != 0 {
-		g.listener.Lost(lost)
+	if ended != 0 {
+		g.listener.MemberGone(ended)
 	}
 	if h := p.Heartbeat; h != nil && h.ConfirmMS >= 0 && p.Version == version {
-		g.book.Confirm(version, since(now, h.ConfirmMS))
-	}
-	if len(p.Notes) > 0 {
-		for n := range p.Notes {
-			p.Notes[n].AgeMS = min(max(p.Notes[n].AgeMS, 0), maxNoteAge.Milliseconds())
-		}
-		g.listener.Heard(p.Owner, p.Notes)
-	}
-}
-
-// compare notes whether a peer knows something newer. The group is locked.
-func (g *Group) compare(other *peer, ahead bool, now time.Time) {
-	switch {
-	case !ahead:
-		other.ahead = time.Time{}
-	case other.ahead.IsZero():
-		other.ahead = now
-		select {
-		case g.news <- struct{}{}:
-		default:
-		}
-	}
-}
-
-// takeHeartbeat learns what an entry says of itself. The group is locked.
-func (g *Group) takeHeartbeat(other *peer, h *heartbeat, now time.Time) {
-	if other.name != h.Name {
-		other.name = h.Name
-		other.rank = rankOf(h.Name)
-		log.With("peer", h.Name).With("address", other.to.String()).Info("Another entry is heard.")
+		g.directory.Confirm(version, since(now, h.ConfirmMS))
 	}
-	other.fresh = h.SourceMS >= 0 && h.SourceMS <= contactFor.Milliseconds()
-	other.lost = h.Lost
-	switch {
-	case !h.Asking:
-		other.asking = time.Time{}
-	case other.asking.IsZero():
-		other.asking = now
-	}
-	for _, a := range h.Members {
-		g.learn(a)
-	}
-}
-
-// meet finds or adds the sender. It returns its earlier life if that has ended.
-// The group is locked.
-func (g *Group) meet(p packet, from *net.UDPAddr, now time.Time) (*peer, uint64) {
-	key := from.String()
-	other := g.peers[key]
-	if other == nil {
-		if len(g.peers) >= maxPeers {
-			return nil, 0
+	if len(p.Events) > 0 {
+		for n := range p.Events {
+			p.Events[n].AgeMS = min(max(p.Events[n].AgeMS, 0), maxEventAge.Milliseconds())
 		}
-		other = &peer{to: from}
-		g.peers[key] = other
-	}
-	lost := uint64(0)
-	if other.owner != p.Owner {
-		lost = other.owner
-		*other = peer{to: from, owner: p.Owner}
-	}
-	other.heard = now
-	return other, lost
-}
-
-// learn adds an entry that another one knows. The group is locked.
-func (g *Group) learn(address string) {
-	if address == g.address || g.peers[address] != nil || len(g.peers) >= maxPeers || slices.Contains(g.seeds, address) {
-		return
-	}
-	g.seeds = append(g.seeds, address)
-	if len(g.seeds) > maxPeers {
-		g.seeds = g.seeds[1:]
+		g.listener.TakeEvents(p.Owner, p.Events)
 	}
 }
--- a/internal/direct/peers/state.go
+++ b/internal/direct/peers/state.go
@@ -16,10 +16,11 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// statePath serves the settings and endpoints to other entries.
 const (
 	statePath = "/state"
-	maxState  = 64 << 20
+	// maxState bounds what is read of another entry's state, in bytes. Chosen, not
+	// measured.
+	maxState = 64 << 20
 )
 
 // state is what one entry hands to another: the settings where they are newer
@@ -29,7 +30,7 @@
 	Nodes     map[string]settings.Node `cbor:"2,keyasint,omitempty"`
 	Endpoints *driver.Endpoints        `cbor:"3,keyasint,omitempty"`
 	Change    *driver.Change           `cbor:"4,keyasint,omitempty"` // since the asker's revision, in place of Endpoints
-	Lapsed    map[string]time.Duration `cbor:"5,keyasint,omitempty"` // endpoints that vanished and are still used, for how long
+	Lapsed    map[string]time.Duration `cbor:"5,keyasint,omitempty"` // endpoints that vanished and are still used, for how much longer
 }
 
 // Fields of a query: what the asker has.
@@ -66,10 +67,15 @@
 	return mux
 }
 
-// number reads a number of a query, 0 for none.
+// number reads a number of a query. Without one, or with one that can't be read,
+// the asker gets everything.
 func number(text string) uint64 {
+	if text == "" {
+		return 0
+	}
 	n, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
+		log.With("reason", err.Error()).Limited("query", "A query for the state can't be read; all of it is sent.")
 		return 0
 	}
 	return n
@@ -86,16 +92,16 @@
 	from := url.URL{Scheme: "http", Host: address, Path: statePath, RawQuery: query.Encode()}
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, from.String(), http.NoBody)
 	if err != nil {
-		return fmt.Errorf("peers: %w", err)
+		return fmt.Errorf("peers: state of %s: %w", address, err)
 	}
 	answer, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return fmt.Errorf("peers: %w", err)
+		return fmt.Errorf("peers: state of %s: %w", address, err)
 	}
 	defer func() { _ = answer.Body.Close() }()
 	data, err := io.ReadAll(io.LimitReader(answer.Body, maxState))
 	if err != nil {
-		return fmt.Errorf("peers: %w", err)
+		return fmt.Errorf("peers: state of %s: %w", address, err)
 	}
 	var s state
 	if err := cbor.Unmarshal(data, &s); err != nil {
--- a/internal/process/gateway.go
+++ b/internal/process/gateway.go
@@ -88,12 +88,12 @@
 func join(ctx context.Context, g *gateway.Gateway, place driver.Process) error {
 	d := g.Directory()
 	group, err := peers.New(peers.Options{
-		Name:     place.Name,
-		Address:  place.Peers,
-		Owner:    g.Owner(),
-		Seeds:    place.Seeds,
-		Listener: g.Listener(),
-		Book:     d,
+		Name:      place.Name,
+		Address:   place.Peers,
+		Owner:     g.Owner(),
+		Seeds:     place.Seeds,
+		Listener:  g.Listener(),
+		Directory: d,
 		Fetch: func(ctx context.Context, address string) {
 			if err := peers.FetchState(ctx, d, address); err != nil {
 				log.With("peer", address).With("reason", err.Error()).Warnf("Another entry's state can't be read.")
