--- a/internal/decisions_test.go
+++ b/internal/decisions_test.go
@@ -48,6 +48,9 @@
 	"internal/direct/gateway/gateway.go",
 	"internal/direct/gateway/server.go",
 	"internal/direct/gateway/stop.go",
+	"internal/direct/upstream/pool.go",
+	"internal/direct/upstream/conn.go",
+	"internal/direct/upstream/exchange.go",
 	"internal/direct/directory/follow.go",
 	"internal/direct/directory/lapse.go",
 	"internal/direct/directory/changes.go",
@@ -58,6 +61,8 @@
 	"internal/direct/peers/events.go",
 	"internal/direct/peers/packet.go",
 	"internal/direct/peers/state.go",
+	"platform/store.go",
+	"platform/prompt.go",
 }
 
 // TestDecisionsPage holds docs/DECISIONS.md to the code, and wants a comment on
--- a/internal/direct/upstream/conn.go
+++ b/internal/direct/upstream/conn.go
@@ -11,14 +11,16 @@
 	"time"
 )
 
+// readBuffer is the size of a connection's buffer, in bytes. Chosen, not measured:
+// the heads met so far fit in.
 const readBuffer = 4 << 10
 
 // conn is one connection to an endpoint. It carries one request at a time.
 type conn struct {
 	net.Conn
-	reader   *bufio.Reader
-	surplus  bool // answers of other requests have come over it
-	usableTo time.Time
+	reader      *bufio.Reader
+	surplus     bool      // answers of other requests have come over it
+	usableUntil time.Time // while it is idle
 }
 
 func newConn(n net.Conn) *conn {
@@ -27,9 +29,9 @@
 
 func (c *conn) close() { _ = c.Conn.Close() } // nothing depends on it any more
 
-// quiet tells whether an idle connection is open and has brought nothing that
-// nobody asked for.
-func (c *conn) quiet() bool {
+// openAndSilent tells whether an idle connection is open and has brought nothing that
+// nobody asked for. It asks the kernel without waiting.
+func (c *conn) openAndSilent() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -41,18 +43,19 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	silent := false
 	err = raw.Read(func(fd uintptr) bool {
 		var one [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = errors.Is(err, syscall.EAGAIN)
+		silent = errors.Is(err, syscall.EAGAIN)
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && silent
 }
 
-// rest sets how long the connection may be idle, by what the answer says.
-func (c *conn) rest(now time.Time, h http.Header) {
+// startIdle sets how long the connection may be idle, by the Keep-Alive field of the
+// last answer.
+func (c *conn) startIdle(now time.Time, h http.Header) {
 	idle := defaultIdle
 	for _, field := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
@@ -60,5 +63,5 @@
 			idle = time.Duration(idleShare * float64(seconds) * float64(time.Second))
 		}
 	}
-	c.usableTo = now.Add(idle)
+	c.usableUntil = now.Add(idle)
 }
--- a/internal/direct/upstream/exchange.go
+++ b/internal/direct/upstream/exchange.go
@@ -12,11 +12,18 @@
 	"time"
 )
 
-// Bounds of what is read beside the answer that is waited for.
 const (
-	maxSurplus     = 4       // answers of other requests that are skipped
-	maxSurplusBody = 1 << 20 // bytes of such an answer
-	wholeAtOnce    = 32 << 10
+	// maxSurplus bounds the answers of other requests that are skipped before the
+	// one that is waited for. Chosen, not measured.
+	maxSurplus = 4
+	// maxSurplusBody bounds the body of such an answer, in bytes. Chosen, not measured.
+	maxSurplusBody = 1 << 20
+	// maxWriteFirst is the longest request, in bytes, that is written before the answer
+	// is read. Chosen, not measured: it fits into the socket's buffers.
+	maxWriteFirst = 32 << 10
+	// maxDrained bounds what is read of a body that nobody wants, in bytes, to keep the
+	// connection. Chosen, not measured.
+	maxDrained = 64 << 10
 )
 
 // Errors of an exchange. After any but ErrUnreachable the endpoint may have run
@@ -39,14 +46,15 @@
 	ID       string // that the answer must carry
 }
 
-// Names are the header fields by which answers are told apart.
+// Names are the header fields by which answers are told apart. An answer belongs to
+// the request whose id it carries; one that was not run may carry none.
 type Names struct {
 	RequestID string
 	NotRun    string
 }
 
-// Answer is an endpoint's answer. Its Body must be read to the end or closed by
-// Close.
+// Answer is an endpoint's answer. Call exactly one of Finish, after its body was
+// read to the end, Drain or Close. It belongs to one goroutine.
 type Answer struct {
 	Status int
 	Header http.Header
@@ -58,13 +66,14 @@
 	pool     *Pool
 	request  *Request
 	stop     func() bool
-	written  *writing
+	written  *writing // the request on its way out
 }
 
-// Do sends the request and returns the head of its answer. The context bounds
-// the whole exchange, its body included.
+// Do sends the request and returns the head of its answer. The context bounds the
+// whole exchange, its body included. The error is ErrUnreachable if nothing was sent,
+// else ErrBroken or ErrNoAnswer: the endpoint may have run the request.
 func (p *Pool) Do(ctx context.Context, names Names, r *Request) (*Answer, error) {
-	c := p.take(r.Endpoint)
+	c := p.takeIdle(r.Endpoint)
 	if c == nil {
 		var err error
 		if c, err = p.dial(ctx, r.Address); err != nil {
@@ -111,7 +120,7 @@
 func (c *conn) send(r *Request) *writing {
 	w := &writing{}
 	data := r.encode()
-	if len(data) <= wholeAtOnce {
+	if len(data) <= maxWriteFirst {
 		_, err := c.Write(data)
 		w.finish(err)
 		return w
@@ -180,7 +189,7 @@
 	for {
 		answer, err := http.ReadResponse(c.reader, &http.Request{Method: method})
 		if err != nil {
-			return nil, classify(err)
+			return nil, errorOf(err)
 		}
 		if answer.StatusCode >= http.StatusOK {
 			return answer, nil
@@ -188,8 +197,8 @@
 	}
 }
 
-// classify tells a connection that failed from bytes that are no answer.
-func classify(err error) error {
+// errorOf tells a connection that failed from bytes that are no answer.
+func errorOf(err error) error {
 	var timeout interface{ Timeout() bool }
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &timeout) {
 		return fmt.Errorf("%w: %w", ErrBroken, err)
@@ -215,8 +224,8 @@
 		a.conn.close()
 		return
 	}
-	a.conn.rest(time.Now(), a.Header)
-	a.pool.put(a.request.Endpoint, a.conn)
+	a.conn.startIdle(time.Now(), a.Header)
+	a.pool.putIdle(a.request.Endpoint, a.conn)
 }
 
 // Close ends the exchange early: the endpoint is to stop its work.
@@ -225,9 +234,6 @@
 	a.conn.close()
 }
 
-// maxDrained bounds what is read of a body that nobody wants.
-const maxDrained = 64 << 10
-
 // Drain reads the rest of a short body and gives the connection back.
 func (a *Answer) Drain() {
 	if !a.framed() || a.Length > maxDrained {
--- a/internal/direct/upstream/pool.go
+++ b/internal/direct/upstream/pool.go
@@ -14,40 +14,51 @@
 	"foxcross.dev/foxcross/internal/workers"
 )
 
-// Times and bounds of a pool.
 const (
+	// dialTimeout bounds a new connection. Chosen, not measured.
 	dialTimeout = 500 * time.Millisecond
-	defaultIdle = 4 * time.Second // where the endpoint names no time
-	idleShare   = 0.6             // of the time that the endpoint names
-	maxIdle     = 64              // connections kept for one endpoint
-	sweepEvery  = 2 * time.Second
-	probeAfter  = time.Second
-	probeCount  = 3
+	// defaultIdle is how long a connection is kept if the endpoint names no time.
+	// Chosen, not measured.
+	defaultIdle = 4 * time.Second
+	// idleShare is the share of the time named by the endpoint for which a connection
+	// is kept. 0.8 is no better: EXPERIMENTS 21.
+	idleShare = 0.6
+	// maxIdle bounds the connections kept for one endpoint. Chosen, not measured.
+	maxIdle = 64
+	// sweepInterval is the time between two walks over idle connections. Chosen, not
+	// measured.
+	sweepInterval = 2 * time.Second
+	// probeInterval and probeCount are those of TCP keep-alive: an endpoint that is cut
+	// off is given up after some four seconds. Chosen, not measured.
+	probeInterval = time.Second
+	probeCount    = 3
 )
 
-// ErrUnreachable means that no connection came up; nothing was sent.
+// ErrUnreachable means that no connection was established; nothing was sent.
 var ErrUnreachable = errors.New("upstream: the endpoint can't be reached")
 
-// Pool keeps idle connections by endpoint. The zero value works.
+// Pool keeps idle connections by endpoint. The zero value is ready; Run closes what
+// is idle for too long. It is safe for concurrent use.
 type Pool struct {
 	mu   sync.Mutex
 	idle map[string][]*conn // by endpoint id, the one used last at the end
 }
 
-// take returns an idle connection that is still sound, or nil.
-func (p *Pool) take(id string) *conn {
+// takeIdle returns an idle connection that is still open, or nil.
+func (p *Pool) takeIdle(id string) *conn {
 	for {
 		c := p.pop(id)
 		if c == nil {
 			return nil
 		}
-		if time.Now().Before(c.usableTo) && c.quiet() {
+		if time.Now().Before(c.usableUntil) && c.openAndSilent() {
 			return c
 		}
 		c.close()
 	}
 }
 
+// pop returns the idle connection of an endpoint that was used last, or nil.
 func (p *Pool) pop(id string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -60,8 +71,8 @@
 	return c
 }
 
-// put keeps a connection for the next request.
-func (p *Pool) put(id string, c *conn) {
+// putIdle keeps a connection for the next request, or closes it if there are enough.
+func (p *Pool) putIdle(id string, c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.idle == nil {
@@ -76,7 +87,7 @@
 
 func (p *Pool) dial(ctx context.Context, address string) (*conn, error) {
 	d := net.Dialer{Timeout: dialTimeout, KeepAliveConfig: net.KeepAliveConfig{
-		Enable: true, Idle: probeAfter, Interval: probeAfter, Count: probeCount,
+		Enable: true, Idle: probeInterval, Interval: probeInterval, Count: probeCount,
 	}}
 	n, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -85,8 +96,8 @@
 	return newConn(n), nil
 }
 
-// Run closes idle connections whose time is over until ctx is done.
-func (p *Pool) Run(ctx context.Context) { workers.Every(ctx, sweepEvery, p.sweep) }
+// Run closes connections that were idle for too long, until ctx is done.
+func (p *Pool) Run(ctx context.Context) { workers.Every(ctx, sweepInterval, p.sweep) }
 
 func (p *Pool) sweep(now time.Time) {
 	p.mu.Lock()
@@ -94,7 +105,7 @@
 	for id, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if now.Before(c.usableTo) {
+			if now.Before(c.usableUntil) {
 				kept = append(kept, c)
 			} else {
 				c.close()
--- a/internal/direct/upstream/upstream_test.go
+++ b/internal/direct/upstream/upstream_test.go
@@ -68,10 +68,10 @@
 		}
 		a.Finish()
 		c := p.pop("e")
-		for c.quiet() { // the server closes it after its answer
+		for c.openAndSilent() { // the server closes it after its answer
 			time.Sleep(time.Millisecond)
 		}
-		p.put("e", c)
+		p.putIdle("e", c)
 	}
 }
 
@@ -85,8 +85,8 @@
 		"timeout=no, timeout=": defaultIdle,
 	} {
 		c := &conn{}
-		c.rest(now, http.Header{"Keep-Alive": {field}})
-		if got := c.usableTo.Sub(now); got != want {
+		c.startIdle(now, http.Header{"Keep-Alive": {field}})
+		if got := c.usableUntil.Sub(now); got != want {
 			t.Errorf("%q: %v, want %v", field, got, want)
 		}
 	}
@@ -97,8 +97,8 @@
 	here, there := net.Pipe()
 	defer func() { _ = there.Close() }()
 	c := newConn(here)
-	c.usableTo = time.Now().Add(time.Second)
-	p.put("e", c)
+	c.usableUntil = time.Now().Add(time.Second)
+	p.putIdle("e", c)
 	p.sweep(time.Now())
 	if len(p.idle["e"]) != 1 {
 		t.Error("a usable connection was swept")
--- /dev/null
+++ b/internal/process/serve.go
@@ -0,0 +1,149 @@
+package process
+
+import (
+	"context"
+	"encoding/binary"
+	"encoding/json"
+	"net/http"
+	"os"
+	"os/signal"
+	"syscall"
+
+	"foxcross.dev/foxcross/internal/direct/driver"
+	"foxcross.dev/foxcross/internal/direct/gateway"
+	"foxcross.dev/foxcross/internal/direct/peers"
+	"foxcross.dev/foxcross/internal/logs"
+	"foxcross.dev/foxcross/internal/metrics"
+
+	crand "crypto/rand"
+
+	"github.com/alexedwards/flow"
+)
+
+// Paths of an entry's own figures.
+const (
+	metricsPath = "/metrics"
+	statePath   = "/state"
+)
+
+// RunGateway runs an entry on a platform until it is told to stop. It starts, in
+// this order:
+//
+//  1. the log, and the handling of signals: one that comes earlier ends the process;
+//  2. the platform's driver, which reads the process's settings file;
+//  3. the gateway, which owns requests and their attempts;
+//  4. the group of entries, which may hand it settings and endpoints at once;
+//  5. the follower of the platform's store, the gateway's upkeep, the watch of the
+//     settings file, the gauges;
+//  6. the balancer's check and the figures, then callers' requests.
+//
+// At the first signal to stop the gateway stops cleanly within the grace; all else
+// ends with the process.
+func RunGateway(driverName string) error {
+	if err := logs.Setup(logs.NewAsync(os.Stdout), "json", "info"); err != nil {
+		return err
+	}
+	hangups := make(chan os.Signal, 1)
+	signal.Notify(hangups, syscall.SIGHUP)
+	defer signal.Stop(hangups)
+	first, second := stopSignals()
+	factory, err := driver.Drivers.Get(driverName)
+	if err != nil {
+		return err
+	}
+	platform := factory()
+	settings, err := platform.Process()
+	if err != nil {
+		return err
+	}
+	scope, figures, closer := metrics.New("entry")
+	defer func() { _ = closer.Close() }() // the process ends
+	g := gateway.New(gateway.Options{
+		Process: settings,
+		Driver:  platform,
+		Owner:   randomID(),
+		Seed:    randomID(),
+		Metrics: scope,
+	})
+	running, end := context.WithCancel(context.Background())
+	defer end()
+	if err := joinGroup(running, g, settings); err != nil {
+		return err
+	}
+	go g.Directory().Follow(running, platform.Source(settings))
+	go g.Run(running)
+	go watchSettings(running, hangups, g, platform, settings)
+	go updateGauges(running, g, scope)
+	if err := serveChecks(g, platform, settings); err != nil {
+		return err
+	}
+	if err := serveFigures(g, settings, figures); err != nil {
+		return err
+	}
+	callers, err := g.Serve(settings.Callers)
+	if err != nil {
+		return err
+	}
+	log.With("name", settings.Name).With("address", settings.Callers).Info("The entry takes requests.")
+	dumpOnSignal(second, func() any { return g.Dump() })
+	<-first.Done()
+	return g.Stop(callers, g.Grace())
+}
+
+// randomID returns a number that is not 0 and does not repeat.
+func randomID() uint64 {
+	var b [8]byte
+	_, _ = crand.Read(b[:]) // never fails
+	return binary.LittleEndian.Uint64(b[:]) | 1
+}
+
+// joinGroup lets the gateway hear of the other entries and they of it.
+func joinGroup(ctx context.Context, g *gateway.Gateway, settings driver.Process) error {
+	d := g.Directory()
+	group, err := peers.New(peers.Options{
+		Name:      settings.Name,
+		Address:   settings.Peers,
+		Owner:     g.Owner(),
+		Seeds:     settings.Seeds,
+		Listener:  g.Listener(),
+		Directory: d,
+		Fetch: func(ctx context.Context, address string) {
+			if err := peers.FetchState(ctx, d, address); err != nil {
+				log.With("peer", address).With("reason", err.Error()).Warnf("Another entry's state can't be read; it is asked again when it is still ahead.")
+			}
+		},
+	})
+	if err != nil {
+		return err
+	}
+	if _, err := listen(settings.Peers, peers.StateHandler(d)); err != nil {
+		return err
+	}
+	g.Join(group)
+	go group.Run(ctx)
+	return nil
+}
+
+// serveChecks serves the balancer's readiness check.
+func serveChecks(g *gateway.Gateway, platform driver.Driver, settings driver.Process) error {
+	checks := flow.New()
+	checks.HandleFunc(platform.ReadyPath(), func(w http.ResponseWriter, _ *http.Request) {
+		if !g.Ready() {
+			w.WriteHeader(http.StatusServiceUnavailable)
+		}
+	}, http.MethodGet)
+	_, err := listen(settings.Readiness, checks)
+	return err
+}
+
+// serveFigures serves the metrics and the state dump.
+func serveFigures(g *gateway.Gateway, settings driver.Process, figures http.Handler) error {
+	mux := flow.New()
+	mux.Handle(metricsPath, figures, http.MethodGet)
+	mux.HandleFunc(statePath, func(w http.ResponseWriter, _ *http.Request) {
+		w.Header().Set("Content-Type", "application/json")
+		_ = json.NewEncoder(w).Encode(g.Dump()) // the caller may be gone
+	}, http.MethodGet)
+	_, err := listen(settings.Metrics, mux)
+	return err
+}
