--- a/internal/direct/explain/explain.go
+++ b/internal/direct/explain/explain.go
@@ -1,4 +1,6 @@
-// Package explain tells from a process's log what became of one request.
+// Package explain tells from an entry's log what became of one request: its own line
+// in words, and the lines about settings, endpoints, the store and other entries that
+// came before. It reads logs of earlier versions too (testdata/entry.log).
 package explain
 
 import (
@@ -13,11 +15,15 @@
 	"foxcross.dev/foxcross/internal/direct/record"
 )
 
-// Bounds of what is read and told.
 const (
-	maxLine    = 1 << 20
-	maxContext = 4096 // lines about settings, endpoints and peers that are remembered
-	around     = 5 * time.Second
+	// maxLine bounds a line of the log, in bytes. Chosen, not measured.
+	maxLine = 1 << 20
+	// maxContext bounds the remembered lines that are of no request. Chosen, not
+	// measured.
+	maxContext = 4096
+	// contextBefore is how long before a request came lines still belong to its story.
+	// Chosen, not measured: other entries and the store are lost and back within it.
+	contextBefore = 5 * time.Second
 )
 
 // line is one line of a log.
@@ -30,18 +36,18 @@
 
 // fields are the values that explain a request.
 type fields struct {
-	Request  string        `json:"request"`
-	Class    string        `json:"class"`
-	Team     string        `json:"team"`
-	Service  string        `json:"service"`
-	Code     result.Code   `json:"code"`
-	Run      string        `json:"run"`
-	Reason   string        `json:"reason"`
-	Priority int           `json:"priority"`
-	TotalMS  int64         `json:"total_ms"`
-	FirstMS  *int64        `json:"first_ms"`
-	PauseMS  int64         `json:"pause_ms"`
-	Sends    []record.Send `json:"sends"`
+	Request  string           `json:"request"`
+	Class    string           `json:"class"`
+	Team     string           `json:"team"`
+	Service  string           `json:"service"`
+	Code     result.Code      `json:"code"`
+	Run      string           `json:"run"`
+	Reason   string           `json:"reason"`
+	Priority int              `json:"priority"`
+	TotalMS  int64            `json:"total_ms"`
+	FirstMS  *int64           `json:"first_ms"`
+	PauseMS  int64            `json:"pause_ms"`
+	Attempts []record.Attempt `json:"sends"`
 }
 
 // Story writes what the log says of the request and of what changed around it.
@@ -71,7 +77,7 @@
 	for _, l := range found {
 		l.tell(&story)
 		for _, c := range context {
-			if off := c.At.Sub(l.At); off >= -around-l.total() && off <= 0 {
+			if off := c.At.Sub(l.At); off >= -contextBefore-l.total() && off <= 0 {
 				fmt.Fprintf(&story, "  %8.3f s  %s\n", off.Seconds(), c.raw)
 			}
 		}
@@ -108,10 +114,10 @@
 		fmt.Fprintf(w, ", first event after %d ms, longest pause %d ms", *f.FirstMS, f.PauseMS)
 	}
 	fmt.Fprintln(w)
-	for n, s := range f.Sends {
+	for n, s := range f.Attempts {
 		fmt.Fprintf(w, "  send %d to %s: %s\n", n+1, s.Endpoint, s.Outcome)
 		fmt.Fprintf(w, "    expected: %.0f ms of waiting, first event after %.0f ms, %d tokens to read, slowness %.2f\n",
-			s.WaitMS, s.FirstMS, s.Uncached, s.Factor)
+			s.WaitMS, s.FirstMS, s.PrefillTokens, s.Slowdown)
 		t := s.Terms
 		fmt.Fprintf(w, "    cost %.2f = late %.2f + harm %.2f + again %.2f + crowding %.2f + pool %.2f + trouble %.2f + distance %.2f\n",
 			s.Cost, t.Late, t.Harm, t.Reread, t.Crowding, t.Pool, t.Trouble, t.Distance)
--- a/internal/direct/gateway/report.go
+++ b/internal/direct/gateway/report.go
@@ -42,10 +42,10 @@
 }
 
 // records returns the attempts of a request for the log.
-func (q *request) records() []record.Send {
-	all := make([]record.Send, 0, len(q.attempts))
+func (q *request) records() []record.Attempt {
+	all := make([]record.Attempt, 0, len(q.attempts))
 	for _, a := range q.attempts {
-		all = append(all, record.SendOf(a.choice, a.outcome))
+		all = append(all, record.AttemptOf(a.choice, a.outcome))
 	}
 	return all
 }
--- a/internal/direct/record/record.go
+++ b/internal/direct/record/record.go
@@ -1,38 +1,40 @@
-// Package record holds the forms of log lines that other programs read back.
+// Package record holds the form of the log line of a request, as far as a program
+// reads it back (package explain). The JSON names are those of kept logs and stay;
+// where one misleads, the field's name says what it holds.
 package record
 
 import "foxcross.dev/coord/placement"
 
-// Send is one try of a request at an endpoint, with the estimates that decided
-// it.
-type Send struct {
-	Endpoint string          `json:"endpoint"`
-	Cost     float64         `json:"cost"`
-	Terms    placement.Terms `json:"terms"`
-	WaitMS   float64         `json:"expected_wait_ms"`
-	FirstMS  float64         `json:"expected_first_ms"`
-	Uncached int             `json:"uncached"`
-	Again    int             `json:"read_again"`
-	Long     bool            `json:"long"`
-	Pool     int             `json:"pool"`
-	Factor   float64         `json:"factor"`
-	Outcome  string          `json:"outcome"`
+// Attempt is one send of a request to an endpoint, with the estimates that decided
+// it. Numbers are rounded to three decimals.
+type Attempt struct {
+	Endpoint      string          `json:"endpoint"`
+	Cost          float64         `json:"cost"`
+	Terms         placement.Terms `json:"terms"`
+	WaitMS        float64         `json:"expected_wait_ms"`  // until the prefill starts
+	FirstMS       float64         `json:"expected_first_ms"` // until the first event
+	PrefillTokens int             `json:"uncached"`
+	RereadTokens  int             `json:"read_again"`
+	Long          bool            `json:"long"`
+	PoolSize      int             `json:"pool"`
+	Slowdown      float64         `json:"factor"`
+	Outcome       string          `json:"outcome"`
 }
 
-// SendOf returns the record of a send.
-func SendOf(c placement.Choice, outcome string) Send {
-	return Send{
-		Endpoint: c.Endpoint.ID,
-		Cost:     round(c.Cost),
-		Terms:    rounded(c.Terms),
-		WaitMS:   round(c.WaitMS),
-		FirstMS:  round(c.FirstMS),
-		Uncached: c.PrefillTokens,
-		Again:    c.RereadTokens,
-		Long:     c.Long,
-		Pool:     c.PoolSize,
-		Factor:   round(c.Slowdown),
-		Outcome:  outcome,
+// AttemptOf returns the record of an attempt.
+func AttemptOf(c placement.Choice, outcome string) Attempt {
+	return Attempt{
+		Endpoint:      c.Endpoint.ID,
+		Cost:          round(c.Cost),
+		Terms:         rounded(c.Terms),
+		WaitMS:        round(c.WaitMS),
+		FirstMS:       round(c.FirstMS),
+		PrefillTokens: c.PrefillTokens,
+		RereadTokens:  c.RereadTokens,
+		Long:          c.Long,
+		PoolSize:      c.PoolSize,
+		Slowdown:      round(c.Slowdown),
+		Outcome:       outcome,
 	}
 }
 
@@ -43,7 +45,7 @@
 	}
 }
 
-const thousandth = 1000
+// decimals is the factor by which a number is scaled before it is cut off.
+const decimals = 1000
 
-// round keeps three decimals.
-func round(v float64) float64 { return float64(int64(v*thousandth)) / thousandth }
+func round(v float64) float64 { return float64(int64(v*decimals)) / decimals }
