--- a/internal/direct/directory/follow.go
+++ b/internal/direct/directory/follow.go
@@ -40,8 +40,8 @@
 )
 
 // Follow keeps the directory up to date from the store until ctx is done.
-func (d *Directory) Follow(ctx context.Context, s driver.Source) {
-	f := &follower{directory: d, source: s}
+func (d *Directory) Follow(ctx context.Context, s driver.Store) {
+	f := &follower{directory: d, store: s}
 	f.delays.InitialInterval = minRetryDelay
 	f.delays.MaxInterval = maxRetryDelay
 	f.delays.Multiplier = retryFactor
@@ -63,7 +63,7 @@
 // the changes.
 type follower struct {
 	directory *Directory
-	source    driver.Source
+	store     driver.Store
 	revision  uint64 // to ask for changes after, 0 to read all
 	delays    backoff.ExponentialBackOff
 }
@@ -78,11 +78,11 @@
 // readAll reads the list of endpoints, then the settings.
 func (f *follower) readAll(ctx context.Context) error {
 	asked := time.Now()
-	list, err := f.source.ReadEndpoints(ctx)
+	list, err := f.store.ReadEndpoints(ctx)
 	if err != nil {
 		return err
 	}
-	read, err := f.source.ReadSettings(ctx)
+	read, err := f.store.ReadSettings(ctx)
 	if err != nil && !errors.Is(err, storeerr.ErrNotFound) {
 		return err
 	}
@@ -102,7 +102,7 @@
 func (f *follower) readChanges(ctx context.Context) error {
 	asked := time.Now()
 	d := f.directory
-	c, err := f.source.Wait(ctx, d.newestRevision(f.revision), watchWait)
+	c, err := f.store.Wait(ctx, d.newestRevision(f.revision), watchWait)
 	switch {
 	case errors.Is(err, driver.ErrHistoryGone):
 		log.With("revision", f.revision).Info("The store no longer knows the changes since the revision; reading all anew.")
--- a/internal/direct/driver/driver.go
+++ b/internal/direct/driver/driver.go
@@ -1,7 +1,6 @@
-// Package driver describes what a process of the direct way needs from the
-// platform that it runs on: its own place, the settings tree, the list of
-// endpoints and the spelling of header fields. Drivers for real platforms
-// register themselves.
+// Package driver is the interface between the direct way and a platform: the settings
+// of a process, the platform's store and the names of header fields. Drivers of real
+// platforms register themselves; a program chooses its drivers by importing them.
 package driver
 
 import (
@@ -17,11 +16,12 @@
 )
 
 // ErrHistoryGone means that the store no longer knows the changes since a
-// revision: all has to be read anew. The other errors of a Source are those of
+// revision: all has to be read anew. The other errors of a Store are those of
 // package storeerr.
 var ErrHistoryGone = errors.New("driver: the history since the revision is gone")
 
-// Process is the place of one process.
+// Process is what the settings file of a process says. Its field names appear in the
+// output of "check" and in the log of a reload.
 type Process struct {
 	Name       string
 	DataCentre string
@@ -35,7 +35,7 @@
 	Bounds     Bounds
 }
 
-// Limits are what the process may use, 0 for not known.
+// Limits are what the process may use, 0 for unknown.
 type Limits struct {
 	Descriptors int
 	MemoryBytes int64
@@ -44,11 +44,11 @@
 // Bounds are the times and shares that the operator holds the system to.
 type Bounds struct {
 	StopGrace   time.Duration // from the signal to stop to the end by force
-	RetryRatio  float64       // repeats per request of a service, over all entries
+	RetryRatio  float64       // retries per request of a service, over all entries
 	RetryWindow time.Duration
-	RetrySlack  int           // repeats beside the ratio in a window
+	RetrySlack  int           // retries beside the ratio in a window
 	LeaveWithin time.Duration // an endpoint that has left the list gets nothing new after so long
-	ReuseWithin time.Duration // a shared part is kept warm for so long after its last use
+	ReuseWithin time.Duration // computing a prompt prefix again is priced for so long after its last use
 }
 
 // Settings is one version of the settings tree.
@@ -57,68 +57,69 @@
 	Tree    settings.Tree `cbor:"-"`
 }
 
-// Endpoints is the list of endpoints at a revision of the source.
+// Endpoints is the list of endpoints at a revision of the store.
 type Endpoints struct {
 	Revision uint64               `cbor:"1,keyasint"`
 	List     []placement.Endpoint `cbor:"2,keyasint"`
 }
 
-// Change is what a wait brought.
+// Change is what changed in the store. It has no tags, since its field names are on the
+// wire between entries.
 type Change struct {
-	Revision uint64               // to wait from next
+	Revision uint64               // to wait for changes after
 	Settings *Settings            // nil for none
 	Changed  []placement.Endpoint // endpoints as they now are
 	Gone     []string             // ids of endpoints that left the list; none of those that changed
 }
 
-// Put notes that an endpoint came or changed, after all that was noted before.
+// Put adds that an endpoint came or changed, after all that was added before.
 func (c *Change) Put(e placement.Endpoint) {
 	c.forget(e.ID)
 	c.Changed = append(c.Changed, e)
 }
 
-// Remove notes that an endpoint left, after all that was noted before.
+// Remove adds that an endpoint left, after all that was added before.
 func (c *Change) Remove(id string) {
 	c.forget(id)
 	c.Gone = append(c.Gone, id)
 }
 
-// forget drops what was noted of an endpoint.
+// forget drops what was added of an endpoint.
 func (c *Change) forget(id string) {
 	c.Changed = slices.DeleteFunc(c.Changed, func(e placement.Endpoint) bool { return e.ID == id })
 	c.Gone = slices.DeleteFunc(c.Gone, func(gone string) bool { return gone == id })
 }
 
-// Source is the platform's store as a process reads it. Each call counts
-// against the platform's rates.
-type Source interface {
+// Store is the platform's store as a process reads it. Each call counts against the
+// platform's rates, a waiting one as well.
+type Store interface {
 	ReadSettings(ctx context.Context) (Settings, error)
 	ReadEndpoints(ctx context.Context) (Endpoints, error)
-	// Wait returns the changes after the revision as soon as there are any, or
-	// none after the time. ErrHistoryGone asks for a fresh read.
-	Wait(ctx context.Context, after uint64, most time.Duration) (Change, error)
+	// Wait returns the changes after the revision as soon as there are any, or none
+	// after maxWait. ErrHistoryGone asks for reading all anew.
+	Wait(ctx context.Context, after uint64, maxWait time.Duration) (Change, error)
 }
 
 // Fields are the names of header fields towards callers and endpoints.
 type Fields struct {
-	RequestID string
-	Deadline  string // milliseconds left
-	Key       string // of the team, alone
-	Team      string // told to endpoints
-	Target    string // id of the endpoint that is meant
-	NotRun    string // an endpoint's word that the request has not run
-	Seal      string // marks an endpoint's own answer
-	Priority  string
-	LastEvent string
+	RequestID string   // both ways
+	Deadline  string   // milliseconds left
+	Key       string   // of the team, from callers only
+	Team      string   // to endpoints only
+	Target    string   // id of the endpoint that is meant
+	NotRun    string   // an endpoint's word that it did not run the request
+	Seal      string   // marks an answer as an endpoint's own
+	Priority  string   // 0 is the most urgent
+	LastEvent string   // after which a stream goes on
 	Internal  []string // others that only the system may set; callers' are dropped
 }
 
-// Driver knows one platform's names, formats and calls.
+// Driver knows one platform's names, formats and calls. It decides nothing.
 type Driver interface {
 	// Process reads the settings file of this process.
 	Process() (Process, error)
-	// Source returns a client of the platform's store.
-	Source(p Process) Source
+	// Store returns a client of the platform's store.
+	Store(p Process) Store
 	// Fields returns the names of header fields.
 	Fields() Fields
 	// Prompt returns what a request says of its prompt.
--- a/internal/process/serve.go
+++ b/internal/process/serve.go
@@ -70,7 +70,7 @@
 	if err := joinGroup(running, g, settings); err != nil {
 		return err
 	}
-	go g.Directory().Follow(running, platform.Source(settings))
+	go g.Directory().Follow(running, platform.Store(settings))
 	go g.Run(running)
 	go watchSettings(running, hangups, g, platform, settings)
 	go updateGauges(running, g, scope)
