--- a/internal/decisions_test.go
+++ b/internal/decisions_test.go
@@ -63,6 +63,11 @@
 	"internal/direct/peers/state.go",
 	"platform/store.go",
 	"platform/prompt.go",
+	"internal/process/listen.go",
+	"internal/process/reload.go",
+	"internal/logs/async.go",
+	"internal/logs/limited.go",
+	"internal/metrics/metrics.go",
 }
 
 // TestDecisionsPage holds docs/DECISIONS.md to the code, and wants a comment on
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -12,7 +12,8 @@
 	"github.com/uber-go/tally/v4/prometheus"
 )
 
-const reportEvery = time.Second
+// reportInterval is how old a figure may be when it is read. Chosen, not measured.
+const reportInterval = time.Second
 
 // New returns the scope of a process, the handler that serves its metrics, and
 // what ends the reporting.
@@ -25,6 +26,6 @@
 		Separator:              prometheus.DefaultSeparator,
 		SanitizeOptions:        &prometheus.DefaultSanitizerOpts,
 		OmitCardinalityMetrics: true,
-	}, reportEvery)
+	}, reportInterval)
 	return s, r.HTTPHandler(), end
 }
--- a/internal/process/listen.go
+++ b/internal/process/listen.go
@@ -10,8 +10,10 @@
 )
 
 const (
+	// headerTimeout bounds the time for a request's header. Chosen, not measured.
 	headerTimeout = 10 * time.Second
-	idleTimeout   = 2 * time.Minute
+	// idleTimeout ends connections that are idle. Chosen, not measured.
+	idleTimeout = 2 * time.Minute
 )
 
 // listen serves HTTP on an address until the server is closed.
