--- a/coord/affinity/affinity.go
+++ b/coord/affinity/affinity.go
@@ -11,9 +11,12 @@
 )
 
 const (
-	blockBytes   = 1024 // about 256 tokens
-	maxBlocks    = 32   // blocks of a prompt that are hashed
-	defaultBound = 8192 // hashes kept by a zero Table
+	// blockBytes is the size of a block, about 256 tokens. Chosen, not measured.
+	blockBytes = 1024
+	// maxBlocks bounds the blocks of a prompt that are hashed. Chosen, not measured.
+	maxBlocks = 32
+	// defaultBound is how many hashes a zero Table keeps. Chosen, not measured.
+	defaultBound = 8192
 )
 
 // Chain returns the chain hash of the prompt's whole blocks: each value stands
--- a/coord/binding/choose.go
+++ b/coord/binding/choose.go
@@ -11,11 +11,20 @@
 )
 
 const (
-	freshReport  = 2 * time.Second // a report counts in full until this age
-	staleShare   = 0.25            // share of a report's further age added to the wait
-	cachedSaving = 0.8             // share of the prefill that cached tokens save
-	hashSaving   = 0.3             // the same where only the hash says who has them
-	promptly     = 5 * time.Millisecond
+	// freshReport is the age up to which a report counts in full. Chosen, not measured:
+	// two heartbeats.
+	freshReport = 2 * time.Second
+	// staleShare is the share of a report's further age that is added to the wait.
+	// Chosen, not measured.
+	staleShare = 0.25
+	// cachedSaving is the share of the prefill that cached tokens save. Chosen;
+	// affinity as a whole is worth it: EXPERIMENTS 10.
+	cachedSaving = 0.8
+	// hashSaving is the same where only the hash says who has them. Chosen, not measured.
+	hashSaving = 0.3
+	// answerSlack is how long an agent may take to answer beyond two round trips.
+	// Chosen, not measured: EXPERIMENTS 10 has it as a whole.
+	answerSlack = 5 * time.Millisecond
 )
 
 // candidate is a route with its expected time to first token.
@@ -140,7 +149,7 @@
 
 // answerTime is how long an agent with room is waited for before others are
 // asked.
-func (o *route) answerTime() time.Duration { return 2*o.peer.trip + promptly }
+func (o *route) answerTime() time.Duration { return 2*o.peer.trip + answerSlack }
 
 // slowness is a penalty for endpoints that miss the target between tokens.
 func (o *route) slowness(t message.Terms) time.Duration {
--- a/coord/binding/core.go
+++ b/coord/binding/core.go
@@ -11,21 +11,37 @@
 	"foxcross.dev/coord/result"
 )
 
-// Defaults and bounds of a Core.
 const (
-	DefaultFanout   = 3
+	// DefaultFanout is how many agents a request is offered to at once. One to five
+	// compared: EXPERIMENTS 4.
+	DefaultFanout = 3
+	// DefaultRequests bounds the open requests. Chosen, not measured.
 	DefaultRequests = 20000
 
-	slackShare   = 8 // a request widens after this fraction of its slack
-	minWiden     = 20 * time.Millisecond
-	maxWiden     = 500 * time.Millisecond
+	// slackShare is the part of the time left to the target after which a request is
+	// offered to more agents, as one part in so many. Chosen; offering to more after
+	// a time is worth a little: EXPERIMENTS 8.
+	slackShare = 8
+	// minWiden and maxWiden bound that time. Chosen, not measured.
+	minWiden = 20 * time.Millisecond
+	maxWiden = 500 * time.Millisecond
+	// firstBackoff and maxBackoff bound the pause after all agents have declined.
+	// Chosen, not measured.
 	firstBackoff = 50 * time.Millisecond
 	maxBackoff   = time.Second
-	maxFailures  = 6 // attempts of a request that failed
-	maxPreempted = 3 // after this many, the request asks not to be preempted
-	retryBurst   = 50
-	minRetry     = time.Second
-	stallGrace   = 2 * time.Second
+	// maxFailures bounds the attempts of a request that failed. Chosen, not measured.
+	maxFailures = 6
+	// maxPreempted is after how many preemptions a request asks not to be preempted
+	// again. Chosen, not measured.
+	maxPreempted = 3
+	// retryBurst is how many retries a class may have saved up. Chosen, not measured.
+	retryBurst = 50
+	// minRetry is the shortest time after which a refused caller is told to come
+	// back. Chosen, not measured.
+	minRetry = time.Second
+	// stallGrace is how much longer than its class allows an attempt may bring
+	// nothing before it counts as lost. Chosen, not measured.
+	stallGrace = 2 * time.Second
 )
 
 // Core decides for one entry. Rand must be set.
--- a/coord/dispatch/core.go
+++ b/coord/dispatch/core.go
@@ -8,10 +8,13 @@
 	"foxcross.dev/coord/result"
 )
 
-// Default settings of a Core.
 const (
+	// DefaultHold is how long a slot waits for its start. Chosen, not measured: well
+	// above a round trip.
 	DefaultHold = 250 * time.Millisecond
-	idleTick    = 500 * time.Millisecond
+	// idleTick is when a core without anything due wants to be called. Chosen, not
+	// measured.
+	idleTick = 500 * time.Millisecond
 )
 
 // Core decides for one agent. The zero value has no endpoints; add them first.
--- /dev/null
+++ b/coord/dispatch/example_test.go
@@ -0,0 +1,23 @@
+package dispatch_test
+
+import (
+	"fmt"
+	"time"
+
+	"foxcross.dev/coord/dispatch"
+	"foxcross.dev/coord/message"
+)
+
+// An offer that finds a free slot is answered at once; the slot is held until the
+// start comes.
+func ExampleCore() {
+	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+	var c dispatch.Core
+	c.Add(dispatch.Endpoint{Name: "hall-0", Target: "glaze-8b"})
+	offer := message.Offer{Request: 1, Attempt: 1, Target: "glaze-8b", Terms: message.Terms{FirstToken: time.Second, Weight: 1}}
+	for _, a := range c.Offer(now, 7, offer) {
+		reply := a.(dispatch.Reply)
+		fmt.Printf("%T to owner %d\n", reply.Message, reply.Owner)
+	}
+	// Output: message.Ready to owner 7
+}
--- a/coord/dispatch/pool.go
+++ b/coord/dispatch/pool.go
@@ -10,10 +10,15 @@
 
 // Weights of the running means.
 const (
-	meanWeight  = 0.1
-	firstGuess  = 200 * time.Millisecond // time to first token before any is seen
-	spanGuess   = 2 * time.Second        // time of a piece of work before any is seen
-	preemptLead = 1.5                    // steps before the deadline at which work is preempted
+	// meanWeight is the weight of the newest value in a decayed mean. Chosen, not measured.
+	meanWeight = 0.1
+	// firstGuess is the time to a first token before any is seen. Chosen, not measured.
+	firstGuess = 200 * time.Millisecond
+	// spanGuess is how long a piece of work takes before any is seen. Chosen, not measured.
+	spanGuess = 2 * time.Second
+	// preemptLead is how long before its deadline a request preempts, in the mean time
+	// between two slots that fall free. 0.5 and 1.0 are worse: EXPERIMENTS 9.
+	preemptLead = 1.5
 )
 
 // mean is an exponentially weighted running mean.
--- a/coord/health/health.go
+++ b/coord/health/health.go
@@ -16,7 +16,7 @@
 const (
 	Healthy State = "healthy"
 	Suspect State = "suspect" // failed lately, still used
-	Ejected State = "ejected" // gets nothing until its time is over
+	Ejected State = "ejected" // gets nothing for a time
 	Probing State = "probing" // gets one piece of work to show itself
 )
 
@@ -29,10 +29,16 @@
 )
 
 const (
-	ejectAfter = 3 // failures in a row
-	firstWait  = time.Second
-	maxWait    = 30 * time.Second
-	maxShift   = 5 // firstWait << maxShift is about maxWait
+	// ejectAfter is after how many failures in a row an endpoint is ejected. Chosen, not
+	// measured.
+	ejectAfter = 3
+	// firstWait is how long the first ejection lasts; each further one in a row lasts
+	// twice as long. Chosen, not measured.
+	firstWait = time.Second
+	// maxWait bounds an ejection. Chosen, not measured.
+	maxWait = 30 * time.Second
+	// maxShift is how often the wait is doubled: firstWait << maxShift is about maxWait.
+	maxShift = 5
 )
 
 // Circuit is the health of one endpoint. The zero value is healthy.
@@ -107,7 +113,7 @@
 	return c.state
 }
 
-// Succeeded notes work that ended well.
+// Succeeded takes in work that ended well.
 func (c *Circuit) Succeeded(now time.Time) {
 	if c.state == "" || c.state == Healthy {
 		return
@@ -119,7 +125,7 @@
 	}
 }
 
-// Failed notes work that failed. The endpoint is ejected only if mayEject is
+// Failed takes in work that failed. The endpoint is ejected only if mayEject is
 // set: the caller bounds the share that may be out at once.
 func (c *Circuit) Failed(now time.Time, mayEject bool) {
 	c.failures++
--- a/coord/limit/learned.go
+++ b/coord/limit/learned.go
@@ -7,22 +7,38 @@
 	"time"
 )
 
-// Bounds of a learned limit.
 const (
-	FirstLimit = 4    // limit of an endpoint nothing is known of
-	MaxLimit   = 1024 // no limit is raised above this
+	// FirstLimit is the limit of an endpoint of which nothing is known. Chosen, not
+	// measured.
+	FirstLimit = 4
+	// MaxLimit is never exceeded. Chosen, not measured.
+	MaxLimit = 1024
 )
 
 const (
-	memory     = 512.0 // samples after which an old one counts a third
-	fewSamples = 16    // below, the first limit holds
-	minSpread  = 0.5   // variance of the running work below which no slope is seen
-	margin     = 0.95  // share of the target that is used
-	tail       = 1.65  // standard deviations that 95 in 100 samples lie below
-	flattest   = 8.0   // the slope is at least this part of the mean sample per work
-	growth     = 1.5   // the limit goes this far beyond the most work seen lately
-	headroom   = 4     // and by so many more
-	peakFade   = 0.999 // per sample
+	// memory is after how many samples an old one counts a third. Chosen, not measured.
+	memory = 512.0
+	// minSamples is how many samples are needed before the line is used. Chosen, not
+	// measured.
+	minSamples = 16
+	// minSpread is the variance of the running work below which no slope is seen.
+	// Chosen, not measured.
+	minSpread = 0.5
+	// margin is the share of the target that is used. Chosen, not measured.
+	margin = 0.95
+	// tail is how many standard deviations 95 in 100 samples lie below, by the normal
+	// distribution. EXPERIMENTS 2.
+	tail = 1.65
+	// flattest bounds the slope from below, as a part of the mean sample for each
+	// piece of work. Chosen, not measured.
+	flattest = 8.0
+	// growth and headroom are how far the limit goes beyond the most work seen lately:
+	// so many times, and so many pieces more. 1.1 and 2 are worse: EXPERIMENTS 7.
+	growth   = 1.5
+	headroom = 4
+	// peakFade is what the most work seen is multiplied by with each sample. Chosen,
+	// not measured.
+	peakFade = 0.999
 )
 
 // Learned finds how much work an endpoint may run at once so that 95 in 100
@@ -56,7 +72,7 @@
 
 // For returns the limit for a target; a target of 0 is no bound on the time.
 func (l *Learned) For(target time.Duration) int {
-	if l.count < fewSamples {
+	if l.count < minSamples {
 		return FirstLimit
 	}
 	most := min(MaxLimit, l.peak*growth+headroom)
--- a/coord/limit/team.go
+++ b/coord/limit/team.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// maxTeams bounds the table of teams with a limit in use.
+// maxTeams bounds the teams with a limit in use that are remembered. Chosen, not
+// measured: above the 40,000 of docs/CAPACITY.md.
 const maxTeams = 1 << 16
 
 // Allowance is what a team may use at this entry.
@@ -25,6 +26,10 @@
 	return shared
 }
 
+// fullRetryAfter is when a team whose requests all run may ask again. Chosen, not
+// measured.
+const fullRetryAfter = time.Second
+
 // Teams counts what each team uses. The zero value is empty.
 type Teams struct {
 	teams map[string]*usage
@@ -45,7 +50,7 @@
 	u := t.usageOf(now, team, a)
 	u.fill(now, a.Rate)
 	if a.Concurrency > 0 && u.current >= a.Concurrency {
-		return false, time.Second
+		return false, fullRetryAfter
 	}
 	if a.Rate > 0 && u.tokens < 1 {
 		return false, time.Duration((1 - u.tokens) / a.Rate * float64(time.Second))
@@ -79,7 +84,7 @@
 }
 
 // idleAfter is when a team without requests is forgotten; its bucket is full by
-// then.
+// then. Chosen, not measured.
 const idleAfter = time.Minute
 
 func (t *Teams) forgetIdle(now time.Time) {
--- /dev/null
+++ b/coord/message/example_test.go
@@ -0,0 +1,16 @@
+package message_test
+
+import (
+	"fmt"
+	"time"
+
+	"foxcross.dev/coord/message"
+)
+
+// Messages carry durations, never clock times: an agent takes the age of a request
+// off the target that travels with it.
+func ExampleOffer() {
+	o := message.Offer{Target: "glaze-8b", Terms: message.Terms{FirstToken: 500 * time.Millisecond}, Age: 120 * time.Millisecond}
+	fmt.Println(o.Terms.FirstToken - o.Age)
+	// Output: 380ms
+}
--- a/coord/subset/subset.go
+++ b/coord/subset/subset.go
@@ -11,12 +11,16 @@
 	"foxcross.dev/coord/rendezvous"
 )
 
-// Default is the most agents of an entry where its settings say nothing.
+// Default is the most agents of an entry if its settings say nothing. Chosen, not
+// measured.
 const Default = 64
 
-// nearShare of the agents are taken from the entry's own data centre, in
-// quarters.
-const nearShare = 3
+// nearShare and parts are the share of the agents that is taken from the entry's own
+// data centre. Chosen, not measured.
+const (
+	nearShare = 3
+	parts     = 4
+)
 
 // Agent is an agent of the member list.
 type Agent struct {
@@ -30,18 +34,18 @@
 	rank uint64
 }
 
-// Choose returns up to most agents for an entry: three quarters from its own
+// Choose returns up to limit agents for an entry: three quarters from its own
 // data centre, the others spread over the other data centres. What one side
 // can't fill the other does.
-func Choose(entry, dataCentre string, agents []Agent, most int) []Agent {
-	if len(agents) <= most {
+func Choose(entry, dataCentre string, agents []Agent, limit int) []Agent {
+	if len(agents) <= limit {
 		return slices.Clone(agents)
 	}
 	near, far := split(entry, dataCentre, agents)
-	wantNear := min(len(near), most*nearShare/4)
-	wantFar := min(len(far), most-wantNear)
-	wantNear = min(len(near), most-wantFar)
-	chosen := make([]Agent, 0, most)
+	wantNear := min(len(near), limit*nearShare/parts)
+	wantFar := min(len(far), limit-wantNear)
+	wantNear = min(len(near), limit-wantFar)
+	chosen := make([]Agent, 0, limit)
 	for _, r := range near[:wantNear] {
 		chosen = append(chosen, r.Agent)
 	}
--- a/internal/decisions_test.go
+++ b/internal/decisions_test.go
@@ -18,9 +18,10 @@
 const decisionsHead = `# Decisions
 
 Made from the code by internal/decisions_test.go (UPDATE_GOLDEN=1 go test ./internal
--run TestDecisionsPage writes it); do not edit. Each rule of the direct way stands in
-the file named, which opens with what is shown here. "Chosen" means that no other value
-was tried; a number of docs/EXPERIMENTS.md is where it was measured.
+-run TestDecisionsPage writes it); do not edit. Each rule stands in the file named,
+which opens with what is shown here: first the direct way in the order of a request's
+path, then the own interface. "Chosen" means that no other value was tried; a number of
+docs/EXPERIMENTS.md is where it was measured.
 `
 
 // decisionFiles are the files that hold rules or their numbers, in the order of a
@@ -68,6 +69,15 @@
 	"internal/logs/async.go",
 	"internal/logs/limited.go",
 	"internal/metrics/metrics.go",
+	"coord/binding/core.go",
+	"coord/binding/choose.go",
+	"coord/dispatch/core.go",
+	"coord/dispatch/pool.go",
+	"coord/limit/learned.go",
+	"coord/limit/team.go",
+	"coord/health/health.go",
+	"coord/affinity/affinity.go",
+	"coord/subset/subset.go",
 }
 
 // TestDecisionsPage holds docs/DECISIONS.md to the code, and wants a comment on
