--- a/internal/process/golden_test.go
+++ b/internal/process/golden_test.go
@@ -7,7 +7,6 @@
 	"fmt"
 	"net/http"
 	"os"
-	"os/exec"
 	"path/filepath"
 	"slices"
 	"strings"
@@ -16,21 +15,13 @@
 	"time"
 
 	"foxcross.dev/foxcross/internal/process"
+	"foxcross.dev/foxcross/internal/testing/entryprogram"
 	"foxcross.dev/foxcross/internal/testing/golden"
 	"foxcross.dev/foxcross/internal/testing/standin/platformtest"
 )
 
-// entryVariable makes the test's own program an entry.
-const entryVariable = "FOXCROSS_TEST_ENTRY"
-
 func TestMain(m *testing.M) {
-	if os.Getenv(entryVariable) == "" {
-		os.Exit(m.Run())
-	}
-	if err := process.RunGateway("fleet"); err != nil {
-		os.Stderr.WriteString(err.Error() + "\n")
-		os.Exit(1)
-	}
+	entryprogram.Main(m, func() error { return process.RunGateway("fleet") })
 }
 
 // figureNames returns the kinds, names and labels of a page of figures, without
@@ -98,8 +89,7 @@
 		t.Fatal(err)
 	}
 	var log, failures bytes.Buffer
-	c := exec.Command(os.Args[0])
-	c.Env = append(os.Environ(), entryVariable+"=1", "FOXCROSS_CONFIG="+path)
+	c := entryprogram.Command(path)
 	c.Stdout, c.Stderr = &log, &failures
 	if err := c.Start(); err != nil {
 		t.Fatal(err)
--- a/internal/relay/agent/agent.go
+++ b/internal/relay/agent/agent.go
@@ -183,15 +183,7 @@
 }
 
 // wake lets the tick loop look at the core again.
-func (a *Agent) wake() { signal(a.kick) }
-
-// signal sends on a channel of size one without blocking.
-func signal(c chan struct{}) {
-	select {
-	case c <- struct{}{}:
-	default:
-	}
-}
+func (a *Agent) wake() { workers.Signal(a.kick) }
 
 // State returns where the agent is in its life.
 func (a *Agent) State() lifecycle.State { return a.life.State() }
@@ -209,12 +201,8 @@
 	a.mu.Unlock()
 	log.Info("Leaving, taking no new work.")
 	defer a.life.Done()
-	for !a.idle() {
-		select {
-		case <-ctx.Done():
-			return fmt.Errorf("agent: stopped with work left: %w", ctx.Err())
-		case <-a.onIdle:
-		}
+	if err := workers.Await(ctx, a.onIdle, a.idle); err != nil {
+		return fmt.Errorf("agent: stopped with work left: %w", err)
 	}
 	log.Info("All work has ended.")
 	return nil
--- a/internal/relay/agent/owner.go
+++ b/internal/relay/agent/owner.go
@@ -9,6 +9,8 @@
 	"foxcross.dev/coord/message"
 	"foxcross.dev/coord/queue"
 	"foxcross.dev/foxcross/internal/relay/link"
+
+	"foxcross.dev/foxcross/internal/workers"
 )
 
 const helloTimeout = 5 * time.Second
@@ -189,5 +191,5 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.streams--
-	signal(a.onIdle)
+	workers.Signal(a.onIdle)
 }
--- a/internal/relay/agent/run.go
+++ b/internal/relay/agent/run.go
@@ -12,6 +12,8 @@
 	"foxcross.dev/coord/result"
 	"foxcross.dev/foxcross/internal/relay/endpoint"
 	"foxcross.dev/foxcross/internal/relay/link"
+
+	"foxcross.dev/foxcross/internal/workers"
 )
 
 var errOver = errors.New("agent: the attempt is over")
@@ -94,7 +96,7 @@
 	defer a.mu.Unlock()
 	a.perform(a.core.Ended(time.Now(), k, end))
 	a.wake()
-	signal(a.onIdle)
+	workers.Signal(a.onIdle)
 }
 
 // finish sends the end without holding up the caller.
--- a/internal/relay/entry/call.go
+++ b/internal/relay/entry/call.go
@@ -8,6 +8,8 @@
 	"foxcross.dev/coord/binding"
 	"foxcross.dev/coord/message"
 	"foxcross.dev/coord/result"
+
+	"foxcross.dev/foxcross/internal/workers"
 )
 
 // maxPending is how many bytes of an answer wait for a slow caller before the
@@ -68,7 +70,7 @@
 	}
 	c.pending = append(c.pending, p)
 	c.bytes += sizeOf(p)
-	signal(c.ready)
+	workers.Signal(c.ready)
 }
 
 // putChunk adds a chunk and notes its text for a continuation.
@@ -96,13 +98,6 @@
 	}
 }
 
-func signal(c chan struct{}) {
-	select {
-	case c <- struct{}{}:
-	default:
-	}
-}
-
 // next waits for the next pieces.
 func (c *call) next(ctx context.Context) ([]piece, error) {
 	for {
@@ -111,7 +106,7 @@
 		c.pending = nil
 		c.bytes = 0
 		c.mu.Unlock()
-		signal(c.room)
+		workers.Signal(c.room)
 		if len(taken) > 0 {
 			return taken, nil
 		}
@@ -145,7 +140,7 @@
 	c.mu.Lock()
 	c.over = true
 	c.mu.Unlock()
-	signal(c.room)
+	workers.Signal(c.room)
 }
 
 // notRun tells whether the request ended without having been run.
--- a/internal/relay/entry/entry.go
+++ b/internal/relay/entry/entry.go
@@ -149,7 +149,7 @@
 }
 
 // wake lets the tick loop look at the core again.
-func (e *Entry) wake() { signal(e.kick) }
+func (e *Entry) wake() { workers.Signal(e.kick) }
 
 // Ready tells whether the balancer may send requests here.
 func (e *Entry) Ready() bool {
@@ -191,12 +191,8 @@
 	e.core.Drain()
 	e.mu.Unlock()
 	defer e.life.Done()
-	for e.open() > 0 {
-		select {
-		case <-ctx.Done():
-			return fmt.Errorf("entry: stopped with requests open: %w", ctx.Err())
-		case <-e.onIdle:
-		}
+	if err := workers.Await(ctx, e.onIdle, func() bool { return e.open() == 0 }); err != nil {
+		return fmt.Errorf("entry: stopped with requests open: %w", err)
 	}
 	log.Info("All requests are answered.")
 	return nil
@@ -235,7 +231,7 @@
 	e.perform(e.core.Hangup(c.id))
 	delete(e.calls, c.id)
 	e.teams.Release(c.request.Terms.Team)
-	signal(e.onIdle)
+	workers.Signal(e.onIdle)
 }
 
 // perform carries out the core's actions. Entry.mu is held.
--- a/internal/testing/deployment/deployment.go
+++ b/internal/testing/deployment/deployment.go
@@ -42,7 +42,6 @@
 	agents    map[string]*Agent
 	entries   map[string]*Entry
 	servers   []*http.Server
-	changes   int
 }
 
 // Agent is a running agent and its connection.
@@ -221,7 +220,7 @@
 		return nil, err
 	}
 	holder := &versions.Holder{}
-	e := &Entry{name: name, dialer: dialer, Store: d.newStore(name, holder)}
+	e := &Entry{name: name, dialer: dialer, Store: d.Store.Settings(name, holder)}
 	ctx, cancel := context.WithCancel(d.ctx)
 	e.cancel = cancel
 	batcher := claims.New(claims.Options{KeyValue: &d.Store, Owner: name, Entries: func() int { return e.Entries() }})
@@ -251,15 +250,6 @@
 	return e, nil
 }
 
-func (d *Deployment) newStore(name string, h *versions.Holder) *versions.Store {
-	return &versions.Store{KeyValue: &d.Store, Holder: h, Now: time.Now, NewID: func() string {
-		d.mu.Lock()
-		defer d.mu.Unlock()
-		d.changes++
-		return fmt.Sprintf("%s-%d", name, d.changes)
-	}}
-}
-
 func (e *Entry) kill() {
 	e.cancel()
 	_ = e.server.Close() // it is ended, however it is
@@ -292,7 +282,7 @@
 		return err
 	}
 	holder := &versions.Holder{}
-	s := d.newStore("setup", holder)
+	s := d.Store.Settings("setup", holder)
 	if _, err := s.Load(ctx); err != nil {
 		return err
 	}
--- a/internal/testing/simulation/simulation.go
+++ b/internal/testing/simulation/simulation.go
@@ -42,7 +42,6 @@
 	cancel  context.CancelFunc
 	agents  map[string]*Agent
 	entries []*Entry
-	changes int
 	starts  int // of agents
 }
 
@@ -80,7 +79,7 @@
 	if t.Snapshot, err = settings.Compile(parsed); err != nil {
 		return nil, err
 	}
-	_, err = t.store("setup", &versions.Holder{}).Commit(t.ctx, versions.Change{Tree: parsed})
+	_, err = t.Store.Settings("setup", &versions.Holder{}).Commit(t.ctx, versions.Change{Tree: parsed})
 	return t, err
 }
 
@@ -93,15 +92,6 @@
 	}
 }
 
-func (t *Simulation) store(name string, h *versions.Holder) *versions.Store {
-	return &versions.Store{KeyValue: &t.Store, Holder: h, Now: time.Now, NewID: func() string {
-		t.mu.Lock()
-		defer t.mu.Unlock()
-		t.changes++
-		return fmt.Sprintf("%s-%d", name, t.changes)
-	}}
-}
-
 // AddAgent starts an agent with engines for a model.
 func (t *Simulation) AddAgent(name, model string, engines ...*standin.Engine) *Agent {
 	o := agent.Options{Name: name}
@@ -217,7 +207,7 @@
 	h := &versions.Holder{}
 	t.watch(name, h)
 	ctx, cancel := context.WithCancel(t.ctx)
-	e := &Entry{Name: name, Store: t.store(name, h), ctx: ctx, cancel: cancel}
+	e := &Entry{Name: name, Store: t.Store.Settings(name, h), ctx: ctx, cancel: cancel}
 	batcher := claims.New(claims.Options{KeyValue: &t.Store, Owner: name, Entries: func() int { return e.Entries() }})
 	o := entry.Options{
 		Name:     name,
--- a/internal/testing/soak/soak_test.go
+++ b/internal/testing/soak/soak_test.go
@@ -3,28 +3,18 @@
 import (
 	"context"
 	"net/http"
-	"os"
-	"os/exec"
 	"strings"
 	"testing"
 	"time"
 
 	"foxcross.dev/foxcross/internal/process"
+	"foxcross.dev/foxcross/internal/testing/entryprogram"
 	"foxcross.dev/foxcross/internal/testing/standin/platformtest"
 	_ "foxcross.dev/foxcross/platform" // registers its driver
 )
 
-// entryVariable makes the test's own program an entry.
-const entryVariable = "FOXCROSS_SOAK_ENTRY"
-
 func TestMain(m *testing.M) {
-	if os.Getenv(entryVariable) == "" {
-		os.Exit(m.Run())
-	}
-	if err := process.RunGateway("fleet"); err != nil {
-		os.Stderr.WriteString(err.Error() + "\n")
-		os.Exit(1)
-	}
+	entryprogram.Main(m, func() error { return process.RunGateway("fleet") })
 }
 
 // play runs entries as processes of their own under random faults. Only promises
@@ -33,11 +23,7 @@
 	t.Helper()
 	r, err := Run(context.Background(), Options{
 		Seed: seed, Duration: 6 * time.Second, Entries: 3, Endpoints: 4, Callers: 6, Folder: t.TempDir(), Only: only,
-		Command: func(settings string) *exec.Cmd {
-			c := exec.Command(os.Args[0])
-			c.Env = append(os.Environ(), entryVariable+"=1", "FOXCROSS_CONFIG="+settings)
-			return c
-		},
+		Command: entryprogram.Command,
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/testing/standin/store.go
+++ b/internal/testing/standin/store.go
@@ -8,6 +8,7 @@
 	"slices"
 	"strings"
 	"sync"
+	"sync/atomic"
 	"time"
 
 	"foxcross.dev/foxcross/internal/relay/kv"
@@ -36,6 +37,8 @@
 	Now     func() time.Time // nil for the wall clock
 	ListLag time.Duration    // how late the member list shows a change
 
+	changes atomic.Int64 // of settings, that Settings has given ids to
+
 	mu       sync.Mutex
 	values   map[string]stored
 	leases   map[uint64]lease
