--- a/internal/direct/gateway/forward_test.go
+++ b/internal/direct/gateway/forward_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"io"
 	"net/http"
 	"strconv"
 	"strings"
@@ -181,6 +182,20 @@
 		}
 	})
 
+	It("does not blame the endpoint for a caller that leaves within a long answer", func() {
+		w := start(platformtest.Answer{Status: 200, Body: strings.Repeat("x", 16<<20)})
+		q := w.request(http.MethodGet, "/page/1", "")
+		ctx, leave := context.WithCancel(context.Background())
+		a, err := w.client.Do(q.WithContext(ctx))
+		Expect(err).NotTo(HaveOccurred())
+		_, err = io.ReadFull(a.Body, make([]byte, 1000))
+		Expect(err).NotTo(HaveOccurred())
+		leave()
+		_ = a.Body.Close()
+		Eventually(func() int { return w.gateway.Dump().Open }, "10s").Should(BeZero())
+		Expect(w.gateway.Dump().Endpoints[0].Failures).To(BeZero())
+	})
+
 	It("ends the endpoint's work when the caller leaves", func() {
 		w := start(platformtest.Hang{})
 		q := w.request(http.MethodGet, "/page/1", "")
--- a/internal/direct/gateway/whole.go
+++ b/internal/direct/gateway/whole.go
@@ -1,6 +1,7 @@
 package gateway
 
 import (
+	"bytes"
 	"errors"
 	"io"
 	"net/http"
@@ -53,19 +54,36 @@
 	f.gateway.attempts.firstEvent(f.request, a)
 	f.begun = true
 	writeAnswerHead(f.writer, answer, answer.Length)
-	if _, err := f.writer.Write(beginning); err != nil {
-		answer.Close()
-		f.gateway.attempts.end(a, callerLeft{})
-		return fail{&result.Error{Code: result.Cancelled, Run: result.Ran}}
+	to := &callerWriter{writer: f.writer}
+	_, err := io.Copy(to, io.MultiReader(bytes.NewReader(beginning), answer.Body))
+	if err == nil {
+		answer.Finish()
+		f.gateway.attempts.end(a, e)
+		return done{}
 	}
-	if _, err := io.Copy(f.writer, answer.Body); err != nil {
-		answer.Close()
-		f.gateway.attempts.end(a, noAnswer{err})
+	answer.Close()
+	broken := eventOfError(f.ctx.Err(), err)
+	if to.failed {
+		broken = callerLeft{}
+	}
+	f.gateway.attempts.end(a, broken)
+	if _, endpoints := broken.(noAnswer); endpoints {
 		return fail{&result.Error{Code: result.EndpointFailed, Run: result.Ran, Reason: err.Error()}}
 	}
-	answer.Finish()
-	f.gateway.attempts.end(a, e)
-	return done{}
+	return decideBroken(situation{}, broken)
+}
+
+// callerWriter tells a caller that takes no more from an endpoint that sends no more.
+type callerWriter struct {
+	writer io.Writer
+	failed bool
+}
+
+// Write implements io.Writer.
+func (w *callerWriter) Write(b []byte) (int, error) {
+	n, err := w.writer.Write(b)
+	w.failed = w.failed || err != nil
+	return n, err
 }
 
 // writeAnswerHead passes the head of an answer on. A length of -1 is unknown.
