--- a/internal/command/tree.go
+++ b/internal/command/tree.go
@@ -16,8 +16,10 @@
 )
 
 const (
+	// operatorTimeout bounds a command's call. Chosen, not measured.
 	operatorTimeout = 60 * time.Second
-	maxAnswer       = 64 << 20
+	// maxAnswer bounds an answer, in bytes: a whole tree.
+	maxAnswer = 64 << 20
 )
 
 // Tree are the commands on the settings tree. They talk to any entry.
@@ -53,8 +55,8 @@
 		return reply{}, err
 	}
 	request.Header.Set("Authorization", "Bearer "+o.Key)
-	request.Header.Set("X-Foxcross-Author", o.Author)
-	request.Header.Set("X-Foxcross-Note", o.Note)
+	request.Header.Set(admin.AuthorField, o.Author)
+	request.Header.Set(admin.NoteField, o.Note)
 	if match != "" {
 		request.Header.Set("If-Match", match)
 	}
--- a/internal/relay/admin/tree.go
+++ b/internal/relay/admin/tree.go
@@ -15,12 +15,21 @@
 	"github.com/alexedwards/flow"
 )
 
+// Header fields in which operators say who makes a change, and why.
 const (
-	maxTree        = 64 << 20
+	AuthorField = "X-Foxcross-Author"
+	NoteField   = "X-Foxcross-Note"
+)
+
+const (
+	// maxTree bounds a tree that is sent whole, in bytes. Chosen, not measured: 40,000
+	// teams take some 21 MB in memory (docs/CAPACITY.md).
+	maxTree = 64 << 20
+	// defaultHistory is how many versions are shown if the request names no number.
+	// Chosen, not measured.
 	defaultHistory = 20
-	maxHistory     = 1000
-	authorField    = "X-Foxcross-Author"
-	noteField      = "X-Foxcross-Note"
+	// maxHistory bounds that number. Chosen, not measured.
+	maxHistory = 1000
 )
 
 // Tree serves the settings tree. Its ETag is the version.
@@ -155,8 +164,8 @@
 	root, err := t.Store.Commit(r.Context(), versions.Change{
 		Base:   base,
 		Tree:   tree,
-		Author: r.Header.Get(authorField),
-		Note:   r.Header.Get(noteField),
+		Author: r.Header.Get(AuthorField),
+		Note:   r.Header.Get(NoteField),
 	})
 	if err != nil {
 		writeError(w, err)
--- a/internal/relay/agent/agent.go
+++ b/internal/relay/agent/agent.go
@@ -24,9 +24,12 @@
 )
 
 const (
-	// DefaultHeartbeat is the time between reports to each entry.
+	// DefaultHeartbeat is the time between reports to each entry. Chosen; its bytes are
+	// in docs/CAPACITY.md.
 	DefaultHeartbeat = time.Second
 
+	// outboxSize bounds the control messages that wait for an entry that does not read.
+	// Chosen, not measured.
 	outboxSize = 4096
 )
 
--- a/internal/relay/agent/dump.go
+++ b/internal/relay/agent/dump.go
@@ -8,7 +8,7 @@
 	"foxcross.dev/foxcross/internal/lifecycle"
 )
 
-// recentSize is how many ended attempts are kept for the dump.
+// recentSize is how many ended attempts are kept for the dump. Chosen, not measured.
 const recentSize = 64
 
 // RecentEnd is an attempt that has ended.
--- a/internal/relay/agent/owner.go
+++ b/internal/relay/agent/owner.go
@@ -13,6 +13,7 @@
 	"foxcross.dev/foxcross/internal/workers"
 )
 
+// helloTimeout bounds the time until a connection names its entry. Chosen, not measured.
 const helloTimeout = 5 * time.Second
 
 // owner is a connection from an entry.
--- a/internal/relay/claims/claims.go
+++ b/internal/relay/claims/claims.go
@@ -16,15 +16,29 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Defaults of Options.
+// Defaults of Options. DefaultPartitions, DefaultPeriod and DefaultRetain must be alike
+// at all entries.
 const (
+	// DefaultPartitions is over how many values keys are spread. Chosen, not measured.
 	DefaultPartitions = 4
-	DefaultPeriod     = time.Minute
-	DefaultRetain     = 60
-	MinPace           = 50 * time.Millisecond
-	SwapsPerSecond    = 80   // of all entries together
-	maxWaiting        = 4096 // requests per partition
-	maxBatch          = 1024
+	// DefaultPeriod is the time that one segment of claims covers. Chosen, not measured.
+	DefaultPeriod = time.Minute
+	// DefaultRetain is for how many periods a claim is kept. Chosen, not measured: an
+	// hour.
+	DefaultRetain = 60
+	// MinPace is the shortest time between two swaps of a partition by one entry.
+	// Chosen, not measured.
+	MinPace = 50 * time.Millisecond
+	// SwapsPerSecond bounds the swaps of all entries together. Derived: a part of the
+	// some hundred writes a second that the service takes.
+	SwapsPerSecond = 80
+)
+
+const (
+	// maxWaiting bounds the requests that wait for a partition. Chosen, not measured.
+	maxWaiting = 4096
+	// maxBatch bounds the claims of one swap. Chosen, not measured.
+	maxBatch = 1024
 )
 
 var log = logs.For("claims")
--- a/internal/relay/config/config.go
+++ b/internal/relay/config/config.go
@@ -92,9 +92,12 @@
 	return e.Model
 }
 
-// Defaults of both processes.
 const (
-	DefaultStopGrace   = 2 * time.Second
+	// DefaultStopGrace is the time between not ready and refusing: the balancer notices
+	// meanwhile. Chosen, not measured.
+	DefaultStopGrace = 2 * time.Second
+	// DefaultStopTimeout is how long a clean stop waits for running answers. Chosen, not
+	// measured.
 	DefaultStopTimeout = 10 * time.Minute
 )
 
--- a/internal/relay/endpoint/http.go
+++ b/internal/relay/endpoint/http.go
@@ -18,9 +18,12 @@
 )
 
 const (
+	// dialTimeout bounds a new connection to an endpoint. Chosen, not measured.
 	dialTimeout = 2 * time.Second
-	readBuffer  = 16 << 10
-	maxIdle     = 1024
+	// readBuffer is how much of an answer is read at once, in bytes. Chosen, not measured.
+	readBuffer = 16 << 10
+	// maxIdle bounds the idle connections to one endpoint. Chosen, not measured.
+	maxIdle = 1024
 )
 
 func init() { Drivers.Register("http", newService) }
--- a/internal/relay/entry/attempt.go
+++ b/internal/relay/entry/attempt.go
@@ -10,6 +10,8 @@
 	"foxcross.dev/foxcross/internal/relay/link"
 )
 
+// openTimeout bounds the opening of an attempt's stream. Chosen, not measured: an agent
+// holds the slot for 250 ms.
 const openTimeout = 2 * time.Second
 
 // attemptKey names an attempt at this entry.
--- a/internal/relay/entry/call.go
+++ b/internal/relay/entry/call.go
@@ -12,8 +12,8 @@
 	"foxcross.dev/foxcross/internal/workers"
 )
 
-// maxPending is how many bytes of an answer wait for a slow caller before the
-// agent's stream is no longer read.
+// maxPending is how many bytes of an answer wait for a slow caller before the agent's
+// stream is no longer read. Chosen, not measured.
 const maxPending = 1 << 20
 
 // piece is something to write to the caller: text, data, head or finished.
--- a/internal/relay/entry/dump.go
+++ b/internal/relay/entry/dump.go
@@ -8,7 +8,8 @@
 	"foxcross.dev/foxcross/internal/lifecycle"
 )
 
-// recentSize is how many finished requests are kept for the dump.
+// recentSize is how many finished requests are kept for the dump. Chosen, not
+// measured.
 const recentSize = 128
 
 // RecentResult is a request that has its answer.
--- a/internal/relay/entry/entry.go
+++ b/internal/relay/entry/entry.go
@@ -27,11 +27,14 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// Defaults of Options.
 const (
-	DefaultMostBody  = 8 << 20
-	DefaultListEvery = time.Second
-	outboxSize       = 16384
+	// DefaultMaxBody bounds a request's body, in bytes. Chosen, not measured.
+	DefaultMaxBody = 8 << 20
+	// DefaultListInterval is how often the member list is read. Chosen, not measured.
+	DefaultListInterval = time.Second
+	// outboxSize bounds the control messages that wait for an agent that does not read.
+	// Chosen, not measured.
+	outboxSize = 16384
 )
 
 var log = logs.For("entry")
@@ -45,11 +48,11 @@
 	Settings   *versions.Holder
 	Metrics    tally.Scope
 	Seed       uint64        // of the choice among equals
-	MaxBody    int           // bytes, 0 for DefaultMostBody
+	MaxBody    int           // bytes, 0 for DefaultMaxBody
 	Requests   int           // most requests at once, 0 for the default
 	Agents     int           // most agents connected to, 0 for subset.Default
 	Fanout     int           // agents offered at once, 0 for the default
-	ListEvery  time.Duration // how often the member list is read, 0 for DefaultListEvery
+	ListEvery  time.Duration // how often the member list is read, 0 for DefaultListInterval
 	Claims     Claims        // nil: idempotency keys are refused
 }
 
@@ -83,7 +86,7 @@
 // New returns an entry that does not run yet.
 func New(o Options) *Entry {
 	if o.MaxBody <= 0 {
-		o.MaxBody = DefaultMostBody
+		o.MaxBody = DefaultMaxBody
 	}
 	if o.Agents <= 0 {
 		o.Agents = subset.Default
@@ -92,7 +95,7 @@
 		o.Requests = binding.DefaultRequests
 	}
 	if o.ListEvery <= 0 {
-		o.ListEvery = DefaultListEvery
+		o.ListEvery = DefaultListInterval
 	}
 	e := &Entry{
 		options:  o,
--- a/internal/relay/entry/handler.go
+++ b/internal/relay/entry/handler.go
@@ -20,10 +20,11 @@
 const (
 	classField = "X-Foxcross-Class"
 	keyField   = "Idempotency-Key"
-	maxKey     = 256
+	maxKey     = 256 // bytes of an idempotency key; chosen, not measured
 )
 
-// MaxHeader is the largest header in bytes that callers may send.
+// MaxHeader is the largest header in bytes that callers may send. Chosen, not
+// measured.
 const MaxHeader = 64 << 10
 
 // Handler returns the routes for callers and the balancer.
--- a/internal/relay/entry/peers.go
+++ b/internal/relay/entry/peers.go
@@ -15,11 +15,17 @@
 )
 
 const (
+	// dialTimeout bounds a new connection to an agent. Chosen, not measured.
 	dialTimeout = 3 * time.Second
+	// firstRedial and maxRedial bound the time between two tries of an agent. Chosen,
+	// not measured: an agent that restarts is back within a second and a half.
 	firstRedial = 50 * time.Millisecond
 	maxRedial   = time.Second
+	// listTimeout bounds a read of the member list. Chosen, not measured.
 	listTimeout = 2 * time.Second
-	keepAbsent  = time.Minute // an agent missing from the list is kept so long
+	// keepAbsent is how long an agent that is missing from the list is kept without a
+	// connection. Chosen, not measured: the list may be wrong for minutes.
+	keepAbsent = time.Minute
 )
 
 // peer is an agent that the entry keeps a connection to.
@@ -98,7 +104,8 @@
 	}
 }
 
-// maxWatchers is how many entries of a data centre watch the settings' root.
+// maxWatchers is how many entries of a data centre watch the settings' root. Chosen,
+// not measured: the service counts each watch.
 const maxWatchers = 3
 
 // isWatcher tells whether this entry is among the watchers of its data centre.
--- a/internal/relay/keys/keys.go
+++ b/internal/relay/keys/keys.go
@@ -22,7 +22,11 @@
 const ServerName = "foxcross.internal"
 
 const (
-	clockSkew  = time.Hour
+	// clockSkew is how far before now a certificate starts to be valid. Chosen, not
+	// measured.
+	clockSkew = time.Hour
+	// serialBits is the length of a random serial number, within the 160 bits of RFC
+	// 5280, 4.1.2.2.
 	serialBits = 120
 )
 
--- a/internal/relay/kv/httpkv/client.go
+++ b/internal/relay/kv/httpkv/client.go
@@ -32,9 +32,13 @@
 )
 
 const (
+	// callTimeout bounds a call that does not wait. Chosen, not measured.
 	callTimeout = 5 * time.Second
+	// dialTimeout bounds a new connection. Chosen, not measured.
 	dialTimeout = 2 * time.Second
-	maxAnswer   = 16 << 20
+	// maxAnswer bounds an answer, in bytes: a value is a megabyte at the most, a list of
+	// keys may be longer. Chosen, not measured.
+	maxAnswer = 16 << 20
 )
 
 func init() { kv.Drivers.Register("http", New) }
--- a/internal/relay/link/codec.go
+++ b/internal/relay/link/codec.go
@@ -11,7 +11,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// MaxFrame is the largest frame in bytes: a body and its wrapping.
+// MaxFrame is the largest frame in bytes: the longest body of a caller and room for
+// what goes with it. Chosen, not measured.
 const MaxFrame = 12 << 20
 
 // errFrameTooLarge ends a stream whose peer breaks the bound.
--- a/internal/relay/link/quic.go
+++ b/internal/relay/link/quic.go
@@ -18,10 +18,16 @@
 const IdleTimeout = 5 * time.Second
 
 const (
-	protocol        = "foxcross/1"
-	keepAlive       = 2 * time.Second
-	handshake       = 3 * time.Second
-	maxStreams      = 1 << 14
+	protocol = "foxcross/1" // ALPN
+	// keepAlive is the time between two probes of a connection without traffic. Chosen,
+	// not measured.
+	keepAlive = 2 * time.Second
+	// handshake bounds the set-up of a connection. Chosen, not measured.
+	handshake = 3 * time.Second
+	// maxStreams bounds the attempts that run at one agent for one entry. Chosen, not
+	// measured.
+	maxStreams = 1 << 14
+	// Error codes of the protocol.
 	closeNormal     = quic.ApplicationErrorCode(0)
 	streamCancelled = quic.StreamErrorCode(1)
 )
--- a/internal/relay/versions/holder.go
+++ b/internal/relay/versions/holder.go
@@ -14,6 +14,7 @@
 	"foxcross.dev/foxcross/internal/logs"
 )
 
+// fetchTimeout bounds one fetch of a version from another process. Chosen, not measured.
 const fetchTimeout = 5 * time.Second
 
 var log = logs.For("settings")
--- a/internal/relay/versions/store.go
+++ b/internal/relay/versions/store.go
@@ -24,8 +24,12 @@
 )
 
 const (
+	// maxRebases bounds how often a change is made anew after another operator's.
+	// Chosen, not measured.
 	maxRebases = 8
-	maxReads   = 6 // of a root, to learn the outcome of a swap
+	// maxReads bounds the reads of a root to learn the outcome of a swap whose answer
+	// was lost. Chosen, not measured.
+	maxReads = 6
 )
 
 // Store is the settings in the platform's key-value service.
@@ -38,7 +42,8 @@
 }
 
 // readEvery is how often a process that does not watch reads the root. Versions
-// reach it sooner through its peers; this covers the case that none has them.
+// reach it sooner through other processes; this covers the case that none has them.
+// Derived: below the 11 s in which a change has to be in force.
 const readEvery = 9 * time.Second
 
 // Load reads the newest version and takes it. It returns the revision of the
