--- a/coord/binding/action.go
+++ b/coord/binding/action.go
@@ -16,21 +16,21 @@
 
 // Send sends a control message to an agent.
 type Send struct {
-	Peer    string
+	Agent   string
 	Message message.Message
 }
 
 // Start opens a stream to the agent and sends the body of the request. It is
 // the only action after which the request may have been run.
 type Start struct {
-	Peer    string
+	Agent   string
 	Request message.RequestID
 	Attempt message.Attempt
 }
 
 // Cancel stops an attempt that was started.
 type Cancel struct {
-	Peer    string
+	Agent   string
 	Request message.RequestID
 	Attempt message.Attempt
 }
--- a/coord/binding/peer.go
+++ b/coord/binding/agent.go
@@ -9,8 +9,8 @@
 	"foxcross.dev/coord/rendezvous"
 )
 
-// peer is an agent with a connection.
-type peer struct {
+// agent is an agent with a connection.
+type agent struct {
 	name    string
 	hash    uint64
 	leaving bool
@@ -23,39 +23,39 @@
 
 // route is what is known of one target at one agent.
 type route struct {
-	peer     *peer
+	agent    *agent
 	load     message.Load
 	reported int64 // time of the report in ns
 	sent     int   // offers sent since the last report
 }
 
 // mayOffer tells whether the agent may get an offer now.
-func (p *peer) mayOffer(now time.Time) bool {
+func (p *agent) mayOffer(now time.Time) bool {
 	return !p.leaving && p.circuit.Allows(now, p.started)
 }
 
-// PeerUp makes an agent known whose connection has opened.
-func (c *Core) PeerUp(now time.Time, name string, trip time.Duration) []Action {
+// AgentUp makes an agent known whose connection has opened.
+func (c *Core) AgentUp(now time.Time, name string, trip time.Duration) []Action {
 	c.init()
-	if c.peers[name] != nil {
-		c.dropPeer(now, name)
+	if c.agents[name] != nil {
+		c.dropAgent(now, name)
 	}
-	c.peers[name] = &peer{name: name, hash: rendezvous.Hash(name), trip: trip, routes: map[string]*route{}}
+	c.agents[name] = &agent{name: name, hash: rendezvous.Hash(name), trip: trip, routes: map[string]*route{}}
 	return c.take()
 }
 
-// PeerDown handles the loss of an agent's connection: its offers were not run,
+// AgentDown handles the loss of an agent's connection: its offers were not run,
 // its starts may have been.
-func (c *Core) PeerDown(now time.Time, name string) []Action {
-	if c.peers[name] != nil {
-		c.dropPeer(now, name)
+func (c *Core) AgentDown(now time.Time, name string) []Action {
+	if c.agents[name] != nil {
+		c.dropAgent(now, name)
 	}
 	return c.take()
 }
 
-func (c *Core) dropPeer(now time.Time, name string) {
-	p := c.peers[name]
-	delete(c.peers, name)
+func (c *Core) dropAgent(now time.Time, name string) {
+	p := c.agents[name]
+	delete(c.agents, name)
 	for target, r := range p.routes {
 		c.unroute(target, r)
 	}
@@ -77,9 +77,9 @@
 	}
 }
 
-// PeerLeaving notes that an agent takes no new work, whoever says so.
-func (c *Core) PeerLeaving(name string) {
-	if p := c.peers[name]; p != nil {
+// AgentLeaving notes that an agent takes no new work, whoever says so.
+func (c *Core) AgentLeaving(name string) {
+	if p := c.agents[name]; p != nil {
 		p.leaving = true
 	}
 }
@@ -96,7 +96,7 @@
 
 // Heartbeat takes an agent's report.
 func (c *Core) Heartbeat(now time.Time, name string, h message.Heartbeat) []Action {
-	p := c.peers[name]
+	p := c.agents[name]
 	if p == nil {
 		return nil
 	}
@@ -104,7 +104,7 @@
 	for _, l := range h.Loads {
 		r := p.routes[l.Target]
 		if r == nil {
-			r = &route{peer: p}
+			r = &route{agent: p}
 			p.routes[l.Target] = r
 			c.routes[l.Target] = append(c.routes[l.Target], r)
 			c.wakeWaiting(now, l.Target)
--- a/coord/binding/binding_test.go
+++ b/coord/binding/binding_test.go
@@ -23,7 +23,7 @@
 func coreWithFree(free int, names ...string) *binding.Core {
 	c := &binding.Core{Rand: rand.New(rand.NewPCG(1, 1))}
 	for _, n := range names {
-		c.PeerUp(now, n, time.Millisecond)
+		c.AgentUp(now, n, time.Millisecond)
 		c.Heartbeat(now, n, message.Heartbeat{Loads: []message.Load{{Target: target, Slots: 4, Free: free, Step: time.Millisecond}}})
 	}
 	return c
@@ -57,7 +57,7 @@
 	id, actions := c.Accept(now, q)
 	sent := of[binding.Send](actions)
 	Expect(sent).NotTo(BeEmpty())
-	starts := of[binding.Start](c.Ready(now, sent[0].Peer, message.Ready{Request: id, Attempt: 1}))
+	starts := of[binding.Start](c.Ready(now, sent[0].Agent, message.Ready{Request: id, Attempt: 1}))
 	Expect(starts).To(HaveLen(1))
 	return id, starts[0]
 }
@@ -72,7 +72,7 @@
 		Expect(of[binding.Send](actions)).To(HaveLen(3))
 		starts := 0
 		for _, s := range of[binding.Send](actions) {
-			starts += len(of[binding.Start](c.Ready(now, s.Peer, message.Ready{Request: id, Attempt: 1})))
+			starts += len(of[binding.Start](c.Ready(now, s.Agent, message.Ready{Request: id, Attempt: 1})))
 		}
 		Expect(starts).To(Equal(1))
 	})
@@ -90,7 +90,7 @@
 	It("says unknown when the agent is lost after a start that may not be repeated", func() {
 		c := newCore("a", "b")
 		_, s := started(c, request(false))
-		actions := c.PeerDown(now, s.Peer)
+		actions := c.AgentDown(now, s.Agent)
 		Expect(of[binding.Start](actions)).To(BeEmpty())
 		finish := of[binding.Finish](actions)
 		Expect(finish).To(HaveLen(1))
@@ -101,10 +101,10 @@
 	It("offers again what an agent says it did not run, even if it may not be repeated", func() {
 		c := newCore("a", "b")
 		id, s := started(c, request(false))
-		actions := c.End(now, s.Peer, message.End{Request: id, Attempt: 1, Code: result.SlotGone, Run: result.NotRun})
+		actions := c.End(now, s.Agent, message.End{Request: id, Attempt: 1, Code: result.SlotGone, Run: result.NotRun})
 		sent := of[binding.Send](actions)
 		Expect(sent).To(HaveLen(1))
-		Expect(sent[0].Peer).NotTo(Equal(s.Peer))
+		Expect(sent[0].Agent).NotTo(Equal(s.Agent))
 		Expect(sent[0].Message).To(BeAssignableToTypeOf(message.Offer{}))
 	})
 
@@ -112,21 +112,21 @@
 		c := newCore("a", "b")
 		id, s := started(c, request(true))
 		Expect(c.Progress(now, id, 1, false)).To(BeTrue())
-		sent := of[binding.Send](c.PeerDown(now, s.Peer))
+		sent := of[binding.Send](c.AgentDown(now, s.Agent))
 		Expect(sent).To(HaveLen(1))
 		Expect(c.Progress(now, id, 1, false)).To(BeFalse())
-		Expect(of[binding.Start](c.Ready(now, sent[0].Peer, message.Ready{Request: id, Attempt: 2}))).To(HaveLen(1))
+		Expect(of[binding.Start](c.Ready(now, sent[0].Agent, message.Ready{Request: id, Attempt: 2}))).To(HaveLen(1))
 		Expect(c.Progress(now, id, 1, false)).To(BeFalse())
 		Expect(c.Progress(now, id, 2, false)).To(BeTrue())
-		Expect(of[binding.Finish](c.End(now, s.Peer, message.End{Request: id, Attempt: 1}))).To(BeEmpty())
+		Expect(of[binding.Finish](c.End(now, s.Agent, message.End{Request: id, Attempt: 1}))).To(BeEmpty())
 	})
 
 	It("does not say not run when only the last attempt was not run", func() {
 		c := newCore("a", "b")
 		id, s := started(c, request(true))
-		sent := of[binding.Send](c.PeerDown(now, s.Peer))
-		c.Ready(now, sent[0].Peer, message.Ready{Request: id, Attempt: 2})
-		c.End(now, sent[0].Peer, message.End{Request: id, Attempt: 2, Code: result.SlotGone, Run: result.NotRun})
+		sent := of[binding.Send](c.AgentDown(now, s.Agent))
+		c.Ready(now, sent[0].Agent, message.Ready{Request: id, Attempt: 2})
+		c.End(now, sent[0].Agent, message.End{Request: id, Attempt: 2, Code: result.SlotGone, Run: result.NotRun})
 		var finish []binding.Finish
 		for at := now; len(finish) == 0; at = at.Add(time.Second) {
 			finish = of[binding.Finish](c.Tick(at))
@@ -139,7 +139,7 @@
 		c := newCore("a", "b")
 		id, s := started(c, request(true))
 		Expect(c.Progress(now, id, 1, true)).To(BeTrue())
-		finish := of[binding.Finish](c.PeerDown(now, s.Peer))
+		finish := of[binding.Finish](c.AgentDown(now, s.Agent))
 		Expect(finish).To(HaveLen(1))
 		Expect(finish[0].Code).To(Equal(result.Unresumable))
 		Expect(open(c)).To(BeZero())
@@ -158,11 +158,11 @@
 				break
 			}
 			for _, s := range sent {
-				asked[s.Peer] = true
+				asked[s.Agent] = true
 			}
 			actions = nil
 			for _, s := range sent {
-				actions = append(actions, c.Declined(now, s.Peer, message.Declined{Request: id, Attempt: 1, Code: result.AgentFull})...)
+				actions = append(actions, c.Declined(now, s.Agent, message.Declined{Request: id, Attempt: 1, Code: result.AgentFull})...)
 			}
 		}
 		Expect(asked).To(HaveLen(5))
@@ -197,8 +197,8 @@
 					continue
 				}
 				Expect(o.Attempt).NotTo(BeZero())
-				c.Ready(at, s.Peer, message.Ready{Request: id, Attempt: o.Attempt})
-				actions = c.End(at, s.Peer, message.End{Request: id, Attempt: o.Attempt, Code: result.SlotGone, Run: result.NotRun})
+				c.Ready(at, s.Agent, message.Ready{Request: id, Attempt: o.Attempt})
+				actions = c.End(at, s.Agent, message.End{Request: id, Attempt: o.Attempt, Code: result.SlotGone, Run: result.NotRun})
 				break
 			}
 			if len(of[binding.Send](actions)) == 0 {
@@ -221,11 +221,11 @@
 		} {
 			end.Request = id
 			end.Attempt = attempt
-			actions := c.End(now, s.Peer, end)
+			actions := c.End(now, s.Agent, end)
 			Expect(of[binding.Finish](actions)).To(BeEmpty())
 			attempt++
-			s.Peer = of[binding.Send](actions)[0].Peer
-			Expect(of[binding.Start](c.Ready(now, s.Peer, message.Ready{Request: id, Attempt: attempt}))).To(HaveLen(1))
+			s.Agent = of[binding.Send](actions)[0].Agent
+			Expect(of[binding.Start](c.Ready(now, s.Agent, message.Ready{Request: id, Attempt: attempt}))).To(HaveLen(1))
 		}
 	})
 
@@ -237,32 +237,32 @@
 			q.RetryPermill = 100
 			id, s := started(c, q)
 			end := message.End{Request: id, Attempt: 1, Code: result.EndpointFailed, Run: result.Ran}
-			actions := c.End(now, s.Peer, end)
+			actions := c.End(now, s.Agent, end)
 			if len(of[binding.Finish](actions)) == 0 {
 				retries++
 				c.Hangup(id)
 			}
-			c.PeerDown(now, s.Peer)
-			c.PeerUp(now, s.Peer, time.Millisecond)
-			c.Heartbeat(now, s.Peer, message.Heartbeat{Loads: []message.Load{{Target: target, Slots: 4, Free: 4}}})
+			c.AgentDown(now, s.Agent)
+			c.AgentUp(now, s.Agent, time.Millisecond)
+			c.Heartbeat(now, s.Agent, message.Heartbeat{Loads: []message.Load{{Target: target, Slots: 4, Free: 4}}})
 		}
 		Expect(retries).To(BeNumerically("<=", 50+500/10))
 	})
 
 	It("sends nothing new to an agent that leaves", func() {
 		c := newCore("a", "b")
-		c.PeerLeaving("a")
+		c.AgentLeaving("a")
 		for range 20 {
 			_, actions := c.Accept(now, request(true))
 			for _, s := range of[binding.Send](actions) {
-				Expect(s.Peer).To(Equal("b"))
+				Expect(s.Agent).To(Equal("b"))
 			}
 		}
 	})
 
 	It("refuses at once when the only agent leaves", func() {
 		c := newCore("a")
-		c.PeerLeaving("a")
+		c.AgentLeaving("a")
 		_, actions := c.Accept(now, request(true))
 		Expect(of[binding.Finish](actions)[0].Code).To(Equal(result.NoEndpoint))
 	})
@@ -270,7 +270,7 @@
 	It("withdraws and cancels when the caller hangs up", func() {
 		c := newCore("a", "b")
 		id, s := started(c, request(true))
-		Expect(of[binding.Cancel](c.Hangup(id))).To(ConsistOf(binding.Cancel{Peer: s.Peer, Request: id, Attempt: 1}))
+		Expect(of[binding.Cancel](c.Hangup(id))).To(ConsistOf(binding.Cancel{Agent: s.Agent, Request: id, Attempt: 1}))
 		Expect(open(c)).To(BeZero())
 	})
 })
--- a/coord/binding/choose.go
+++ b/coord/binding/choose.go
@@ -40,7 +40,7 @@
 	clock := now.UnixNano()
 	best := c.scratch[:0]
 	for _, o := range c.routes[r.Target] {
-		if len(r.offers) > 0 && r.tried(o.peer.name) || !o.peer.mayOffer(now) {
+		if len(r.offers) > 0 && r.tried(o.agent.name) || !o.agent.mayOffer(now) {
 			continue
 		}
 		s := c.score(clock, r, o, o == home)
@@ -61,13 +61,13 @@
 func (c *Core) markSeen(r *request) (clear func()) {
 	seen := c.seen.Longest(r.Prefix)
 	for name, blocks := range seen {
-		if p := c.peers[name]; p != nil {
+		if p := c.agents[name]; p != nil {
 			p.seen = blocks
 		}
 	}
 	return func() {
 		for name := range seen {
-			if p := c.peers[name]; p != nil {
+			if p := c.agents[name]; p != nil {
 				p.seen = 0
 			}
 		}
@@ -96,7 +96,7 @@
 	var best *route
 	var most uint64
 	for _, o := range c.routes[r.Target] {
-		h := rendezvous.Rank(r.Prefix[0], o.peer.hash)
+		h := rendezvous.Rank(r.Prefix[0], o.agent.hash)
 		if best == nil || h > most {
 			best = o
 			most = h
@@ -112,13 +112,13 @@
 		wait += time.Duration(staleShare * float64(age-freshReport))
 	}
 	first := o.load.FirstToken
-	if o.peer.seen > 0 && r.PromptTokens > 0 {
-		saving := cachedSaving * min(1, float64(o.peer.seen*affinity.BlockTokens)/float64(r.PromptTokens))
+	if o.agent.seen > 0 && r.PromptTokens > 0 {
+		saving := cachedSaving * min(1, float64(o.agent.seen*affinity.BlockTokens)/float64(r.PromptTokens))
 		first -= time.Duration(saving * float64(first))
 	} else if home {
 		first -= time.Duration(hashSaving * float64(first))
 	}
-	return wait + first + o.slowness(r.Terms) + o.peer.trip/2 + c.jitter(o.load.Step/4)
+	return wait + first + o.slowness(r.Terms) + o.agent.trip/2 + c.jitter(o.load.Step/4)
 }
 
 // jitter is a random duration below most, so that entries with the same view
@@ -149,7 +149,7 @@
 
 // answerTime is how long an agent with room is waited for before others are
 // asked.
-func (o *route) answerTime() time.Duration { return 2*o.peer.trip + answerSlack }
+func (o *route) answerTime() time.Duration { return 2*o.agent.trip + answerSlack }
 
 // slowness is a penalty for endpoints that miss the target between tokens.
 func (o *route) slowness(t message.Terms) time.Duration {
--- a/coord/binding/core.go
+++ b/coord/binding/core.go
@@ -50,7 +50,7 @@
 	Fanout   int // agents offered at once, 0 for DefaultFanout
 	Requests int // most requests held, 0 for DefaultRequests
 
-	peers    map[string]*peer
+	agents   map[string]*agent
 	routes   map[string][]*route
 	requests map[message.RequestID]*request
 	wakes    heaps.Heap[*request] // by the time they want to be looked at
@@ -63,10 +63,10 @@
 }
 
 func (c *Core) init() {
-	if c.peers != nil {
+	if c.agents != nil {
 		return
 	}
-	c.peers = map[string]*peer{}
+	c.agents = map[string]*agent{}
 	c.routes = map[string][]*route{}
 	c.requests = map[message.RequestID]*request{}
 	c.budgets = map[string]float64{}
@@ -129,7 +129,7 @@
 // served tells whether an agent that is not leaving serves the target.
 func (c *Core) served(target string) bool {
 	for _, o := range c.routes[target] {
-		if !o.peer.leaving {
+		if !o.agent.leaving {
 			return true
 		}
 	}
@@ -158,7 +158,7 @@
 // was asked, ejected ones too.
 func (c *Core) allTried(now time.Time, r *request) bool {
 	for _, o := range c.routes[r.Target] {
-		if !o.peer.leaving && !r.tried(o.peer.name) && o.peer.mayOffer(now) {
+		if !o.agent.leaving && !r.tried(o.agent.name) && o.agent.mayOffer(now) {
 			return false
 		}
 	}
@@ -188,7 +188,7 @@
 		if name == except {
 			continue
 		}
-		c.emit(Send{Peer: name, Message: message.Withdraw{Request: r.id, Attempt: r.attempt}})
+		c.emit(Send{Agent: name, Message: message.Withdraw{Request: r.id, Attempt: r.attempt}})
 	}
 }
 
--- a/coord/binding/dump.go
+++ b/coord/binding/dump.go
@@ -11,13 +11,13 @@
 // Dump is the state of a Core at one moment.
 type Dump struct {
 	Draining bool               `json:"draining"`
-	Peers    []PeerDump         `json:"peers"`
+	Agents   []AgentDump        `json:"peers"`
 	Requests []RequestDump      `json:"requests"`
 	Budgets  map[string]float64 `json:"retry_budgets"`
 }
 
-// PeerDump is one agent.
-type PeerDump struct {
+// AgentDump is one agent.
+type AgentDump struct {
 	Name     string      `json:"name"`
 	Leaving  bool        `json:"leaving"`
 	Health   string      `json:"health"`
@@ -56,8 +56,8 @@
 // Dump returns the state.
 func (c *Core) Dump(now time.Time) Dump {
 	d := Dump{Draining: c.draining, Budgets: maps.Clone(c.budgets)}
-	for _, n := range slices.Sorted(maps.Keys(c.peers)) {
-		d.Peers = append(d.Peers, c.peers[n].dump(now))
+	for _, n := range slices.Sorted(maps.Keys(c.agents)) {
+		d.Agents = append(d.Agents, c.agents[n].dump(now))
 	}
 	for _, r := range c.sorted() {
 		if len(d.Requests) == maxDumped {
@@ -68,8 +68,8 @@
 	return d
 }
 
-func (p *peer) dump(now time.Time) PeerDump {
-	d := PeerDump{Name: p.name, Leaving: p.leaving, Health: string(p.circuit.State()), Started: p.started}
+func (p *agent) dump(now time.Time) AgentDump {
+	d := AgentDump{Name: p.name, Leaving: p.leaving, Health: string(p.circuit.State()), Started: p.started}
 	for _, t := range slices.Sorted(maps.Keys(p.routes)) {
 		r := p.routes[t]
 		l := RouteDump{Target: t, Slots: r.load.Slots, Free: r.load.Free, Sent: r.sent, Queued: r.load.Queued}
--- a/coord/binding/events.go
+++ b/coord/binding/events.go
@@ -19,7 +19,7 @@
 func (c *Core) Ready(now time.Time, name string, m message.Ready) []Action {
 	r := c.requests[m.Request]
 	if r == nil || r.attempt != m.Attempt || r.offers[name] != waiting || !r.fire(bind) {
-		c.emit(Send{Peer: name, Message: message.Withdraw{Request: m.Request, Attempt: m.Attempt}})
+		c.emit(Send{Agent: name, Message: message.Withdraw{Request: m.Request, Attempt: m.Attempt}})
 		return c.take()
 	}
 	c.withdraw(r, name)
@@ -27,19 +27,19 @@
 	r.ranBefore = r.mayHaveRun
 	r.mayHaveRun = true
 	r.lastToken = now
-	if p := c.peers[name]; p != nil {
+	if p := c.agents[name]; p != nil {
 		p.started++
 	}
 	c.seen.Put(r.Prefix, name)
 	c.rewake(r)
-	c.emit(Start{Peer: name, Request: r.id, Attempt: r.attempt})
+	c.emit(Start{Agent: name, Request: r.id, Attempt: r.attempt})
 	return c.take()
 }
 
 // Declined notes that an agent won't run an offer.
 func (c *Core) Declined(now time.Time, name string, m message.Declined) []Action {
 	if m.Code == result.AgentLeaving {
-		c.PeerLeaving(name)
+		c.AgentLeaving(name)
 	}
 	r := c.requests[m.Request]
 	if r == nil || r.attempt != m.Attempt || r.offers[name] != waiting {
@@ -72,7 +72,7 @@
 	if r == nil || r.state != started || r.attempt != m.Attempt || r.startedAt != name {
 		return c.take()
 	}
-	p := c.peers[name]
+	p := c.agents[name]
 	switch {
 	case m.Code == result.OK:
 		if p != nil {
@@ -101,7 +101,7 @@
 	run := r.run()
 	if r.state == started {
 		run = result.Ran
-		c.emit(Cancel{Peer: r.startedAt, Request: r.id, Attempt: r.attempt})
+		c.emit(Cancel{Agent: r.startedAt, Request: r.id, Attempt: r.attempt})
 	}
 	c.withdraw(r, "")
 	c.close(r, Finish{Request: r.id, Code: result.Cancelled, Run: run})
@@ -129,8 +129,8 @@
 		c.rewake(r)
 		return
 	}
-	c.emit(Cancel{Peer: r.startedAt, Request: r.id, Attempt: r.attempt})
-	c.blame(now, c.peers[r.startedAt])
+	c.emit(Cancel{Agent: r.startedAt, Request: r.id, Attempt: r.attempt})
+	c.blame(now, c.agents[r.startedAt])
 	m := message.End{Request: r.id, Attempt: r.attempt, Code: result.Stalled, Run: result.Unknown}
 	c.retry(now, r, m, true)
 }
--- a/coord/binding/example_test.go
+++ b/coord/binding/example_test.go
@@ -14,7 +14,7 @@
 func ExampleCore() {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	c := binding.Core{Rand: rand.New(rand.NewPCG(1, 2))}
-	c.PeerUp(now, "hall", 0)
+	c.AgentUp(now, "hall", 0)
 	c.Heartbeat(now, "hall", message.Heartbeat{Loads: []message.Load{{Target: "glaze-8b", Slots: 1, Free: 1}}})
 	id, actions := c.Accept(now, binding.Request{Target: "glaze-8b", Terms: message.Terms{FirstToken: time.Second}, GiveUp: time.Minute})
 	for _, a := range actions {
--- a/coord/binding/offer.go
+++ b/coord/binding/offer.go
@@ -33,13 +33,13 @@
 }
 
 func (c *Core) offer(now time.Time, r *request, o *route) {
-	r.offers[o.peer.name] = waiting
+	r.offers[o.agent.name] = waiting
 	o.sent++
 	terms := r.Terms
 	if r.preempted >= maxPreempted {
 		terms.Preemptible = false
 	}
-	c.emit(Send{Peer: o.peer.name, Message: message.Offer{
+	c.emit(Send{Agent: o.agent.name, Message: message.Offer{
 		Request:      r.id,
 		Attempt:      r.attempt,
 		Target:       r.Target,
--- a/coord/binding/request.go
+++ b/coord/binding/request.go
@@ -102,8 +102,8 @@
 	return machine.FireCtx(ctx, s) == nil
 }
 
-func (r *request) tried(peer string) bool {
-	_, ok := r.offers[peer]
+func (r *request) tried(agent string) bool {
+	_, ok := r.offers[agent]
 	return ok
 }
 
--- a/coord/binding/retry.go
+++ b/coord/binding/retry.go
@@ -10,17 +10,17 @@
 )
 
 // blame counts a failure against an agent, within the bound on ejected ones.
-func (c *Core) blame(now time.Time, p *peer) {
+func (c *Core) blame(now time.Time, p *agent) {
 	if p == nil {
 		return
 	}
 	ejected := 0
-	for _, o := range c.peers {
+	for _, o := range c.agents {
 		if o.circuit.State() == health.Ejected {
 			ejected++
 		}
 	}
-	p.circuit.Failed(now, health.MayEject(ejected, len(c.peers)))
+	p.circuit.Failed(now, health.MayEject(ejected, len(c.agents)))
 }
 
 // lost handles a start whose outcome can't be learned any more.
@@ -61,7 +61,7 @@
 	r.fire(unbind)
 	r.attempt++
 	clear(r.offers)
-	if c.peers[last] != nil {
+	if c.agents[last] != nil {
 		r.offers[last] = failed
 	}
 	c.widen(now, r)
@@ -72,7 +72,7 @@
 func (c *Core) detach(r *request) string {
 	last := r.startedAt
 	r.startedAt = ""
-	if p := c.peers[last]; p != nil {
+	if p := c.agents[last]; p != nil {
 		p.started--
 	}
 	return last
--- a/internal/relay/entry/attempt.go
+++ b/internal/relay/entry/attempt.go
@@ -24,7 +24,7 @@
 type attempt struct {
 	entry     *Entry
 	key       attemptKey
-	peer      string
+	agent     string
 	session   link.Session // as it was when the core decided
 	call      *call
 	start     message.Start
@@ -35,16 +35,16 @@
 func (e *Entry) startAttempt(x binding.Start) {
 	key := attemptKey{x.Request, x.Attempt}
 	c := e.calls[x.Request]
-	p := e.peers[x.Peer]
+	p := e.agents[x.Agent]
 	if c == nil || p == nil || p.session == nil {
-		go e.ended(x.Peer, notStarted(key, "the connection is gone"))
+		go e.ended(x.Agent, notStarted(key, "the connection is gone"))
 		return
 	}
-	a := &attempt{entry: e, key: key, peer: p.name, session: p.session, call: c, start: c.startFor(x.Attempt), cancelled: make(chan struct{})}
+	a := &attempt{entry: e, key: key, agent: p.name, session: p.session, call: c, start: c.startFor(x.Attempt), cancelled: make(chan struct{})}
 	e.attempts[key] = a
 	if err := e.pool.Do(a.run); err != nil {
 		delete(e.attempts, key)
-		go e.ended(x.Peer, notStarted(key, err.Error()))
+		go e.ended(x.Agent, notStarted(key, err.Error()))
 	}
 }
 
@@ -62,11 +62,11 @@
 }
 
 // ended reports the end of an attempt to the core.
-func (e *Entry) ended(peer string, m message.End) {
+func (e *Entry) ended(agent string, m message.End) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	delete(e.attempts, attemptKey{m.Request, m.Attempt})
-	e.perform(e.core.End(time.Now(), peer, m))
+	e.perform(e.core.End(time.Now(), agent, m))
 	e.wake()
 }
 
@@ -76,7 +76,7 @@
 	st, err := a.session.Open(ctx)
 	cancel()
 	if err != nil {
-		a.entry.ended(a.peer, notStarted(a.key, err.Error()))
+		a.entry.ended(a.agent, notStarted(a.key, err.Error()))
 		return
 	}
 	finished := make(chan struct{})
@@ -84,12 +84,12 @@
 	go a.forwardCancel(st, finished)
 	if err := st.Send(a.start); err != nil {
 		st.Reset()
-		a.entry.ended(a.peer, a.lost(err))
+		a.entry.ended(a.agent, a.lost(err))
 		return
 	}
 	end := a.read(st)
-	_ = st.CloseSend() // the peer may be gone
-	a.entry.ended(a.peer, end)
+	_ = st.CloseSend() // the agent may be gone
+	a.entry.ended(a.agent, end)
 }
 
 // forwardCancel sends a cancel if the core asks for it.
--- a/internal/relay/entry/entry.go
+++ b/internal/relay/entry/entry.go
@@ -74,7 +74,7 @@
 	core     binding.Core
 	calls    map[message.RequestID]*call
 	attempts map[attemptKey]*attempt
-	peers    map[string]*peer // by name, dialled or connected
+	agents   map[string]*agent // by name, dialled or connected
 	teams    limit.Teams
 	entries  int  // live entries by the member list
 	watches  bool // among the watchers of its data centre
@@ -103,7 +103,7 @@
 		metrics:  o.Metrics,
 		calls:    map[message.RequestID]*call{},
 		attempts: map[attemptKey]*attempt{},
-		peers:    map[string]*peer{},
+		agents:   map[string]*agent{},
 		entries:  1,
 		recent:   recent.Of[RecentResult](recentSize),
 		watches:  true,
@@ -242,7 +242,7 @@
 	for _, x := range actions {
 		switch x := x.(type) {
 		case binding.Send:
-			if p := e.peers[x.Peer]; p != nil {
+			if p := e.agents[x.Agent]; p != nil {
 				p.send(x.Message)
 			}
 		case binding.Start:
--- a/internal/testing/bench/decision_test.go
+++ b/internal/testing/bench/decision_test.go
@@ -29,7 +29,7 @@
 	c := &binding.Core{Rand: rand.New(rand.NewPCG(1, 1)), Requests: 1 << 20}
 	for n := range agents {
 		name := fmt.Sprint("agent-", n)
-		c.PeerUp(now, name, time.Millisecond)
+		c.AgentUp(now, name, time.Millisecond)
 		l := message.Load{Target: target, Slots: 64, Free: 64, Step: 30 * time.Millisecond, FirstToken: 100 * time.Millisecond}
 		c.Heartbeat(now, name, message.Heartbeat{Loads: []message.Load{l}})
 	}
@@ -47,7 +47,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				id, actions := c.Accept(now, q)
-				peer := actions[0].(binding.Send).Peer
+				peer := actions[0].(binding.Send).Agent
 				c.Ready(now, peer, message.Ready{Request: id, Attempt: 1})
 				c.End(now, peer, message.End{Request: id, Attempt: 1, Code: result.OK, Run: result.Ran})
 			}
--- a/internal/testing/deployment/deployment.go
+++ b/internal/testing/deployment/deployment.go
@@ -305,7 +305,7 @@
 // reporting returns how many agents have told the entry their loads.
 func (e *Entry) reporting() int {
 	n := 0
-	for _, p := range e.Dump().Binding.Peers {
+	for _, p := range e.Dump().Binding.Agents {
 		if len(p.Loads) > 0 {
 			n++
 		}
