--- a/internal/process/agent.go
+++ b/internal/process/agent.go
@@ -16,7 +16,10 @@
 	"foxcross.dev/coord/dispatch"
 )
 
-// RunAgent runs an agent until it is told to stop.
+// RunAgent runs an agent until it is told to stop. It starts the log, the drivers of its
+// endpoints, the agent, the socket for entries, the operators' address, and then serves.
+// At the first signal it takes nothing new and ends after its last work, at the second
+// at once.
 func RunAgent(path string) error {
 	c, err := config.ReadAgent(path)
 	if err != nil {
--- a/internal/process/entry.go
+++ b/internal/process/entry.go
@@ -29,7 +29,15 @@
 	return hex.EncodeToString(b)
 }
 
-// RunEntry runs an entry until it is told to stop.
+// RunEntry runs an entry of the own interface until it is told to stop. It starts, in
+// this order:
+//
+//  1. the settings file, the log and the certificates;
+//  2. the socket towards agents, and the platform's key-value service and member list;
+//  3. the entry with its store of settings versions and its collector of claims;
+//  4. the operators' address, then callers' requests.
+//
+// At the first signal to stop it stops cleanly, at the second at once.
 func RunEntry(path string) error {
 	c, err := config.ReadEntry(path)
 	if err != nil {
@@ -44,43 +52,18 @@
 		return err
 	}
 	defer func() { _ = dialer.Close() }() // the process ends
-	factory, err := kv.Drivers.Get(c.Platform.Driver)
+	platform, err := openPlatform(c.Platform)
 	if err != nil {
 		return err
 	}
-	p, err := factory(c.Platform.Address)
-	if err != nil {
-		return err
-	}
-	scope, served, closer := metrics.New("entry")
+	scope, figures, closer := metrics.New("entry")
 	defer func() { _ = closer.Close() }() // the process ends
-	store := &versions.Store{KeyValue: p, Holder: &versions.Holder{}, Now: time.Now, NewID: newID}
-	var e *entry.Entry
-	batcher := claims.New(claimOptions(c, p, func() int { return e.Entries() }))
-	e = entry.New(entry.Options{
-		Name:       c.Name,
-		DataCentre: c.DataCentre,
-		Dialer:     dialer,
-		Members:    p,
-		Settings:   store.Holder,
-		Metrics:    scope,
-		Seed:       uint64(time.Now().UnixNano()),
-		MaxBody:    c.MaxBodyBytes,
-		Requests:   c.MaxRequests,
-		Agents:     c.MaxAgents,
-		Fanout:     c.Fanout,
-		ListEvery:  config.Milliseconds(c.MemberListMS, 0),
-		Claims:     batcher,
-	})
-	store.Watches = e.Watches
+	store := &versions.Store{KeyValue: platform, Holder: &versions.Holder{}, Now: time.Now, NewID: newID}
 	running, end := context.WithCancel(context.Background())
 	defer end()
-	go store.Watch(running)
-	go batcher.Run(running)
-	go e.Run(running)
-	dump := func() any { return e.Dump() }
+	e := startEntry(running, c, store, entry.Options{Dialer: dialer, Members: platform, Metrics: scope})
 	operators, err := listen(c.Admin.Address, admin.Handler(admin.Options{
-		KeyHash: c.Admin.KeyHash, Dump: dump, Metrics: served, Tree: &admin.Tree{Store: store},
+		KeyHash: c.Admin.KeyHash, Dump: func() any { return e.Dump() }, Metrics: figures, Tree: &admin.Tree{Store: store},
 	}))
 	if err != nil {
 		return err
@@ -92,14 +75,46 @@
 	}
 	log.Infof("Entry %s takes requests on %s.", c.Name, c.Listen)
 	first, second := stopSignals()
-	dumpOnSignal(second, dump)
+	dumpOnSignal(second, func() any { return e.Dump() })
 	<-first.Done()
 	return stopEntry(e, callers, c, second)
 }
 
-func claimOptions(c config.Entry, p kv.Platform, entries func() int) claims.Options {
+// openPlatform returns the client of the platform that the settings name.
+func openPlatform(c config.Platform) (kv.Platform, error) {
+	factory, err := kv.Drivers.Get(c.Driver)
+	if err != nil {
+		return nil, err
+	}
+	return factory(c.Address)
+}
+
+// startEntry starts an entry, its collector of claims and the watch of its settings.
+// The options hold what is not in the settings file.
+func startEntry(ctx context.Context, c config.Entry, store *versions.Store, o entry.Options) *entry.Entry {
+	var e *entry.Entry
+	collector := claims.New(claimOptions(c, store.KeyValue, func() int { return e.Entries() }))
+	o.Name = c.Name
+	o.DataCentre = c.DataCentre
+	o.Settings = store.Holder
+	o.Seed = uint64(time.Now().UnixNano())
+	o.MaxBody = c.MaxBodyBytes
+	o.Requests = c.MaxRequests
+	o.Agents = c.MaxAgents
+	o.Fanout = c.Fanout
+	o.ListEvery = config.Milliseconds(c.MemberListMS, 0)
+	o.Claims = collector
+	e = entry.New(o)
+	store.Watches = e.Watches
+	go store.Watch(ctx)
+	go collector.Run(ctx)
+	go e.Run(ctx)
+	return e
+}
+
+func claimOptions(c config.Entry, store kv.KeyValue, entries func() int) claims.Options {
 	o := claims.Options{
-		KeyValue:   p,
+		KeyValue:   store,
 		Owner:      c.Name,
 		Partitions: c.ClaimPartition,
 		Entries:    entries,
