--- a/coord/limit/learned.go
+++ b/coord/limit/learned.go
@@ -95,7 +95,3 @@
 	}
 	return max(steepest/flattest, min(steepest, l.joint/l.spread))
 }
-
-// Slope returns the seconds that one more piece of work adds to a sample, for a
-// state dump.
-func (l *Learned) Slope() float64 { return l.slope() }
--- a/coord/placement/placement_test.go
+++ b/coord/placement/placement_test.go
@@ -322,7 +322,7 @@
 				if !ok {
 					continue
 				}
-				if _, there := table.Endpoint(c.Endpoint.ID); !there || c.FirstMS < 0 || c.PrefillTokens < 0 {
+				if !table.Listed(c.Endpoint.ID) || c.FirstMS < 0 || c.PrefillTokens < 0 {
 					r.Fatalf("chose %+v", c)
 				}
 				number++
--- a/coord/placement/table.go
+++ b/coord/placement/table.go
@@ -106,24 +106,9 @@
 	}
 }
 
-// Endpoint returns an endpoint of the list.
-func (t *Table) Endpoint(id string) (Endpoint, bool) {
-	e := t.endpoints[id]
-	if e == nil {
-		return Endpoint{}, false
-	}
-	return e.Endpoint, true
-}
-
-// Len returns the number of endpoints on the list.
-func (t *Table) Len() int { return len(t.endpoints) }
-
 // Open returns the number of attempts that have not ended.
 func (t *Table) Open() int { return len(t.byAttempt) }
 
-// Shared returns the number of shared parts that are remembered.
-func (t *Table) Shared() int { return len(t.shared) }
-
 // computedLately tells whether any endpoint has used a shared part within ReuseLife.
 func (t *Table) computedLately(now time.Time, part uint64) bool {
 	at, ok := t.shared[part]
--- a/coord/settings/snapshot.go
+++ b/coord/settings/snapshot.go
@@ -285,9 +285,6 @@
 	return nil
 }
 
-// IsService tells whether a target name is a plain service's.
-func IsService(target string) bool { return strings.HasPrefix(target, servicePrefix) }
-
 // Check tells whether a tree may be put in force: its form by the schema and
 // its meaning by Compile.
 func Check(t Tree) error {
--- a/internal/direct/gateway/attempts.go
+++ b/internal/direct/gateway/attempts.go
@@ -35,8 +35,8 @@
 
 func (a *attempt) endpoint() placement.Endpoint { return a.choice.Endpoint }
 
-// attempts places requests at endpoints, keeps what is known of the attempts of
-// all entries, and tells the other entries of this one's. The lock guards the
+// attempts places requests at endpoints, keeps what is known of the attempts of all
+// entries, and sends the events of this one's to the others. The lock guards the
 // decision as a whole: the choice of an endpoint, the record of it and the order in
 // which others are told.
 type attempts struct {
--- a/internal/direct/peers/group.go
+++ b/internal/direct/peers/group.go
@@ -16,9 +16,9 @@
 const (
 	// heartbeatInterval is the time between two heartbeats. Chosen, not measured.
 	heartbeatInterval = 250 * time.Millisecond
-	// newsInterval is how often the group checks whether there is news that does not
-	// wait for a heartbeat. Chosen, not measured.
-	newsInterval = 25 * time.Millisecond
+	// announceInterval is how often the group checks whether anything changed that other
+	// entries are to know before the next heartbeat. Chosen, not measured.
+	announceInterval = 25 * time.Millisecond
 )
 
 // Listener takes in what other entries say. It is not called with the group's lock
@@ -65,21 +65,21 @@
 
 	standbySince time.Time // when this entry was last needed as a standby; of Run alone
 
-	mu       sync.Mutex
-	seeds    []string
-	members  map[string]*member // by address
-	events   []Event            // to be sent
-	leaving  bool
-	seededAt time.Time // when seeds were last tried
-	fetching bool
-	told     news // of the last heartbeat
+	mu        sync.Mutex
+	seeds     []string
+	members   map[string]*member // by address
+	events    []Event            // to be sent
+	seededAt  time.Time          // when seeds were last tried
+	fetching  bool
+	announced announcement // of the last heartbeat
 
 	eventsWaiting chan struct{} // events is not empty any more
 	memberAhead   chan struct{} // a member has become ahead
 }
 
-// news is what other entries are told without waiting for a heartbeat.
-type news struct {
+// announcement is what other entries are to know before the next heartbeat if it
+// changes.
+type announcement struct {
 	version, revision uint64
 	storeLost         bool
 }
@@ -112,20 +112,13 @@
 // Address returns the address that the group listens on.
 func (g *Group) Address() string { return g.address }
 
-// Leave tells the others that this entry takes nothing new.
-func (g *Group) Leave() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.leaving = true
-}
-
 // Run sends and receives until ctx is done.
 func (g *Group) Run(ctx context.Context) {
 	go g.receive()
 	defer func() { _ = g.socket.Close() }() // nothing is sent any more
 	heartbeats := time.NewTicker(heartbeatInterval)
 	defer heartbeats.Stop()
-	checks := time.NewTicker(newsInterval)
+	checks := time.NewTicker(announceInterval)
 	defer checks.Stop()
 	flush := time.NewTimer(flushDelay)
 	defer flush.Stop()
@@ -137,7 +130,7 @@
 		case <-heartbeats.C:
 			g.beat(ctx, time.Now())
 		case <-checks.C:
-			g.sendNews(time.Now())
+			g.announceChanges(time.Now())
 		case <-g.memberAhead:
 			time.AfterFunc(fetchDelay, func() { g.catchUp(ctx, time.Now()) })
 		case <-g.eventsWaiting:
--- a/internal/direct/peers/heartbeat.go
+++ b/internal/direct/peers/heartbeat.go
@@ -15,24 +15,24 @@
 	h.StoreLost = h.Reading && !g.directory.Following()
 	p.Heartbeat = h
 	g.mu.Lock()
-	g.told = news{version: p.Version, revision: p.Revision, storeLost: h.StoreLost}
-	h.Leaving = g.leaving
+	g.announced = announcement{version: p.Version, revision: p.Revision, storeLost: h.StoreLost}
 	to := g.liveAddresses(now)
 	if now.Sub(g.seededAt) > seedInterval {
 		g.seededAt = now
 		h.Members = g.named(now)
-		to = append(to, g.unheard(now)...)
+		to = append(to, g.notLive(now)...)
 	}
 	g.mu.Unlock()
 	g.send(p, to)
 }
 
-// sendNews sends a heartbeat ahead of its time if there is news.
-func (g *Group) sendNews(now time.Time) {
+// announceChanges sends a heartbeat ahead of its time if what was announced has
+// changed.
+func (g *Group) announceChanges(now time.Time) {
 	version, revision := g.directory.Versions()
 	lost := g.directory.ReadsStore() && !g.directory.Following()
 	g.mu.Lock()
-	changed := g.told != news{version: version, revision: revision, storeLost: lost}
+	changed := g.announced != announcement{version: version, revision: revision, storeLost: lost}
 	g.mu.Unlock()
 	if changed {
 		g.sendHeartbeat(now)
--- a/internal/direct/peers/member.go
+++ b/internal/direct/peers/member.go
@@ -140,9 +140,9 @@
 	return all
 }
 
-// unheard returns the addresses of seeds that were never heard and of lost entries.
+// notLive returns the addresses of seeds that never answered and of lost entries.
 // The group is locked.
-func (g *Group) unheard(now time.Time) []*net.UDPAddr {
+func (g *Group) notLive(now time.Time) []*net.UDPAddr {
 	var all []*net.UDPAddr
 	for _, s := range g.seeds {
 		if g.members[s] != nil || s == g.address {
--- a/internal/direct/peers/packet.go
+++ b/internal/direct/peers/packet.go
@@ -51,7 +51,7 @@
 type heartbeat struct {
 	Name      string   `cbor:"1,keyasint"`
 	Members   []string `cbor:"2,keyasint,omitempty"` // addresses of some live entries, now and then
-	Leaving   bool     `cbor:"3,keyasint,omitempty"`
+	Leaving   bool     `cbor:"3,keyasint,omitempty"` // reserved: never sent, not looked at
 	ConfirmMS int64    `cbor:"4,keyasint"`           // since the settings were confirmed as the newest, -1 for never
 	ContactMS int64    `cbor:"5,keyasint"`           // since the last call that the store answered, -1 for never
 	Reading   bool     `cbor:"6,keyasint,omitempty"` // the sender reads the store
--- a/internal/testing/deployment/deployment.go
+++ b/internal/testing/deployment/deployment.go
@@ -8,6 +8,7 @@
 	"fmt"
 	"net"
 	"net/http"
+	"strings"
 	"sync"
 	"time"
 
@@ -144,7 +145,7 @@
 
 func newDriver(target, url string) (endpoint.Driver, error) {
 	kind := "openai"
-	if settings.IsService(target) {
+	if strings.HasPrefix(target, settings.ServiceTarget("")) {
 		kind = "http"
 	}
 	factory, err := endpoint.Drivers.Get(kind)
