--- a/internal/process/agent.go
+++ b/internal/process/agent.go
@@ -85,7 +85,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("endpoint %s: %w", e.Name, err)
 		}
-		d, err := factory(endpoint.Settings{Name: e.Name, Address: e.Address, Fenced: e.Fenced})
+		d, err := factory(endpoint.Settings{Name: e.Name, Address: e.Address})
 		if err != nil {
 			return nil, err
 		}
--- a/internal/relay/agent/agent.go
+++ b/internal/relay/agent/agent.go
@@ -179,9 +179,6 @@
 }
 
 func (a *Agent) version() uint64 {
-	if a.options.Versions == nil {
-		return 0
-	}
 	return a.options.Versions.Version()
 }
 
--- a/internal/relay/agent/owner.go
+++ b/internal/relay/agent/owner.go
@@ -124,9 +124,6 @@
 
 // announced tells the settings which version the entry holds.
 func (a *Agent) announced(o *owner, version uint64) {
-	if a.options.Versions == nil {
-		return
-	}
 	a.options.Versions.Announced(version, func(ctx context.Context, q message.SettingsRequest) (message.SettingsReply, error) {
 		return link.FetchSettings(ctx, o.session, q)
 	})
@@ -156,10 +153,8 @@
 	case message.Start:
 		a.serveStart(o, st, m)
 	case message.SettingsRequest:
-		if a.options.Versions != nil {
-			_ = st.Send(a.options.Versions.Reply(m)) // a lost reply is asked for again
-		}
-		_ = st.CloseSend() // the peer may be gone
+		_ = st.Send(a.options.Versions.Reply(m)) // a lost reply is asked for again
+		_ = st.CloseSend()                       // the peer may be gone
 	default:
 		st.Reset()
 	}
--- a/internal/relay/endpoint/endpoint.go
+++ b/internal/relay/endpoint/endpoint.go
@@ -37,7 +37,6 @@
 type Settings struct {
 	Name    string
 	Address string // base URL
-	Fenced  bool   // the endpoint checks fencing tokens of orders
 }
 
 // Factory makes a driver.
--- a/internal/relay/kv/httpkv/client.go
+++ b/internal/relay/kv/httpkv/client.go
@@ -27,7 +27,6 @@
 	ValuePath     = "/v1/values/"
 	ListPath      = "/v1/keys"
 	MembersPath   = "/v1/members"
-	LeasePath     = "/v1/leases"
 	RevisionField = "X-Revision"
 )
 
@@ -145,21 +144,12 @@
 
 // Swap stores a value on a revision.
 func (c *client) Swap(ctx context.Context, key string, data []byte, revision uint64) (uint64, error) {
-	return c.SwapLeased(ctx, key, data, revision, 0)
-}
-
-// SwapLeased stores a value under a lease.
-func (c *client) SwapLeased(ctx context.Context, key string, data []byte, revision, lease uint64) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	var query url.Values
-	if lease != 0 {
-		query = url.Values{"lease": {strconv.FormatUint(lease, 10)}}
-	}
 	if data == nil {
 		data = []byte{}
 	}
-	a, err := c.call(ctx, http.MethodPut, ValuePath+key, query, data, revision)
+	a, err := c.call(ctx, http.MethodPut, ValuePath+key, nil, data, revision)
 	return a.revision, err
 }
 
@@ -169,24 +159,3 @@
 	a, err := c.call(ctx, http.MethodGet, ValuePath+key, query, nil, 0)
 	return kv.Value{Data: a.body, Revision: a.revision}, err
 }
-
-// Grant opens a lease.
-func (c *client) Grant(ctx context.Context, life time.Duration) (uint64, error) {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
-	defer cancel()
-	a, err := c.call(ctx, http.MethodPost, LeasePath, url.Values{"life": {life.String()}}, nil, 0)
-	if err != nil {
-		return 0, err
-	}
-	var id uint64
-	err = json.Unmarshal(a.body, &id)
-	return id, err
-}
-
-// Renew prolongs a lease.
-func (c *client) Renew(ctx context.Context, lease uint64) error {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
-	defer cancel()
-	_, err := c.call(ctx, http.MethodPut, LeasePath+"/"+strconv.FormatUint(lease, 10), nil, []byte{}, 0)
-	return err
-}
--- a/internal/relay/kv/kv.go
+++ b/internal/relay/kv/kv.go
@@ -5,7 +5,6 @@
 import (
 	"context"
 	"errors"
-	"time"
 
 	"foxcross.dev/foxcross/internal/kernel"
 )
@@ -32,12 +31,6 @@
 	Swap(ctx context.Context, key string, data []byte, revision uint64) (uint64, error)
 	// Watch waits until the value has a later revision.
 	Watch(ctx context.Context, key string, after uint64) (Value, error)
-	// Grant opens a lease; values swapped in under it go when it lapses.
-	Grant(ctx context.Context, life time.Duration) (lease uint64, err error)
-	// Renew prolongs a lease; storeerr.ErrNotFound when it has lapsed.
-	Renew(ctx context.Context, lease uint64) error
-	// SwapLeased is Swap under a lease.
-	SwapLeased(ctx context.Context, key string, data []byte, revision, lease uint64) (uint64, error)
 }
 
 // Role is what an instance runs.
--- a/internal/relay/link/link.go
+++ b/internal/relay/link/link.go
@@ -29,8 +29,6 @@
 	Accept(context.Context) (Stream, error)
 	// Trip is the round trip time, or 0 while unknown.
 	Trip() time.Duration
-	// Bytes returns how many bytes were sent and received, 0 where not counted.
-	Bytes() (sent, received uint64)
 	// Done is closed when the connection is gone.
 	Done() <-chan struct{}
 	Close()
--- a/internal/relay/link/quic.go
+++ b/internal/relay/link/quic.go
@@ -151,12 +151,7 @@
 	return newQUICStream(st), nil
 }
 
-func (s *quicSession) Trip() time.Duration { return s.conn.ConnectionStats().SmoothedRTT }
-func (s *quicSession) Bytes() (sent, received uint64) {
-	c := s.conn.ConnectionStats()
-	return c.BytesSent, c.BytesReceived
-}
-
+func (s *quicSession) Trip() time.Duration   { return s.conn.ConnectionStats().SmoothedRTT }
 func (s *quicSession) Done() <-chan struct{} { return s.conn.Context().Done() }
 func (s *quicSession) Close()                { _ = s.conn.CloseWithError(closeNormal, "") } // it may be closed already
 
--- a/internal/testing/bench/link_test.go
+++ b/internal/testing/bench/link_test.go
@@ -222,35 +222,6 @@
 	b.ReportMetric(float64(base-min(base, before))/50, "B/known-agent")
 }
 
-// BenchmarkIdle reports what a connection costs while nothing happens but a
-// heartbeat each second.
-func BenchmarkIdle(b *testing.B) {
-	near, far := pair(b)
-	go func() {
-		for {
-			if _, err := near.Control().Receive(); err != nil {
-				return
-			}
-		}
-	}()
-	time.Sleep(warmUp)
-	const seconds = 5
-	h := message.Heartbeat{Settings: 1, Loads: []message.Load{{Target: target, Slots: 64, Free: 3, Step: time.Millisecond}}}
-	sentBefore, receivedBefore := far.Bytes()
-	for range seconds {
-		if err := far.Control().Send(h); err != nil {
-			b.Fatal(err)
-		}
-		time.Sleep(time.Second)
-	}
-	sent, received := far.Bytes()
-	for b.Loop() {
-		_ = sent // the figures below are what counts
-	}
-	b.ReportMetric(float64(sent-sentBefore)/seconds, "sent-B/s")
-	b.ReportMetric(float64(received-receivedBefore)/seconds, "received-B/s")
-}
-
 // BenchmarkStream is one token of 64 chats at once, through foxcross, with the
 // engine and the callers in the same process.
 func BenchmarkStream(b *testing.B) {
--- a/internal/testing/memlink/memlink.go
+++ b/internal/testing/memlink/memlink.go
@@ -190,9 +190,8 @@
 	return own, other
 }
 
-func (s *session) Control() link.Stream           { return s.control }
-func (s *session) Trip() time.Duration            { return 2 * s.network.Delay }
-func (s *session) Bytes() (sent, received uint64) { return 0, 0 }
+func (s *session) Control() link.Stream { return s.control }
+func (s *session) Trip() time.Duration  { return 2 * s.network.Delay }
 
 func (s *session) Done() <-chan struct{} { return s.done }
 func (s *session) Close()                { s.once.Do(func() { close(s.done) }) }
--- a/internal/testing/standin/standin_test.go
+++ b/internal/testing/standin/standin_test.go
@@ -146,36 +146,6 @@
 	}
 }
 
-// A value under a lease goes when the lease lapses, and not before.
-func TestLease(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		var store standin.Store
-		ctx := context.Background()
-		lease, err := store.Grant(ctx, time.Second)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if _, err := store.SwapLeased(ctx, "k", []byte("v"), 0, lease); err != nil {
-			t.Fatal(err)
-		}
-		time.Sleep(900 * time.Millisecond)
-		if err := store.Renew(ctx, lease); err != nil {
-			t.Error(err)
-		}
-		time.Sleep(900 * time.Millisecond)
-		if _, err := store.Get(ctx, "k"); err != nil {
-			t.Errorf("a renewed lease: %v", err)
-		}
-		time.Sleep(time.Second)
-		if _, err := store.Get(ctx, "k"); err != storeerr.ErrNotFound {
-			t.Errorf("a lapsed lease: %v", err)
-		}
-		if _, err := store.SwapLeased(ctx, "k", []byte("v"), 0, lease); err != storeerr.ErrNotFound {
-			t.Errorf("a write under a lapsed lease: %v", err)
-		}
-	})
-}
-
 // A prompt whose beginning was seen takes a tenth of the prefill for it.
 func TestEngineCachesBeginnings(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/testing/standin/store.go
+++ b/internal/testing/standin/store.go
@@ -29,19 +29,17 @@
 
 // Calls counts calls by kind; a waiting watch counts as one.
 type Calls struct {
-	Gets, Lists, Swaps, Watches, Leases int
+	Gets, Lists, Swaps, Watches int
 }
 
 // Store is a key-value service in memory. The zero value is empty.
 type Store struct {
-	Now     func() time.Time // nil for the wall clock
-	ListLag time.Duration    // how late the member list shows a change
+	ListLag time.Duration // how late the member list shows a change
 
 	changes atomic.Int64 // of settings, that Settings has given ids to
 
 	mu       sync.Mutex
-	values   map[string]stored
-	leases   map[uint64]lease
+	values   map[string]kv.Value
 	revision uint64
 	waiters  map[string][]chan struct{}
 	faults   Faults
@@ -52,16 +50,6 @@
 	shown    int         // number of the list that is visible
 }
 
-type stored struct {
-	kv.Value
-	lease uint64
-}
-
-type lease struct {
-	life  time.Duration
-	until time.Time
-}
-
 // SetFaults changes what goes wrong from now on.
 func (s *Store) SetFaults(f Faults) {
 	s.mu.Lock()
@@ -163,23 +151,6 @@
 	return nil
 }
 
-func (s *Store) now() time.Time {
-	if s.Now != nil {
-		return s.Now()
-	}
-	return time.Now()
-}
-
-// look returns a value whose lease has not lapsed. The lock is held.
-func (s *Store) look(key string) (stored, bool) {
-	v, ok := s.values[key]
-	if ok && v.lease != 0 && s.leases[v.lease].until.Before(s.now()) {
-		delete(s.values, key)
-		return stored{}, false
-	}
-	return v, ok
-}
-
 // Get returns a value.
 func (s *Store) Get(ctx context.Context, key string) (kv.Value, error) {
 	if err := s.enter(ctx, func(c *Calls) { c.Gets++ }); err != nil {
@@ -187,11 +158,11 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	v, ok := s.look(key)
+	v, ok := s.values[key]
 	if !ok {
 		return kv.Value{}, storeerr.ErrNotFound
 	}
-	return v.Value, nil
+	return v, nil
 }
 
 // List returns keys in order.
@@ -203,7 +174,7 @@
 	defer s.mu.Unlock()
 	var keys []string
 	for k := range s.values {
-		if _, ok := s.look(k); ok && strings.HasPrefix(k, prefix) {
+		if strings.HasPrefix(k, prefix) {
 			keys = append(keys, k)
 		}
 	}
@@ -213,11 +184,6 @@
 
 // Swap stores data if the revision is the present one.
 func (s *Store) Swap(ctx context.Context, key string, data []byte, revision uint64) (uint64, error) {
-	return s.SwapLeased(ctx, key, data, revision, 0)
-}
-
-// SwapLeased is Swap under a lease, 0 for none.
-func (s *Store) SwapLeased(ctx context.Context, key string, data []byte, revision, under uint64) (uint64, error) {
 	if err := s.enter(ctx, func(c *Calls) { c.Swaps++ }); err != nil {
 		return 0, err
 	}
@@ -226,17 +192,14 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if l, ok := s.leases[under]; under != 0 && (!ok || l.until.Before(s.now())) {
-		return 0, storeerr.ErrNotFound
-	}
-	if v, _ := s.look(key); v.Revision != revision {
+	if s.values[key].Revision != revision {
 		return 0, kv.ErrConflict
 	}
 	if s.values == nil {
-		s.values = map[string]stored{}
+		s.values = map[string]kv.Value{}
 	}
 	s.revision++
-	s.values[key] = stored{kv.Value{Data: slices.Clone(data), Revision: s.revision}, under}
+	s.values[key] = kv.Value{Data: slices.Clone(data), Revision: s.revision}
 	s.wake(key)
 	if s.faults.LoseSwaps > 0 {
 		s.faults.LoseSwaps--
@@ -252,7 +215,7 @@
 	}
 	for {
 		s.mu.Lock()
-		v, ok := s.look(key)
+		v, ok := s.values[key]
 		down := s.faults.Down
 		woken := make(chan struct{})
 		if s.waiters == nil {
@@ -264,7 +227,7 @@
 			return kv.Value{}, storeerr.ErrUnavailable
 		}
 		if ok && v.Revision > after {
-			return v.Value, nil
+			return v, nil
 		}
 		select {
 		case <-woken:
@@ -286,34 +249,3 @@
 		s.wake(k)
 	}
 }
-
-// Grant opens a lease.
-func (s *Store) Grant(ctx context.Context, life time.Duration) (uint64, error) {
-	if err := s.enter(ctx, func(c *Calls) { c.Leases++ }); err != nil {
-		return 0, err
-	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.leases == nil {
-		s.leases = map[uint64]lease{}
-	}
-	s.revision++
-	s.leases[s.revision] = lease{life: life, until: s.now().Add(life)}
-	return s.revision, nil
-}
-
-// Renew prolongs a lease.
-func (s *Store) Renew(ctx context.Context, id uint64) error {
-	if err := s.enter(ctx, func(c *Calls) { c.Leases++ }); err != nil {
-		return err
-	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	l, ok := s.leases[id]
-	if !ok || l.until.Before(s.now()) {
-		return storeerr.ErrNotFound
-	}
-	l.until = s.now().Add(l.life)
-	s.leases[id] = l
-	return nil
-}
--- a/internal/testing/standin/storehttp.go
+++ b/internal/testing/standin/storehttp.go
@@ -31,8 +31,6 @@
 	mux.HandleFunc(httpkv.ValuePath+"...", s.servePut, http.MethodPut)
 	mux.HandleFunc(httpkv.ListPath, s.serveList, http.MethodGet)
 	mux.HandleFunc(httpkv.MembersPath, s.serveMembers, http.MethodGet)
-	mux.HandleFunc(httpkv.LeasePath, s.serveGrant, http.MethodPost)
-	mux.HandleFunc(httpkv.LeasePath+"/:lease", s.serveRenew, http.MethodPut)
 	mux.HandleFunc("/v1/faults", s.serveFaults, http.MethodPut)
 	return mux
 }
@@ -75,8 +73,7 @@
 		http.Error(w, errTooLarge.Error(), http.StatusRequestEntityTooLarge)
 		return
 	}
-	under := number(r.URL.Query().Get("lease"))
-	revision, err := s.SwapLeased(r.Context(), keyOf(r), data, number(r.Header.Get(httpkv.RevisionField)), under)
+	revision, err := s.Swap(r.Context(), keyOf(r), data, number(r.Header.Get(httpkv.RevisionField)))
 	if err != nil {
 		writeStoreError(w, err)
 		return
@@ -95,21 +92,6 @@
 	writeStoreJSON(w, members, err)
 }
 
-func (s *Store) serveGrant(w http.ResponseWriter, r *http.Request) {
-	life, err := time.ParseDuration(r.URL.Query().Get("life"))
-	if err != nil {
-		http.Error(w, err.Error(), http.StatusBadRequest)
-		return
-	}
-	id, err := s.Grant(r.Context(), life)
-	writeStoreJSON(w, id, err)
-}
-
-func (s *Store) serveRenew(w http.ResponseWriter, r *http.Request) {
-	err := s.Renew(r.Context(), number(flow.Param(r.Context(), "lease")))
-	writeStoreJSON(w, struct{}{}, err)
-}
-
 // serveFaults lets a person switch faults by hand.
 func (s *Store) serveFaults(w http.ResponseWriter, r *http.Request) {
 	var f Faults
