--- a/internal/relay/kv/httpkv/client.go
+++ b/internal/relay/kv/httpkv/client.go
@@ -25,7 +25,6 @@
 // The protocol's paths and field.
 const (
 	ValuePath     = "/v1/values/"
-	ListPath      = "/v1/keys"
 	MembersPath   = "/v1/members"
 	RevisionField = "X-Revision"
 )
@@ -118,28 +117,17 @@
 	return kv.Value{Data: a.body, Revision: a.revision}, err
 }
 
-// List returns the keys with the prefix.
-func (c *client) List(ctx context.Context, prefix string) ([]string, error) {
-	var keys []string
-	err := c.read(ctx, ListPath, url.Values{"prefix": {prefix}}, &keys)
-	return keys, err
-}
-
 // Members returns the member list.
 func (c *client) Members(ctx context.Context) ([]kv.Member, error) {
-	var members []kv.Member
-	err := c.read(ctx, MembersPath, nil, &members)
-	return members, err
-}
-
-func (c *client) read(ctx context.Context, path string, query url.Values, v any) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	a, err := c.call(ctx, http.MethodGet, path, query, nil, 0)
+	a, err := c.call(ctx, http.MethodGet, MembersPath, nil, nil, 0)
 	if err != nil {
-		return err
+		return nil, err
 	}
-	return json.Unmarshal(a.body, v)
+	var members []kv.Member
+	err = json.Unmarshal(a.body, &members)
+	return members, err
 }
 
 // Swap stores a value on a revision.
--- a/internal/relay/kv/kv.go
+++ b/internal/relay/kv/kv.go
@@ -24,8 +24,6 @@
 type KeyValue interface {
 	// Get returns storeerr.ErrNotFound where there is no value.
 	Get(ctx context.Context, key string) (Value, error)
-	// List returns the keys with the prefix.
-	List(ctx context.Context, prefix string) ([]string, error)
 	// Swap stores data if the value still has the revision, 0 for no value. It
 	// returns ErrConflict if not; storeerr.ErrUnavailable only if nothing was stored.
 	Swap(ctx context.Context, key string, data []byte, revision uint64) (uint64, error)
