--- a/internal/direct/directory/role.go
+++ b/internal/direct/directory/role.go
@@ -3,6 +3,8 @@
 import (
 	"context"
 	"time"
+
+	"foxcross.dev/foxcross/internal/workers"
 )
 
 // Role is what a process does to learn of changes of the store. Package peers
@@ -38,10 +40,7 @@
 	}
 	d.role = r
 	log.With("role", r.String()).Info("The role towards the store changed.")
-	select {
-	case d.roleChanged <- struct{}{}:
-	default:
-	}
+	workers.Signal(d.roleChanged)
 }
 
 // Role returns what the process does.
--- a/internal/direct/gateway/attempts.go
+++ b/internal/direct/gateway/attempts.go
@@ -43,7 +43,7 @@
 	owner uint64
 
 	mu      sync.Mutex
-	bounds  driver.Bounds
+	bounds  driver.Bounds // of the settings file, may change
 	table   placement.Table
 	budgets map[string]*budget.Budget // by service
 	random  *rand.Rand
--- a/internal/direct/gateway/capacity.go
+++ b/internal/direct/gateway/capacity.go
@@ -15,6 +15,7 @@
 
 	"foxcross.dev/coord/result"
 	"foxcross.dev/foxcross/internal/direct/driver"
+	"foxcross.dev/foxcross/internal/workers"
 )
 
 const (
@@ -72,10 +73,7 @@
 	if c.open > 0 {
 		return
 	}
-	select {
-	case c.idle <- struct{}{}:
-	default:
-	}
+	workers.Signal(c.idle)
 }
 
 // openRequests returns the number of requests that have no answer yet.
--- a/internal/direct/gateway/gateway.go
+++ b/internal/direct/gateway/gateway.go
@@ -20,14 +20,13 @@
 // Beside it: server.go and idle.go (callers' connections), stop.go (the clean stop),
 // dump.go (the state for operators).
 //
-// Locks: capacity.mu and attempts.mu stand alone, and nothing blocks while one of
-// them is held. Directory.mu may be held when attempts.mu is taken, and attempts.mu
-// when that of peers.Group is.
+// Locks: nothing blocks while capacity.mu or attempts.mu is held. Directory.mu may be
+// held when attempts.mu is taken, and attempts.mu when that of peers.Group is;
+// capacity.mu stands alone.
 package gateway
 
 import (
 	"context"
-	"sync"
 	"sync/atomic"
 	"time"
 
@@ -66,9 +65,6 @@
 	refusing  atomic.Bool // near the end of a clean stop
 	capacity  capacity
 	attempts  attempts
-
-	mu     sync.Mutex
-	bounds driver.Bounds // of the settings file, may change
 }
 
 // New returns a gateway and the directory that it follows.
@@ -83,12 +79,11 @@
 		dropped: droppedFields(f),
 		answers: upstream.Names{RequestID: f.RequestID, NotRun: f.NotRun},
 		life:    lifecycle.New(),
-		bounds:  o.Process.Bounds,
 	}
 	g.capacity.init(o.Process.Limits)
 	g.attempts.init(o)
 	g.directory = directory.New(g.attempts.takeSettings, g.attempts.takeEndpoints)
-	g.directory.SetBounds(g.bounds)
+	g.directory.SetBounds(o.Process.Bounds)
 	return g
 }
 
@@ -105,9 +100,6 @@
 func (g *Gateway) SetBounds(b driver.Bounds) {
 	g.directory.SetBounds(b)
 	g.attempts.setBounds(b)
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.bounds = b
 }
 
 // Owner returns the incarnation of this process.
--- a/internal/direct/gateway/stop.go
+++ b/internal/direct/gateway/stop.go
@@ -51,7 +51,7 @@
 
 // Grace returns the time from the signal to stop to the end by force.
 func (g *Gateway) Grace() time.Duration {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.bounds.StopGrace
+	g.attempts.mu.Lock()
+	defer g.attempts.mu.Unlock()
+	return g.attempts.bounds.StopGrace
 }
--- a/internal/direct/peers/catchup.go
+++ b/internal/direct/peers/catchup.go
@@ -11,6 +11,8 @@
 import (
 	"context"
 	"time"
+
+	"foxcross.dev/foxcross/internal/workers"
 )
 
 const (
@@ -31,17 +33,14 @@
 		m.aheadSince = time.Time{}
 	case m.aheadSince.IsZero():
 		m.aheadSince = now
-		select {
-		case g.memberAhead <- struct{}{}:
-		default:
-		}
+		workers.Signal(g.memberAhead)
 	}
 }
 
 // catchUp asks an entry that has been ahead for long enough.
 func (g *Group) catchUp(ctx context.Context, now time.Time) {
 	delay := fetchDelay
-	if g.directory.ReadsStore() && g.directory.Following() {
+	if g.options.Directory.ReadsStore() && g.options.Directory.Following() {
 		delay = fetchDelayReading
 	}
 	g.mu.Lock()
@@ -64,7 +63,7 @@
 func (g *Group) fetchFrom(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
-	g.fetch(ctx, address)
+	g.options.Fetch(ctx, address)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.fetching = false
--- a/internal/direct/peers/events.go
+++ b/internal/direct/peers/events.go
@@ -5,6 +5,8 @@
 	"time"
 
 	"github.com/fxamacker/cbor/v2"
+
+	"foxcross.dev/foxcross/internal/workers"
 )
 
 const (
@@ -32,10 +34,7 @@
 	if len(g.events) > 1 {
 		return
 	}
-	select {
-	case g.eventsWaiting <- struct{}{}:
-	default:
-	}
+	workers.Signal(g.eventsWaiting)
 }
 
 // flush sends the events that wait.
@@ -72,8 +71,8 @@
 
 // newPacket returns a packet that names what this entry knows.
 func (g *Group) newPacket() packet {
-	version, revision := g.directory.Versions()
-	return packet{Owner: g.owner, Version: version, Revision: revision}
+	version, revision := g.options.Directory.Versions()
+	return packet{Owner: g.options.Owner, Version: version, Revision: revision}
 }
 
 func (g *Group) send(p packet, to []*net.UDPAddr) {
--- a/internal/direct/peers/group.go
+++ b/internal/direct/peers/group.go
@@ -55,13 +55,9 @@
 
 // Group is this entry's view of the other entries. Create it with New; Run ends it.
 type Group struct {
-	name      string
-	address   string
-	owner     uint64
-	listener  Listener
-	directory Directory
-	fetch     func(ctx context.Context, address string)
-	socket    *net.UDPConn
+	options Options
+	address string // of the socket
+	socket  *net.UDPConn
 
 	standbySince time.Time // when this entry was last needed as a standby; of Run alone
 
@@ -95,13 +91,9 @@
 		return nil, fmt.Errorf("peers: listen on %s: %w", o.Address, err)
 	}
 	return &Group{
-		name:          o.Name,
+		options:       o,
 		address:       socket.LocalAddr().String(),
-		owner:         o.Owner,
 		seeds:         o.Seeds,
-		listener:      o.Listener,
-		directory:     o.Directory,
-		fetch:         o.Fetch,
 		socket:        socket,
 		members:       map[string]*member{},
 		eventsWaiting: make(chan struct{}, 1),
@@ -146,5 +138,5 @@
 	g.expire(now)
 	g.sendHeartbeat(now)
 	g.catchUp(ctx, now)
-	g.directory.SetRole(g.steadyRole(now, g.role(now)))
+	g.options.Directory.SetRole(g.steadyRole(now, g.role(now)))
 }
--- a/internal/direct/peers/heartbeat.go
+++ b/internal/direct/peers/heartbeat.go
@@ -7,12 +7,12 @@
 func (g *Group) sendHeartbeat(now time.Time) {
 	p := g.newPacket()
 	h := &heartbeat{
-		Name:      g.name,
-		ConfirmMS: age(g.directory.Confirmed()),
-		ContactMS: age(g.directory.LastContact()),
-		Reading:   g.directory.ReadsStore(),
+		Name:      g.options.Name,
+		ConfirmMS: age(g.options.Directory.Confirmed()),
+		ContactMS: age(g.options.Directory.LastContact()),
+		Reading:   g.options.Directory.ReadsStore(),
 	}
-	h.StoreLost = h.Reading && !g.directory.Following()
+	h.StoreLost = h.Reading && !g.options.Directory.Following()
 	p.Heartbeat = h
 	g.mu.Lock()
 	g.announced = announcement{version: p.Version, revision: p.Revision, storeLost: h.StoreLost}
@@ -29,8 +29,8 @@
 // announceChanges sends a heartbeat ahead of its time if what was announced has
 // changed.
 func (g *Group) announceChanges(now time.Time) {
-	version, revision := g.directory.Versions()
-	lost := g.directory.ReadsStore() && !g.directory.Following()
+	version, revision := g.options.Directory.Versions()
+	lost := g.options.Directory.ReadsStore() && !g.options.Directory.Following()
 	g.mu.Lock()
 	changed := g.announced != announcement{version: version, revision: revision, storeLost: lost}
 	g.mu.Unlock()
--- a/internal/direct/peers/member.go
+++ b/internal/direct/peers/member.go
@@ -79,7 +79,7 @@
 	}
 	g.mu.Unlock()
 	for _, owner := range gone {
-		g.listener.MemberGone(owner)
+		g.options.Listener.MemberGone(owner)
 	}
 }
 
--- a/internal/direct/peers/receive.go
+++ b/internal/direct/peers/receive.go
@@ -20,7 +20,7 @@
 			log.With("address", from.String()).With("reason", err.Error()).Limited("packet", "A datagram can't be read and is left out.")
 			continue
 		}
-		if p.Owner == 0 || p.Owner == g.owner {
+		if p.Owner == 0 || p.Owner == g.options.Owner {
 			continue // no entry's, or this entry's own
 		}
 		g.take(p, from)
@@ -30,7 +30,7 @@
 // take learns from a packet.
 func (g *Group) take(p packet, from *net.UDPAddr) {
 	now := time.Now()
-	version, revision := g.directory.Versions()
+	version, revision := g.options.Directory.Versions()
 	g.mu.Lock()
 	m, ended := g.meet(p, from, now)
 	if m == nil {
@@ -44,15 +44,15 @@
 	}
 	g.mu.Unlock()
 	if ended != 0 {
-		g.listener.MemberGone(ended)
+		g.options.Listener.MemberGone(ended)
 	}
 	if h := p.Heartbeat; h != nil && h.ConfirmMS >= 0 && p.Version == version {
-		g.directory.Confirm(version, since(now, h.ConfirmMS))
+		g.options.Directory.Confirm(version, since(now, h.ConfirmMS))
 	}
 	if len(p.Events) > 0 {
 		for n := range p.Events {
 			p.Events[n].AgeMS = min(max(p.Events[n].AgeMS, 0), maxEventAge.Milliseconds())
 		}
-		g.listener.TakeEvents(p.Owner, p.Events)
+		g.options.Listener.TakeEvents(p.Owner, p.Events)
 	}
 }
--- a/internal/direct/peers/role.go
+++ b/internal/direct/peers/role.go
@@ -53,7 +53,7 @@
 func (g *Group) role(now time.Time) directory.Role {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	own := readerRank(g.name)
+	own := readerRank(g.options.Name)
 	live, before, failing := 1, 0, 0
 	for _, m := range g.members {
 		if !m.alive(now) || m.name == "" {
--- a/internal/direct/peers/role_test.go
+++ b/internal/direct/peers/role_test.go
@@ -11,11 +11,11 @@
 // ranked returns a group whose own rank is behind the given peers, which are
 // alive and in contact with the source.
 func ranked(now time.Time, membersBefore int) (*Group, []*member) {
-	g := &Group{name: "self", members: map[string]*member{}}
+	g := &Group{options: Options{Name: "self"}, members: map[string]*member{}}
 	var all []*member
 	for n := 0; len(all) < membersBefore; n++ {
 		name := fmt.Sprint("peer-", n)
-		if readerRank(name) > readerRank(g.name) {
+		if readerRank(name) > readerRank(g.options.Name) {
 			continue
 		}
 		p := &member{name: name, owner: 1, lastHeard: now, inContact: true, rank: readerRank(name)}
@@ -67,7 +67,7 @@
 	grow := func(live int) {
 		for n := 0; len(g.members)+1 < live; n++ {
 			name := fmt.Sprint("later-", n)
-			if readerRank(name) > readerRank(g.name) {
+			if readerRank(name) > readerRank(g.options.Name) {
 				g.members[name] = &member{name: name, owner: 1, lastHeard: now, rank: readerRank(name)}
 			}
 		}
--- a/internal/testing/golden/golden.go
+++ b/internal/testing/golden/golden.go
@@ -4,8 +4,8 @@
 package golden
 
 import (
-	"bytes"
 	"encoding/json"
+	"maps"
 	"os"
 	"path/filepath"
 	"slices"
@@ -48,19 +48,13 @@
 // values, sorted, one a line. The elements of a list share the path "[]".
 func Keys(t Test, data []byte) string {
 	t.Helper()
-	d := json.NewDecoder(bytes.NewReader(data))
 	var v any
-	if err := d.Decode(&v); err != nil {
+	if err := json.Unmarshal(data, &v); err != nil {
 		t.Fatalf("golden: %v", err)
 	}
 	found := map[string]bool{}
 	collect(found, "", v)
-	lines := make([]string, 0, len(found))
-	for line := range found {
-		lines = append(lines, line)
-	}
-	slices.Sort(lines)
-	return strings.Join(lines, "\n") + "\n"
+	return strings.Join(slices.Sorted(maps.Keys(found)), "\n") + "\n"
 }
 
 // collect adds the paths below a value.
