--- a/internal/direct/peers/events.go
+++ b/internal/direct/peers/events.go
@@ -4,9 +4,9 @@
 	"net"
 	"time"
 
-	"github.com/fxamacker/cbor/v2"
-
 	"foxcross.dev/foxcross/internal/workers"
+
+	"github.com/fxamacker/cbor/v2"
 )
 
 const (
