--- a/coord/binding/request.go
+++ b/coord/binding/request.go
@@ -20,13 +20,18 @@
 	Prefix       []uint64
 }
 
-// life is the state of a request.
-type life string
+// state is where a request is. Its transitions, by step:
+//
+//	offering  --bind-->    started   if it may run once more
+//	started   --unbind-->  offering
+//	offering  --end-->     ended
+//	started   --end-->     ended
+type state string
 
 const (
-	offering life = "offering" // no start is out
-	started  life = "started"  // one start is out
-	ended    life = "ended"
+	offering state = "offering" // no start is out
+	started  state = "started"  // one start is out
+	ended    state = "ended"
 )
 
 type step string
@@ -52,7 +57,7 @@
 	id         message.RequestID
 	accepted   time.Time
 	waits      time.Time // since when it waits for a start
-	state      life
+	state      state
 	attempt    message.Attempt
 	offers     map[string]offer
 	startedAt  string // agent that has the start
@@ -61,7 +66,7 @@
 	stuck      bool   // the part can't be continued elsewhere
 	preempted  int
 	failures   int // attempts that failed
-	rounds     int // times all agents were tried in vain
+	rounds     int // times all agents were asked and none took it
 	nextWiden  time.Time
 	lastToken  time.Time
 	wake       time.Time
@@ -70,14 +75,15 @@
 
 type requestKey struct{}
 
-// machine is shared by all requests: the state lives in the request.
-var machine = lifeMachine()
+// machine is shared by all requests: the state is read from and written to the request
+// in the context.
+var machine = transitions()
 
-func lifeMachine() *stateless.StateMachine {
+func transitions() *stateless.StateMachine {
 	m := stateless.NewStateMachineWithExternalStorage(
 		func(ctx context.Context) (stateless.State, error) { return requestOf(ctx).state, nil },
 		func(ctx context.Context, s stateless.State) error {
-			requestOf(ctx).state = s.(life)
+			requestOf(ctx).state = s.(state)
 			return nil
 		},
 		stateless.FiringImmediate,
@@ -138,8 +144,8 @@
 // giveUpAt returns when a request that was not started is refused.
 func (r *request) giveUpAt() time.Time { return r.waits.Add(r.GiveUp) }
 
-// Before orders requests by the time they want to be looked at.
+// Before orders requests by the time at which they are due.
 func (r *request) Before(o *request) bool { return r.wake.Before(o.wake) }
 
-// Moved notes the place in the heap of wake times.
+// Moved takes in the place in the heap of wake times.
 func (r *request) Moved(place int) { r.place = place }
