--- a/internal/docs_test.go
+++ b/internal/docs_test.go
@@ -20,6 +20,8 @@
 	program = regexp.MustCompile(`(?:go (?:run|test|build)[^\n]*?)(\./(?:internal|coord|platform|cmd|examples)/[\w./-]+)`)
 	// testName is a Go test that a page names.
 	testName = regexp.MustCompile(`^Test[A-Z]\w+$`)
+	// specification is a specification that docs/PROMISES.md names by its text.
+	specification = regexp.MustCompile(`"([a-z][^"\n]{7,})"`)
 )
 
 // pages returns the names of all pages below the root.
@@ -38,16 +40,18 @@
 	return all
 }
 
-// testNames returns the names of all Go tests.
-func testNames(t *testing.T) map[string]bool {
+// testsOf returns the names of all Go tests, and their text.
+func testsOf(t *testing.T) (names map[string]bool, text string) {
 	t.Helper()
-	names := map[string]bool{}
+	names = map[string]bool{}
+	var all strings.Builder
 	declaration := regexp.MustCompile(`(?m)^func (Test\w+)\(`)
 	err := filepath.WalkDir("..", func(name string, _ fs.DirEntry, err error) error {
 		if err != nil || !strings.HasSuffix(name, "_test.go") {
 			return err
 		}
 		data, err := os.ReadFile(name)
+		all.Write(data)
 		for _, m := range declaration.FindAllStringSubmatch(string(data), -1) {
 			names[m[1]] = true
 		}
@@ -56,7 +60,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return names
+	return names, all.String()
 }
 
 func exists(name string) bool {
@@ -66,7 +70,7 @@
 
 // TestPages holds that links, paths, programs and tests that pages name exist.
 func TestPages(t *testing.T) {
-	tests := testNames(t)
+	tests, testText := testsOf(t)
 	for _, page := range pages(t) {
 		data, err := os.ReadFile(page)
 		if err != nil {
@@ -86,6 +90,13 @@
 				t.Errorf("%s names the test %s, which does not exist", page, m[1])
 			}
 		}
+		if filepath.Base(page) == "PROMISES.md" {
+			for _, m := range specification.FindAllStringSubmatch(text, -1) {
+				if !strings.Contains(testText, m[1]) {
+					t.Errorf("%s names the specification %q, which does not exist", page, m[1])
+				}
+			}
+		}
 		for _, m := range program.FindAllStringSubmatch(text, -1) {
 			if !exists(filepath.Join("..", strings.TrimSuffix(m[1], "/..."))) {
 				t.Errorf("%s runs %s, which does not exist", page, m[1])
