--- a/internal/relay/claims/partition.go
+++ b/internal/relay/claims/partition.go
@@ -10,6 +10,7 @@
 	"foxcross.dev/coord/claim"
 	"foxcross.dev/foxcross/internal/relay/kv"
 	"foxcross.dev/foxcross/internal/storeerr"
+	"foxcross.dev/foxcross/internal/workers"
 
 	"github.com/fxamacker/cbor/v2"
 )
@@ -36,10 +37,12 @@
 	p.mu.Lock()
 	if len(p.releases) < maxWaiting {
 		p.releases = append(p.releases, q)
+	} else {
+		log.Limited("release", "Too many keys wait to be released; one stays claimed until it is forgotten.")
 	}
 	p.mu.Unlock()
 	select {
-	case p.waiting <- nil: // wakes run
+	case p.waiting <- nil: // lets run look at the releases
 	default:
 	}
 }
@@ -63,7 +66,7 @@
 		} else {
 			batch = nil
 		}
-		if !pause(ctx, p.options.pace()) {
+		if !workers.Sleep(ctx, p.options.pace()) {
 			return
 		}
 	}
@@ -102,17 +105,6 @@
 	return kept
 }
 
-func pause(ctx context.Context, d time.Duration) bool {
-	timer := time.NewTimer(d)
-	defer timer.Stop()
-	select {
-	case <-timer.C:
-		return true
-	case <-ctx.Done():
-		return false
-	}
-}
-
 // step reads the head if needed, moves it on if due, and swaps the batch in.
 // After an error nothing is known; the same batch may be tried again, since a
 // claim that is stored already is found by its nonce.
--- a/internal/relay/config/config.go
+++ b/internal/relay/config/config.go
@@ -36,41 +36,47 @@
 	KeyHash string `json:"key_hash"` // hash of the operators' bearer key
 }
 
-// Entry are the settings of an entry process.
+// Entry are the settings of an entry process. A number that is 0 or missing stands for
+// its default, which is named beside it.
 type Entry struct {
-	Name           string     `json:"name"`
-	DataCentre     string     `json:"data_centre"`
-	Listen         string     `json:"listen"`
-	Admin          Admin      `json:"admin"`
-	TLS            keys.Files `json:"tls"`
-	Platform       Platform   `json:"platform"`
-	Log            Log        `json:"log"`
-	MaxBodyBytes   int        `json:"most_body_bytes"`
-	MaxRequests    int        `json:"most_requests"`
-	MaxAgents      int        `json:"most_agents"` // connections to agents
-	Fanout         int        `json:"fanout"`
-	StopGraceMS    int        `json:"stop_grace_ms"`    // between not ready and refusing
-	StopTimeoutMS  int        `json:"stop_timeout_ms"`  // for running answers
-	MemberListMS   int        `json:"member_list_ms"`   // between reads of the list
-	ClaimPaceMS    int        `json:"claim_pace_ms"`    // least time between swaps of a partition
-	ClaimPeriodMS  int        `json:"claim_period_ms"`  // the same at all entries
-	ClaimRetain    int        `json:"claim_retain"`     // periods; the same at all entries
-	ClaimPartition int        `json:"claim_partitions"` // the same at all entries
+	Name       string     `json:"name"`
+	DataCentre string     `json:"data_centre"`
+	Listen     string     `json:"listen"` // address for callers
+	Admin      Admin      `json:"admin"`
+	TLS        keys.Files `json:"tls"`
+	Platform   Platform   `json:"platform"`
+	Log        Log        `json:"log"`
+
+	MaxBodyBytes int `json:"most_body_bytes"` // of a request; entry.DefaultMaxBody
+	MaxRequests  int `json:"most_requests"`   // open at once; binding.DefaultRequests
+	MaxAgents    int `json:"most_agents"`     // connections to agents; subset.Default
+	Fanout       int `json:"fanout"`          // agents that a request is offered to at once; binding.DefaultFanout
+
+	StopGraceMS   int `json:"stop_grace_ms"`   // between not ready and refusing; DefaultStopGrace
+	StopTimeoutMS int `json:"stop_timeout_ms"` // for running answers; DefaultStopTimeout
+	MemberListMS  int `json:"member_list_ms"`  // between reads of the list; entry.DefaultListInterval
+
+	ClaimPaceMS    int `json:"claim_pace_ms"`    // shortest time between swaps of a partition; by the number of entries
+	ClaimPeriodMS  int `json:"claim_period_ms"`  // the same at all entries; claims.DefaultPeriod
+	ClaimRetain    int `json:"claim_retain"`     // periods, the same at all entries; claims.DefaultRetain
+	ClaimPartition int `json:"claim_partitions"` // the same at all entries; claims.DefaultPartitions
 }
 
-// Agent are the settings of an agent process.
+// Agent are the settings of an agent process. A number that is 0 or missing stands for
+// its default, which is named beside it.
 type Agent struct {
-	Name          string     `json:"name"`
-	DataCentre    string     `json:"data_centre"`
-	Listen        string     `json:"listen"`
-	Admin         Admin      `json:"admin"`
-	TLS           keys.Files `json:"tls"`
-	Log           Log        `json:"log"`
-	Endpoints     []Endpoint `json:"endpoints"`
-	QueueBound    int        `json:"queue_bound"`
-	HoldMS        int        `json:"hold_ms"`
-	HeartbeatMS   int        `json:"heartbeat_ms"`
-	StopTimeoutMS int        `json:"stop_timeout_ms"`
+	Name       string     `json:"name"`
+	DataCentre string     `json:"data_centre"`
+	Listen     string     `json:"listen"` // address for entries
+	Admin      Admin      `json:"admin"`
+	TLS        keys.Files `json:"tls"`
+	Log        Log        `json:"log"`
+	Endpoints  []Endpoint `json:"endpoints"`
+
+	QueueBound    int `json:"queue_bound"`     // offers that wait for one target; queue.DefaultBound
+	HoldMS        int `json:"hold_ms"`         // that a slot waits for its start; dispatch.DefaultHold
+	HeartbeatMS   int `json:"heartbeat_ms"`    // between reports to each entry; agent.DefaultHeartbeat
+	StopTimeoutMS int `json:"stop_timeout_ms"` // for running work; DefaultStopTimeout
 }
 
 // Endpoint is one engine or plain service beside an agent.
--- a/internal/relay/entry/agents.go
+++ b/internal/relay/entry/agents.go
@@ -7,6 +7,7 @@
 	"foxcross.dev/coord/message"
 	"foxcross.dev/foxcross/internal/relay/kv"
 	"foxcross.dev/foxcross/internal/relay/link"
+	"foxcross.dev/foxcross/internal/workers"
 
 	"github.com/cenkalti/backoff/v5"
 )
@@ -103,12 +104,7 @@
 		} else {
 			log.Debugf("Agent %s can't be reached: %v.", p.name, err)
 		}
-		timer := time.NewTimer(wait.NextBackOff())
-		select {
-		case <-ctx.Done():
-		case <-timer.C:
-		}
-		timer.Stop()
+		workers.Sleep(ctx, wait.NextBackOff())
 	}
 }
 
--- a/internal/relay/kv/httpkv/client.go
+++ b/internal/relay/kv/httpkv/client.go
@@ -56,27 +56,35 @@
 	return &client{base: base, http: &http.Client{Transport: transport}}, nil
 }
 
+// question is one call.
+type question struct {
+	method   string
+	path     string
+	query    url.Values
+	body     []byte // nil for none
+	revision uint64 // that a swap names
+}
+
 // answer is the part of an HTTP answer that the client needs.
 type answer struct {
-	status   int
 	body     []byte
 	revision uint64
 }
 
 // call makes one call. An error before a connection means that nothing was
 // done; any later one leaves the outcome open.
-func (c *client) call(ctx context.Context, method, path string, query url.Values, body []byte, revision uint64) (answer, error) {
-	to := c.base.JoinPath(path)
-	to.RawQuery = query.Encode()
+func (c *client) call(ctx context.Context, q question) (answer, error) {
+	to := c.base.JoinPath(q.path)
+	to.RawQuery = q.query.Encode()
 	var reader io.Reader
-	if body != nil {
-		reader = struct{ io.Reader }{bytes.NewReader(body)} // never sent twice by the library
+	if q.body != nil {
+		reader = struct{ io.Reader }{bytes.NewReader(q.body)} // never sent twice by the library
 	}
-	request, err := http.NewRequestWithContext(ctx, method, to.String(), reader)
+	request, err := http.NewRequestWithContext(ctx, q.method, to.String(), reader)
 	if err != nil {
 		return answer{}, err
 	}
-	request.Header.Set(RevisionField, strconv.FormatUint(revision, 10))
+	request.Header.Set(RevisionField, strconv.FormatUint(q.revision, 10))
 	response, err := c.http.Do(request)
 	var dial *net.OpError
 	if errors.As(err, &dial) && dial.Op == "dial" {
@@ -91,7 +99,14 @@
 		return answer{}, err
 	}
 	number, _ := strconv.ParseUint(response.Header.Get(RevisionField), 10, 64) // absent is 0
-	return answer{status: response.StatusCode, body: data, revision: number}, statusError(response.StatusCode)
+	return answer{body: data, revision: number}, statusError(response.StatusCode)
+}
+
+// brief is call within callTimeout.
+func (c *client) brief(ctx context.Context, q question) (answer, error) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
+	return c.call(ctx, q)
 }
 
 func statusError(status int) error {
@@ -111,17 +126,13 @@
 
 // Get returns a value.
 func (c *client) Get(ctx context.Context, key string) (kv.Value, error) {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
-	defer cancel()
-	a, err := c.call(ctx, http.MethodGet, ValuePath+key, nil, nil, 0)
+	a, err := c.brief(ctx, question{method: http.MethodGet, path: ValuePath + key})
 	return kv.Value{Data: a.body, Revision: a.revision}, err
 }
 
 // Members returns the member list.
 func (c *client) Members(ctx context.Context) ([]kv.Member, error) {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
-	defer cancel()
-	a, err := c.call(ctx, http.MethodGet, MembersPath, nil, nil, 0)
+	a, err := c.brief(ctx, question{method: http.MethodGet, path: MembersPath})
 	if err != nil {
 		return nil, err
 	}
@@ -132,18 +143,16 @@
 
 // Swap stores a value on a revision.
 func (c *client) Swap(ctx context.Context, key string, data []byte, revision uint64) (uint64, error) {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
-	defer cancel()
 	if data == nil {
 		data = []byte{}
 	}
-	a, err := c.call(ctx, http.MethodPut, ValuePath+key, nil, data, revision)
+	a, err := c.brief(ctx, question{method: http.MethodPut, path: ValuePath + key, body: data, revision: revision})
 	return a.revision, err
 }
 
-// Watch waits for a later revision.
+// Watch waits for a later revision, for as long as ctx allows.
 func (c *client) Watch(ctx context.Context, key string, after uint64) (kv.Value, error) {
 	query := url.Values{"after": {strconv.FormatUint(after, 10)}}
-	a, err := c.call(ctx, http.MethodGet, ValuePath+key, query, nil, 0)
+	a, err := c.call(ctx, question{method: http.MethodGet, path: ValuePath + key, query: query})
 	return kv.Value{Data: a.body, Revision: a.revision}, err
 }
--- a/internal/relay/versions/holder.go
+++ b/internal/relay/versions/holder.go
@@ -1,6 +1,7 @@
-// Package versions keeps the settings tree in force in a process, fetches newer
-// versions from the platform or from peers, and commits changes. A process
-// never goes back to a lower version.
+// Package versions keeps the settings tree that is in force in a process, fetches newer
+// versions from the platform's key-value service or from the process at the other end of
+// a connection (the peer), and commits operators' changes. A process never goes back to
+// a lower version.
 package versions
 
 import (
@@ -31,11 +32,11 @@
 //
 // Lock order: Holder.order, then Holder.mu.
 type Holder struct {
-	// Carry makes the process keep versions for its peers only: parts are
-	// checked by their hashes and never made into a tree.
+	// Carry makes the process keep versions only to hand them on: parts are checked by
+	// their hashes and never made into a tree.
 	Carry bool
 
-	order    sync.Mutex // versions are announced in the order they come in force
+	order    sync.Mutex // held while changed is called, so that versions come in order
 	mu       sync.Mutex
 	state    State
 	fetching uint64 // version that is being fetched from a peer, 0 for none
@@ -59,8 +60,8 @@
 	h.changed = append(h.changed, f)
 }
 
-// Adopt takes a root and its parts if they are newer than what is in force,
-// complete and valid. It tells whether the root is now in force.
+// Adopt puts a version in force if it is newer than the one in force, complete and
+// valid. It returns whether it did.
 func (h *Holder) Adopt(r settings.Root, parts settings.Parts) (bool, error) {
 	held := h.merge(r, parts)
 	if h.Carry {
@@ -142,11 +143,11 @@
 	}
 	var r settings.Root
 	if err := json.Unmarshal(reply.Root, &r); err != nil {
-		log.Warnf("A peer's root is damaged: %v.", err)
+		log.Warnf("A peer's root of version %d can't be read: %v.", version, err)
 		return
 	}
 	if _, err := h.Adopt(r, reply.Parts); err != nil {
-		log.Warnf("A peer's version %d was not taken: %v.", r.Version, err)
+		log.Warnf("Version %d of a peer can't be put in force: %v.", r.Version, err)
 	}
 }
 
--- a/internal/relay/versions/store.go
+++ b/internal/relay/versions/store.go
@@ -12,6 +12,7 @@
 	"foxcross.dev/coord/settings"
 	"foxcross.dev/foxcross/internal/relay/kv"
 	"foxcross.dev/foxcross/internal/storeerr"
+	"foxcross.dev/foxcross/internal/workers"
 
 	"github.com/cenkalti/backoff/v5"
 )
@@ -27,12 +28,16 @@
 	// maxRebases bounds how often a change is made anew after another operator's.
 	// Chosen, not measured.
 	maxRebases = 8
+	// maxRetryDelay is the longest time between two tries to follow the root. Chosen,
+	// not measured.
+	maxRetryDelay = 5 * time.Second
 	// maxReads bounds the reads of a root to learn the outcome of a swap whose answer
 	// was lost. Chosen, not measured.
 	maxReads = 6
 )
 
-// Store is the settings in the platform's key-value service.
+// Store is the settings in the platform's key-value service: a root that names the
+// parts of the version in force, and the parts by their content hash.
 type Store struct {
 	KeyValue kv.KeyValue
 	Holder   *Holder
@@ -41,12 +46,12 @@
 	Watches  func() bool   // whether this process watches the root, nil for yes
 }
 
-// readEvery is how often a process that does not watch reads the root. Versions
+// readInterval is how often a process that does not watch reads the root. Versions
 // reach it sooner through other processes; this covers the case that none has them.
 // Derived: below the 11 s in which a change has to be in force.
-const readEvery = 9 * time.Second
+const readInterval = 9 * time.Second
 
-// Load reads the newest version and takes it. It returns the revision of the
+// Load reads the newest version and puts it in force. It returns the revision of the
 // root for a watch.
 func (s *Store) Load(ctx context.Context) (uint64, error) {
 	v, err := s.KeyValue.Get(ctx, rootKey)
@@ -59,6 +64,8 @@
 	return v.Revision, s.take(ctx, v)
 }
 
+// take puts the version of a root in force, if it is newer, after reading the parts
+// that are not held.
 func (s *Store) take(ctx context.Context, v kv.Value) error {
 	r, err := parseRoot(v)
 	if err != nil {
@@ -95,16 +102,16 @@
 	return parts, nil
 }
 
-// Watch takes each new version until ctx is done, through outages.
+// Watch puts each new version in force until ctx is done, through outages.
 func (s *Store) Watch(ctx context.Context) {
 	wait := backoff.NewExponentialBackOff()
-	wait.MaxInterval = 5 * time.Second
+	wait.MaxInterval = maxRetryDelay
 	var revision uint64
 	for ctx.Err() == nil {
 		next, err := s.follow(ctx, revision)
 		if err != nil {
 			log.Debugf("The root can't be followed: %v.", err)
-			pause(ctx, wait.NextBackOff())
+			workers.Sleep(ctx, wait.NextBackOff())
 			continue
 		}
 		wait.Reset()
@@ -112,11 +119,12 @@
 	}
 }
 
-// follow takes the next version: from a watch, or from a read now and then.
+// follow puts the next version in force: from a watch or, if this process does not
+// watch, from a read each readInterval.
 func (s *Store) follow(ctx context.Context, revision uint64) (uint64, error) {
 	if s.Watches != nil && !s.Watches() {
 		next, err := s.Load(ctx)
-		pause(ctx, readEvery)
+		workers.Sleep(ctx, readInterval)
 		return next, err
 	}
 	v, err := s.KeyValue.Watch(ctx, rootKey, revision)
@@ -126,13 +134,6 @@
 	return v.Revision, s.take(ctx, v)
 }
 
-func pause(ctx context.Context, d time.Duration) {
-	select {
-	case <-ctx.Done():
-	case <-time.After(d):
-	}
-}
-
 // Change is what an operator wants.
 type Change struct {
 	Base   uint64 // version the change was made on
@@ -150,7 +151,7 @@
 	}
 	id := s.NewID()
 	for range maxRebases {
-		newest, revision, err := s.newest(ctx)
+		newest, err := s.newest(ctx)
 		if err != nil {
 			return settings.Root{}, err
 		}
@@ -161,7 +162,7 @@
 		if err != nil {
 			return settings.Root{}, err
 		}
-		root, err := s.try(ctx, tree, newest.Root, revision, settings.Root{
+		root, err := s.replace(ctx, newest, tree, settings.Root{
 			Change: id, Author: c.Author, Note: c.Note, At: s.Now().UTC(),
 		})
 		if !errors.Is(err, kv.ErrConflict) {
@@ -171,23 +172,31 @@
 	return settings.Root{}, result.Errorf(result.SettingsConflict, "other changes kept coming first; try again")
 }
 
-// newest returns the stored version and the revision of its root.
-func (s *Store) newest(ctx context.Context) (State, uint64, error) {
+// stored is a version as the key-value service holds it.
+type stored struct {
+	Root     settings.Root
+	Tree     settings.Tree
+	revision uint64 // of the root's value, 0 for none
+}
+
+// newest returns the stored version that is in force.
+func (s *Store) newest(ctx context.Context) (stored, error) {
 	v, err := s.KeyValue.Get(ctx, rootKey)
 	if errors.Is(err, storeerr.ErrNotFound) {
-		return State{}, 0, nil
+		return stored{}, nil
 	}
 	if err != nil {
-		return State{}, 0, unavailable(err)
+		return stored{}, unavailable(err)
 	}
 	r, err := parseRoot(v)
 	if err != nil {
-		return State{}, 0, err
+		return stored{}, err
 	}
 	tree, err := s.treeOf(ctx, r)
-	return State{Root: r, Tree: tree}, v.Revision, err
+	return stored{Root: r, Tree: tree, revision: v.Revision}, err
 }
 
+// unavailable returns an error of the key-value service with its code.
 func unavailable(err error) error {
 	return result.Errorf(result.StoreUnavailable, "%v", err)
 }
@@ -237,30 +246,31 @@
 	return parseRoot(v)
 }
 
-// try writes the parts, files the root it replaces, and swaps the root.
-func (s *Store) try(ctx context.Context, t settings.Tree, old settings.Root, revision uint64, r settings.Root) (settings.Root, error) {
+// replace puts a tree in force in place of the old version: it writes the parts, keeps
+// the old root under its number, and swaps the root. It returns kv.ErrConflict if
+// another change came first.
+func (s *Store) replace(ctx context.Context, old stored, t settings.Tree, r settings.Root) (settings.Root, error) {
 	if _, err := settings.Compile(t); err != nil {
 		return settings.Root{}, err
 	}
-	r.Version = old.Version + 1
-	r.Parent = old.Version
+	r.Version = old.Root.Version + 1
+	r.Parent = old.Root.Version
 	r, parts, err := settings.Split(t, r)
 	if err != nil {
 		return settings.Root{}, err
 	}
-	if err := s.writeParts(ctx, parts, old); err != nil {
+	if err := s.writeParts(ctx, parts, old.Root); err != nil {
 		return settings.Root{}, unavailable(err)
 	}
-	if err := s.file(ctx, old); err != nil {
+	if err := s.keepRoot(ctx, old.Root); err != nil {
 		return settings.Root{}, unavailable(err)
 	}
 	data, err := json.Marshal(r)
 	if err != nil {
 		return settings.Root{}, err
 	}
-	_, err = s.KeyValue.Swap(ctx, rootKey, data, revision)
-	if err != nil {
-		err = s.settle(ctx, r, err)
+	if _, err = s.KeyValue.Swap(ctx, rootKey, data, old.revision); err != nil {
+		err = s.outcomeOf(ctx, r, err)
 	}
 	if err != nil {
 		return settings.Root{}, err
@@ -286,8 +296,8 @@
 	return nil
 }
 
-// file keeps a root under its number before another replaces it.
-func (s *Store) file(ctx context.Context, r settings.Root) error {
+// keepRoot keeps a root under its number before another replaces it.
+func (s *Store) keepRoot(ctx context.Context, r settings.Root) error {
 	if r.Version == 0 {
 		return nil
 	}
@@ -311,9 +321,10 @@
 	return err
 }
 
-// settle finds out whether a swap that returned an error took effect. It looks
-// for the change's own id in the root in force and those before it.
-func (s *Store) settle(ctx context.Context, r settings.Root, cause error) error {
+// outcomeOf finds out whether a swap that returned an error took effect, by the
+// change's id in the root of its version: nil if it did, kv.ErrConflict if not, and
+// SettingsUnknown if that can't be learned.
+func (s *Store) outcomeOf(ctx context.Context, r settings.Root, cause error) error {
 	if errors.Is(cause, kv.ErrConflict) || errors.Is(cause, storeerr.ErrUnavailable) {
 		return storeError(cause)
 	}
@@ -329,7 +340,7 @@
 		case errors.As(err, &code) && code.Code == result.SettingsVersion:
 			return kv.ErrConflict // not stored; may be tried again
 		}
-		pause(ctx, wait.NextBackOff())
+		workers.Sleep(ctx, wait.NextBackOff())
 	}
 	unknown := result.Errorf(result.SettingsUnknown, "the swap of version %d was not answered: %v", r.Version, cause)
 	unknown.Run = result.Unknown
