--- a/examples/soak/main.go
+++ b/examples/soak/main.go
@@ -80,7 +80,7 @@
 func play(o options, program, folder string, seed uint64) (soak.Report, error) {
 	only := o.Only
 	if o.Planned {
-		only = soak.Planned
+		only = soak.Planned()
 	}
 	own := filepath.Join(folder, fmt.Sprint("seed-", seed))
 	if err := os.MkdirAll(own, 0o700); err != nil {
--- a/internal/testing/soak/faults.go
+++ b/internal/testing/soak/faults.go
@@ -1,9 +1,7 @@
 package soak
 
 import (
-	"context"
 	"net/http"
-	"slices"
 	"sync"
 	"syscall"
 	"time"
@@ -11,87 +9,68 @@
 	"foxcross.dev/foxcross/internal/testing/standin/platformtest"
 )
 
-// fault is something that goes wrong. It returns when it is over; several may
-// go on at once.
+// fault is something that goes wrong. Several may go on at once.
 type fault struct {
-	name  string
+	name    string
+	attacks []Promise
+	planned bool // whether it is planned work, by which nothing may be lost
+	// apply returns when the fault is over. The amount, from 0 to 1, says how
+	// badly it strikes.
 	apply func(d *deployment, amount float64)
 }
 
-// faults are all that may strike. The amount, from 0 to 1, says how badly.
+// faults are all that may strike, with the promises that each of them attacks.
+// A seed draws them by their places in the list: a new fault goes to its end.
 var faults = []fault{
-	{"kill an entry", func(d *deployment, _ float64) { d.restart(syscall.SIGKILL) }},
-	{"stop an entry", func(d *deployment, _ float64) { d.restart(syscall.SIGTERM) }},
-	{"freeze an entry", freeze},
-	{"reload an entry", reload},
-	{"kill all entries", killAll},
-	{"store busy", func(d *deployment, amount float64) { d.breakStore(platformtest.Busy, amount) }},
-	{"store turns away", func(d *deployment, amount float64) { d.breakStore(platformtest.Many, amount) }},
-	{"store resets", func(d *deployment, amount float64) { d.breakStore(platformtest.Reset, amount) }},
-	{"store silent", func(d *deployment, amount float64) { d.breakStore(platformtest.Silent, amount) }},
-	{"store forgets", func(d *deployment, _ float64) { d.store.Forget() }},
-	{"settings change", changeSettings},
-	{"settings change often", func(d *deployment, amount float64) {
-		for range 2 + int(8*amount) {
-			changeSettings(d, amount)
-			time.Sleep(30 * time.Millisecond)
-		}
-	}},
-	{"endpoint leaves", leave},
-	{"endpoint crashes", crash},
-	{"endpoint comes", func(d *deployment, _ float64) { d.addEndpoint() }},
-	{"answers go wrong", misbehave},
-}
-
-// Planned are the faults that are planned work: nothing may be lost by them.
-var Planned = []string{"stop an entry", "reload an entry", "settings change", "endpoint leaves", "endpoint comes"}
-
-// paces are the longest times between two faults, one of which a run takes.
-var paces = []time.Duration{200 * time.Millisecond, 500 * time.Millisecond, 1500 * time.Millisecond}
+	{"kill an entry", []Promise{OwnAnswer, AtMostOnce, NeverBack, Recovers}, false,
+		func(d *deployment, _ float64) { d.restart(syscall.SIGKILL) }},
+	{"stop an entry", []Promise{OwnAnswer, NotRun, Recovers}, true,
+		func(d *deployment, _ float64) { d.restart(syscall.SIGTERM) }},
+	{"freeze an entry", []Promise{NothingNew, NeverBack, Recovers}, false, freeze},
+	{"reload an entry", []Promise{OwnAnswer, Recovers}, true, reload},
+	{"kill all entries", []Promise{NeverBack, Recovers}, false, killAll},
+	{"store busy", []Promise{NothingNew, NeverBack, Recovers}, false, storeFault(platformtest.Busy)},
+	{"store turns away", []Promise{NothingNew, NeverBack, Recovers}, false, storeFault(platformtest.Many)},
+	{"store resets", []Promise{NothingNew, NeverBack, Recovers}, false, storeFault(platformtest.Reset)},
+	{"store silent", []Promise{NothingNew, NeverBack, Recovers}, false, storeFault(platformtest.Silent)},
+	{"store forgets", []Promise{NeverBack, Recovers}, false,
+		func(d *deployment, _ float64) { d.store.Forget() }},
+	{"settings change", []Promise{Untouched, NeverBack}, true, changeSettings},
+	{"settings change often", []Promise{Untouched, NeverBack, Recovers}, false, changeSettingsOften},
+	{"endpoint leaves", []Promise{OwnAnswer, NothingNew}, true, leave},
+	{"endpoint crashes", []Promise{OwnAnswer, InOrder, AtMostOnce, NotRun}, false, crash},
+	{"endpoint comes", []Promise{OwnAnswer, Untouched}, true,
+		func(d *deployment, _ float64) { d.addEndpoint() }},
+	{"answers go wrong", []Promise{OwnAnswer, InOrder, AtMostOnce, NotRun, Untouched}, false, misbehave},
+}
+
+// How long faults last and what they do, all chosen, not measured.
+const (
+	restartPause    = 100 * time.Millisecond // between an entry's end and its next start
+	shortestFault   = 100 * time.Millisecond // of a freeze, of a failing store
+	longestFreeze   = 2 * time.Second        // beside the shortest
+	longestOutage   = 3 * time.Second        // of the store, beside the shortest
+	longestPresence = time.Second            // of a crashed endpoint in the list
+	changePause     = 30 * time.Millisecond  // between two changes of the settings
+	fewestChanges   = 2                      // of the settings, one after another
+	moreChanges     = 8                      // beside the fewest
+	moreWrong       = 6                      // requests in a row that go wrong, beside the first
+)
 
-// faults returns those that may strike.
-func (o Options) faults() []fault {
-	if len(o.Only) == 0 {
-		return faults
-	}
-	var chosen []fault
-	for _, f := range faults {
-		if slices.Contains(o.Only, f.name) {
-			chosen = append(chosen, f)
-		}
-	}
-	return chosen
-}
-
-// strike lets faults come at random until the time is over and waits for their
-// ends.
-func (d *deployment) strike(ctx context.Context) {
-	var open sync.WaitGroup
-	defer open.Wait()
-	end := time.Now().Add(d.options.Duration)
-	chosen := d.options.faults()
-	pace := paces[d.random.IntN(len(paces))]
-	for time.Now().Before(end) && ctx.Err() == nil {
-		d.mu.Lock()
-		f := chosen[d.random.IntN(len(chosen))]
-		amount := d.random.Float64()
-		rest := time.Duration(d.random.Int64N(int64(pace)))
-		d.faults[f.name]++
-		d.mu.Unlock()
-		open.Go(func() { f.apply(d, amount) })
-		time.Sleep(rest)
-	}
+// lasting returns the shortest time of a fault and a part of the longest.
+func lasting(amount float64, longest time.Duration) time.Duration {
+	return shortestFault + time.Duration(amount*float64(longest))
 }
 
-// calm ends what no fault ends by itself.
-func (d *deployment) calm() {
-	d.store.SetFault(platformtest.Sound)
-	for range d.options.Endpoints {
-		if d.pick(d.options.Endpoints) == nil {
-			d.addEndpoint()
+// Planned returns the names of the faults that are planned work.
+func Planned() []string {
+	var names []string
+	for _, f := range faults {
+		if f.planned {
+			names = append(names, f.name)
 		}
 	}
-	d.configure()
+	return names
 }
 
 // entry returns one of the entries.
@@ -109,7 +88,7 @@
 	defer e.restarting.Unlock()
 	e.signal(s)
 	e.awaitEnd((stopGrace + 1) * time.Second)
-	time.Sleep(100 * time.Millisecond)
+	time.Sleep(restartPause)
 	_ = e.start() // the run ends with an entry that does not recover
 }
 
@@ -133,18 +112,20 @@
 	defer e.restarting.Unlock()
 	e.signal(syscall.SIGSTOP)
 	d.history.disturb(time.Now())
-	time.Sleep(100*time.Millisecond + time.Duration(amount*float64(2*time.Second)))
+	time.Sleep(lasting(amount, longestFreeze))
 	d.history.disturb(time.Now())
 	e.signal(syscall.SIGCONT)
 }
 
-// breakStore lets the store fail for up to three seconds.
-func (d *deployment) breakStore(f platformtest.Fault, amount float64) {
-	d.history.disturb(time.Now())
-	d.store.SetFault(f)
-	time.Sleep(100*time.Millisecond + time.Duration(amount*float64(3*time.Second)))
-	d.store.SetFault(platformtest.Sound)
-	d.history.disturb(time.Now())
+// storeFault lets the store fail in one way and work again.
+func storeFault(f platformtest.Fault) func(d *deployment, amount float64) {
+	return func(d *deployment, amount float64) {
+		d.history.disturb(time.Now())
+		d.store.SetFault(f)
+		time.Sleep(lasting(amount, longestOutage))
+		d.store.SetFault(platformtest.Sound)
+		d.history.disturb(time.Now())
+	}
 }
 
 func changeSettings(d *deployment, _ float64) {
@@ -154,6 +135,13 @@
 	d.configure()
 }
 
+func changeSettingsOften(d *deployment, amount float64) {
+	for range fewestChanges + int(moreChanges*amount) {
+		changeSettings(d, amount)
+		time.Sleep(changePause)
+	}
+}
+
 // leave lets an endpoint say that it leaves, and end later.
 func leave(d *deployment, _ float64) {
 	e := d.pick(2)
@@ -183,7 +171,7 @@
 	e.gone = true
 	d.mu.Unlock()
 	e.runner.Close()
-	time.Sleep(time.Duration(amount * float64(time.Second)))
+	time.Sleep(time.Duration(amount * float64(longestPresence)))
 	d.store.Lose(e.runner)
 	d.addEndpoint()
 }
@@ -210,7 +198,7 @@
 	if e == nil {
 		return
 	}
-	for range 1 + int(6*amount) {
+	for range 1 + int(moreWrong*amount) {
 		d.mu.Lock()
 		a := wrongs[d.random.IntN(len(wrongs))]
 		d.mu.Unlock()
--- a/internal/testing/soak/soak_test.go
+++ b/internal/testing/soak/soak_test.go
@@ -39,7 +39,21 @@
 
 func TestAllFaults(t *testing.T) { play(t, 1, nil) }
 
-func TestPlannedWork(t *testing.T) { play(t, 2, Planned) }
+func TestPlannedWork(t *testing.T) { play(t, 2, Planned()) }
+
+func TestEachPromiseIsAttacked(t *testing.T) {
+	attacked := map[Promise]bool{}
+	for _, f := range faults {
+		for _, p := range f.attacks {
+			attacked[p] = true
+		}
+	}
+	for _, p := range []Promise{OwnAnswer, InOrder, AtMostOnce, NotRun, Untouched, NothingNew, NeverBack, Recovers} {
+		if !attacked[p] {
+			t.Errorf("no fault attacks %q", p)
+		}
+	}
+}
 
 func TestNoSuchFault(t *testing.T) {
 	if _, err := Run(context.Background(), Options{Only: []string{"rain"}}); err == nil {
