--- a/internal/relay/config/config.go
+++ b/internal/relay/config/config.go
@@ -124,15 +124,19 @@
 // ReadEntry reads an entry's file.
 func ReadEntry(path string) (Entry, error) {
 	var c Entry
-	return c, read(path, entrySchema, &c)
+	err := read(path, entrySchema, &c)
+	return c, err
 }
 
 // ReadAgent reads an agent's file.
 func ReadAgent(path string) (Agent, error) {
 	var c Agent
-	return c, read(path, agentSchema, &c)
+	err := read(path, agentSchema, &c)
+	return c, err
 }
 
+// read reads a file into v. A file that does not fit the schema gives an error
+// that names the field.
 func read(path string, schema []byte, v any) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
