--- a/internal/command/check.go
+++ b/internal/command/check.go
@@ -29,8 +29,8 @@
 		if err != nil {
 			return err
 		}
-		place, err := factory().Process()
-		return printChecked(place, err)
+		settings, err := factory().Process()
+		return printChecked(settings, err)
 	}
 }
 
--- a/internal/decisions_test.go
+++ b/internal/decisions_test.go
@@ -66,6 +66,7 @@
 	"platform/prompt.go",
 	"internal/process/listen.go",
 	"internal/process/reload.go",
+	"internal/process/gauges.go",
 	"internal/logs/async.go",
 	"internal/logs/limited.go",
 	"internal/metrics/metrics.go",
--- a/internal/process/agent.go
+++ b/internal/process/agent.go
@@ -16,8 +16,13 @@
 	"foxcross.dev/coord/dispatch"
 )
 
-// RunAgent runs an agent until it is told to stop. It starts the log, the drivers of its
-// endpoints, the agent, the socket for entries, the operators' address, and then serves.
+// RunAgent runs an agent until it is told to stop. It starts, in this order:
+//
+//  1. the settings file, the log and the certificates;
+//  2. the drivers of its endpoints, and the agent, which owns its queues and work;
+//  3. the socket for entries;
+//  4. the operators' address, then entries' connections.
+//
 // At the first signal it takes nothing new and ends after its last work, at the second
 // at once.
 func RunAgent(path string) error {
@@ -33,7 +38,7 @@
 	if err != nil {
 		return err
 	}
-	scope, served, closer := metrics.New("agent")
+	scope, figures, closer := metrics.New("agent")
 	defer func() { _ = closer.Close() }() // the process ends
 	a := agent.New(agent.Options{
 		Name:       c.Name,
@@ -51,7 +56,7 @@
 	}
 	dump := func() any { return a.Dump() }
 	operators, err := listen(c.Admin.Address, admin.Handler(admin.Options{
-		KeyHash: c.Admin.KeyHash, Dump: dump, Metrics: served,
+		KeyHash: c.Admin.KeyHash, Dump: dump, Metrics: figures,
 	}))
 	if err != nil {
 		return err
@@ -78,6 +83,7 @@
 	return a.Stop(stopping)
 }
 
+// localsOf returns the agent's endpoints with their drivers.
 func localsOf(all []config.Endpoint) ([]agent.Local, error) {
 	var locals []agent.Local
 	for _, e := range all {
--- a/internal/process/serve.go
+++ b/internal/process/gateway.go
@@ -40,7 +40,7 @@
 // At the first signal to stop the gateway stops cleanly within the grace; all else
 // ends with the process.
 func RunGateway(driverName string) error {
-	if err := logs.Setup(logs.NewAsync(os.Stdout), "json", "info"); err != nil {
+	if err := logs.Setup(logs.NewAsync(os.Stdout), "json", defaultLevel); err != nil {
 		return err
 	}
 	hangups := make(chan os.Signal, 1)
--- /dev/null
+++ b/internal/process/gauges.go
@@ -0,0 +1,29 @@
+package process
+
+import (
+	"context"
+	"time"
+
+	"foxcross.dev/foxcross/internal/direct/gateway"
+	"foxcross.dev/foxcross/internal/workers"
+
+	"github.com/uber-go/tally/v4"
+)
+
+// gaugeInterval is how often the gauges are updated. Chosen, not measured.
+const gaugeInterval = time.Second
+
+// updateGauges keeps the gauges of the state until ctx is done.
+func updateGauges(ctx context.Context, g *gateway.Gateway, scope tally.Scope) {
+	workers.Every(ctx, gaugeInterval, func(time.Time) {
+		d := g.Dump()
+		following := 0.0
+		if d.Following {
+			following = 1
+		}
+		scope.Gauge("open_requests").Update(float64(d.Open))
+		scope.Gauge("live_entries").Update(float64(d.Entries))
+		scope.Gauge("settings_version").Update(float64(d.Version))
+		scope.Gauge("following_store").Update(following)
+	})
+}
--- /dev/null
+++ b/internal/process/prepare.go
@@ -0,0 +1,26 @@
+package process
+
+import (
+	"crypto/tls"
+	"os"
+
+	"foxcross.dev/foxcross/internal/logs"
+	"foxcross.dev/foxcross/internal/relay/config"
+	"foxcross.dev/foxcross/internal/relay/keys"
+)
+
+// defaultLevel is the level of log lines where the settings name none.
+const defaultLevel = "info"
+
+// prepare sets up the log of a process of the own interface and loads its
+// certificates.
+func prepare(c config.Log, f keys.Files) (*tls.Config, error) {
+	level := c.Level
+	if level == "" {
+		level = defaultLevel
+	}
+	if err := logs.Setup(os.Stderr, c.Form, level); err != nil {
+		return nil, err
+	}
+	return f.Load()
+}
--- a/internal/process/reload.go
+++ b/internal/process/reload.go
@@ -7,9 +7,6 @@
 
 	"foxcross.dev/foxcross/internal/direct/driver"
 	"foxcross.dev/foxcross/internal/direct/gateway"
-	"foxcross.dev/foxcross/internal/workers"
-
-	"github.com/uber-go/tally/v4"
 )
 
 // reloadInterval is how often the settings file is read again: it may change without
@@ -43,21 +40,3 @@
 		inForce = read
 	}
 }
-
-// gaugeInterval is how often the gauges are updated. Chosen, not measured.
-const gaugeInterval = time.Second
-
-// updateGauges keeps the gauges of the state until ctx is done.
-func updateGauges(ctx context.Context, g *gateway.Gateway, scope tally.Scope) {
-	workers.Every(ctx, gaugeInterval, func(time.Time) {
-		d := g.Dump()
-		following := 0.0
-		if d.Following {
-			following = 1
-		}
-		scope.Gauge("open_requests").Update(float64(d.Open))
-		scope.Gauge("live_entries").Update(float64(d.Entries))
-		scope.Gauge("settings_version").Update(float64(d.Version))
-		scope.Gauge("following_store").Update(following)
-	})
-}
--- a/internal/process/signals.go
+++ b/internal/process/signals.go
@@ -1,22 +1,13 @@
-// Package process runs the two programs: it reads their settings, puts the
-// parts together and handles signals.
 package process
 
 import (
 	"context"
-	"crypto/tls"
 	"encoding/json"
 	"os"
 	"os/signal"
 	"syscall"
-
-	"foxcross.dev/foxcross/internal/logs"
-	"foxcross.dev/foxcross/internal/relay/config"
-	"foxcross.dev/foxcross/internal/relay/keys"
 )
 
-var log = logs.For("process")
-
 // stopSignals returns a context that ends with the first signal to stop and one
 // that ends with the second.
 func stopSignals() (first, second context.Context) {
@@ -54,15 +45,3 @@
 		}
 	}()
 }
-
-// prepare sets up the log and loads the process's certificates.
-func prepare(c config.Log, f keys.Files) (*tls.Config, error) {
-	level := c.Level
-	if level == "" {
-		level = "info"
-	}
-	if err := logs.Setup(os.Stderr, c.Form, level); err != nil {
-		return nil, err
-	}
-	return f.Load()
-}
