--- a/coord/binding/binding_test.go
+++ b/coord/binding/binding_test.go
@@ -24,7 +24,7 @@
 	c := &binding.Core{Rand: rand.New(rand.NewPCG(1, 1))}
 	for _, n := range names {
 		c.AgentUp(now, n, time.Millisecond)
-		c.Heartbeat(now, n, message.Heartbeat{Loads: []message.Load{{Target: target, Slots: 4, Free: free, Step: time.Millisecond}}})
+		c.Heartbeat(now, n, message.Heartbeat{Loads: []message.Load{{Target: target, Slots: 4, Free: free, SlotInterval: time.Millisecond}}})
 	}
 	return c
 }
--- a/coord/binding/choose.go
+++ b/coord/binding/choose.go
@@ -118,7 +118,7 @@
 	} else if home {
 		first -= time.Duration(hashSaving * float64(first))
 	}
-	return wait + first + o.slowness(r.Terms) + o.agent.trip/2 + c.jitter(o.load.Step/4)
+	return wait + first + o.slowness(r.Terms) + o.agent.trip/2 + c.jitter(o.load.SlotInterval/4)
 }
 
 // jitter is a random duration below most, so that entries with the same view
@@ -134,7 +134,7 @@
 	over := o.sent - o.load.Free
 	wait := o.load.Wait[tier]
 	if over > 0 {
-		wait += time.Duration(over) * o.load.Step / 2
+		wait += time.Duration(over) * o.load.SlotInterval / 2
 	}
 	if o.load.Preemptible[tier] > 0 {
 		wait /= 2
@@ -153,9 +153,9 @@
 
 // slowness is a penalty for endpoints that miss the target between tokens.
 func (o *route) slowness(t message.Terms) time.Duration {
-	if t.BetweenTokens <= 0 || o.load.Between <= t.BetweenTokens {
+	if t.BetweenTokens <= 0 || o.load.BetweenTokens <= t.BetweenTokens {
 		return 0
 	}
-	over := float64(o.load.Between-t.BetweenTokens) / float64(t.BetweenTokens)
+	over := float64(o.load.BetweenTokens-t.BetweenTokens) / float64(t.BetweenTokens)
 	return time.Duration(min(4, over) * float64(t.FirstToken))
 }
--- a/coord/dispatch/dump.go
+++ b/coord/dispatch/dump.go
@@ -61,9 +61,9 @@
 		d.Targets = append(d.Targets, TargetDump{
 			Target:     n,
 			Queued:     l.Queued,
-			StepMS:     l.Step.Milliseconds(),
+			StepMS:     l.SlotInterval.Milliseconds(),
 			FirstMS:    l.FirstToken.Milliseconds(),
-			BetweenMS:  l.Between.Milliseconds(),
+			BetweenMS:  l.BetweenTokens.Milliseconds(),
 			Classes:    copyCounts(p.classes),
 			QueueBound: c.Bound,
 		})
--- a/coord/dispatch/pool.go
+++ b/coord/dispatch/pool.go
@@ -141,11 +141,11 @@
 // load describes the pool to entries.
 func (p *pool) load(now time.Time) message.Load {
 	l := message.Load{
-		Target:     p.target,
-		Slots:      p.slots(),
-		Step:       p.step(),
-		FirstToken: p.first.or(firstGuess),
-		Between:    p.between.or(0),
+		Target:        p.target,
+		Slots:         p.slots(),
+		SlotInterval:  p.step(),
+		FirstToken:    p.first.or(firstGuess),
+		BetweenTokens: p.between.or(0),
 	}
 	for _, e := range p.endpoints {
 		l.Free += max(0, e.room(now, e.strictest()))
@@ -157,7 +157,7 @@
 	for tier := range l.Wait {
 		l.Queued[tier] = p.queue.LenTier(tier)
 		ahead += l.Queued[tier]
-		l.Wait[tier] = time.Duration(max(0, ahead+1-l.Free)) * l.Step
+		l.Wait[tier] = time.Duration(max(0, ahead+1-l.Free)) * l.SlotInterval
 	}
 	return l
 }
--- a/coord/message/message.go
+++ b/coord/message/message.go
@@ -77,14 +77,14 @@
 // Start hands the body to the one agent that runs the attempt. It opens a
 // stream of its own; chunks and the end come back on that stream.
 type Start struct {
-	Request RequestID `cbor:"1,keyasint"`
-	Attempt Attempt   `cbor:"2,keyasint"`
-	Method  string    `cbor:"3,keyasint,omitempty"` // plain services
-	Path    string    `cbor:"4,keyasint,omitempty"` // plain services, with query
-	Header  []Field   `cbor:"5,keyasint,omitempty"` // plain services
-	Body    []byte    `cbor:"6,keyasint"`
-	Sent    string    `cbor:"7,keyasint,omitempty"` // answer text the caller already has
-	Tokens  int       `cbor:"8,keyasint,omitempty"` // tokens of Sent
+	Request    RequestID `cbor:"1,keyasint"`
+	Attempt    Attempt   `cbor:"2,keyasint"`
+	Method     string    `cbor:"3,keyasint,omitempty"` // plain services
+	Path       string    `cbor:"4,keyasint,omitempty"` // plain services, with query
+	Header     []Field   `cbor:"5,keyasint,omitempty"` // plain services
+	Body       []byte    `cbor:"6,keyasint"`
+	SentText   string    `cbor:"7,keyasint,omitempty"` // answer text the caller already has
+	SentTokens int       `cbor:"8,keyasint,omitempty"` // tokens of SentText
 }
 
 // Field is one HTTP header field.
@@ -112,14 +112,14 @@
 
 // End closes an attempt. An answer without an End with code OK is not whole.
 type End struct {
-	Request RequestID   `cbor:"1,keyasint"`
-	Attempt Attempt     `cbor:"2,keyasint"`
-	Code    result.Code `cbor:"3,keyasint"`
-	Run     result.Run  `cbor:"4,keyasint"`
-	Finish  string      `cbor:"5,keyasint,omitempty"` // the engine's finish reason
-	Reason  string      `cbor:"6,keyasint,omitempty"`
-	Prompt  int         `cbor:"7,keyasint,omitempty"` // tokens of the prompt, as the engine counts
-	Tokens  int         `cbor:"8,keyasint,omitempty"` // tokens of this attempt's part of the answer
+	Request      RequestID   `cbor:"1,keyasint"`
+	Attempt      Attempt     `cbor:"2,keyasint"`
+	Code         result.Code `cbor:"3,keyasint"`
+	Run          result.Run  `cbor:"4,keyasint"`
+	FinishReason string      `cbor:"5,keyasint,omitempty"` // as the engine gives it
+	Reason       string      `cbor:"6,keyasint,omitempty"`
+	PromptTokens int         `cbor:"7,keyasint,omitempty"` // tokens of the prompt, as the engine counts
+	AnswerTokens int         `cbor:"8,keyasint,omitempty"` // tokens of this attempt's part of the answer
 }
 
 // Cancel stops a running attempt.
@@ -133,15 +133,15 @@
 
 // Load is an agent's state for one target.
 type Load struct {
-	Target      string               `cbor:"1,keyasint"`
-	Slots       int                  `cbor:"2,keyasint"`
-	Free        int                  `cbor:"3,keyasint"`
-	Wait        [Tiers]time.Duration `cbor:"4,keyasint"`           // expected wait for a slot, by tier
-	Step        time.Duration        `cbor:"5,keyasint"`           // mean time between two slots that fall free
-	FirstToken  time.Duration        `cbor:"6,keyasint,omitempty"` // measured from start to first token
-	Between     time.Duration        `cbor:"7,keyasint,omitempty"` // measured between tokens
-	Preemptible [Tiers]int           `cbor:"8,keyasint,omitempty"` // running work below each tier that may be stopped
-	Queued      [Tiers]int           `cbor:"9,keyasint,omitempty"`
+	Target        string               `cbor:"1,keyasint"`
+	Slots         int                  `cbor:"2,keyasint"`
+	Free          int                  `cbor:"3,keyasint"`
+	Wait          [Tiers]time.Duration `cbor:"4,keyasint"`           // expected wait for a slot, by tier
+	SlotInterval  time.Duration        `cbor:"5,keyasint"`           // mean time between two slots that fall free
+	FirstToken    time.Duration        `cbor:"6,keyasint,omitempty"` // measured from start to first token
+	BetweenTokens time.Duration        `cbor:"7,keyasint,omitempty"` // measured between tokens
+	Preemptible   [Tiers]int           `cbor:"8,keyasint,omitempty"` // running work below each tier that may be stopped
+	Queued        [Tiers]int           `cbor:"9,keyasint,omitempty"`
 }
 
 // Heartbeat carries an agent's loads; an entry sends it without loads.
--- a/internal/direct/gateway/accept.go
+++ b/internal/direct/gateway/accept.go
@@ -28,10 +28,10 @@
 	body     []byte
 	heldBody int64 // bytes of the entry's capacity that the body takes
 
-	attempts []*attempt // in order
-	first    time.Time  // when the first event was passed on, zero before it
-	last     time.Time  // when the last event was passed on
-	pause    time.Duration
+	attempts []*attempt    // in order
+	first    time.Time     // when the first event was passed on, zero before it
+	last     time.Time     // when the last event was passed on
+	pause    time.Duration // longest between two events
 }
 
 // timeLeft returns the time until the deadline.
--- a/internal/relay/endpoint/chat.go
+++ b/internal/relay/endpoint/chat.go
@@ -42,7 +42,7 @@
 func (e *chat) Run(ctx context.Context, c Call, k Sink) message.End {
 	body, err := chatBody(c)
 	if errors.Is(err, errNothingLeft) {
-		return message.End{Code: result.OK, Run: result.Ran, Finish: finishLength}
+		return message.End{Code: result.OK, Run: result.Ran, FinishReason: finishLength}
 	}
 	if err != nil {
 		return failed(result.NotRun, err.Error())
@@ -84,7 +84,7 @@
 	fields["stream"] = json.RawMessage("true")
 	fields["stream_options"] = json.RawMessage(`{"include_usage":true}`)
 	fields["priority"] = json.RawMessage(fmt.Sprint(c.Terms.Tier))
-	if c.Start.Sent != "" {
+	if c.Start.SentText != "" {
 		if err := continueAnswer(fields, c.Start); err != nil {
 			return nil, err
 		}
@@ -98,7 +98,7 @@
 	if err := json.Unmarshal(fields["messages"], &messages); err != nil {
 		return fmt.Errorf("messages: %w", err)
 	}
-	sent, err := json.Marshal(chatMessage{Role: "assistant", Content: m.Sent})
+	sent, err := json.Marshal(chatMessage{Role: "assistant", Content: m.SentText})
 	if err != nil {
 		return err
 	}
@@ -109,7 +109,7 @@
 	fields["messages"] = joined
 	fields["continue_final_message"] = json.RawMessage("true")
 	fields["add_generation_prompt"] = json.RawMessage("false")
-	return shortenLimit(fields, m.Tokens)
+	return shortenLimit(fields, m.SentTokens)
 }
 
 // shortenLimit takes the tokens already sent off the caller's limit.
@@ -177,12 +177,12 @@
 		return fmt.Errorf("engine: %s", e.Error.Message)
 	}
 	if e.Usage != nil {
-		end.Prompt = e.Usage.Prompt
-		end.Tokens = e.Usage.Completion
+		end.PromptTokens = e.Usage.Prompt
+		end.AnswerTokens = e.Usage.Completion
 	}
 	if text, finish, plain := plainText(e.Choices); plain {
 		if finish != "" {
-			end.Finish = finish
+			end.FinishReason = finish
 		}
 		if text == "" {
 			return nil
--- a/internal/relay/endpoint/endpoint_test.go
+++ b/internal/relay/endpoint/endpoint_test.go
@@ -84,7 +84,7 @@
 	It("reads a whole answer", func() {
 		s, end := run(driver("openai", (&standin.Engine{}).Handler()), message.Start{Body: []byte(body)})
 		Expect(end.Code).To(Equal(result.OK))
-		Expect(end.Finish).To(Equal("stop"))
+		Expect(end.FinishReason).To(Equal("stop"))
 		Expect(s.text.String()).To(Equal(standin.AnswerText([]string{"hi"}, 12)))
 		Expect(s.tokens).To(Equal(12))
 	})
@@ -92,7 +92,7 @@
 	It("continues an answer where it broke off", func() {
 		tokens := standin.Answer([]string{"hi"}, 12)
 		sent := strings.Join(tokens[:5], "")
-		s, end := run(driver("openai", (&standin.Engine{}).Handler()), message.Start{Body: []byte(body), Sent: sent, Tokens: 5})
+		s, end := run(driver("openai", (&standin.Engine{}).Handler()), message.Start{Body: []byte(body), SentText: sent, SentTokens: 5})
 		Expect(end.Code).To(Equal(result.OK))
 		Expect(sent + s.text.String()).To(Equal(strings.Join(tokens, "")))
 	})
@@ -100,7 +100,7 @@
 	It("asks for nothing when only the end of an answer was lost", func() {
 		engine := &standin.Engine{}
 		sent := standin.AnswerText([]string{"hi"}, 12)
-		s, end := run(driver("openai", engine.Handler()), message.Start{Body: []byte(body), Sent: sent, Tokens: 12})
+		s, end := run(driver("openai", engine.Handler()), message.Start{Body: []byte(body), SentText: sent, SentTokens: 12})
 		Expect(end.Code).To(Equal(result.OK))
 		Expect(s.text.String()).To(BeEmpty())
 		Expect(engine.Started()).To(BeZero())
--- a/internal/relay/endpoint/golden_test.go
+++ b/internal/relay/endpoint/golden_test.go
@@ -49,7 +49,7 @@
 	It("is what is recorded", func() {
 		chat := endpoint.Call{Target: "m", Terms: message.Terms{Tier: 2}, Start: message.Start{Body: []byte(body)}}
 		resumed := chat
-		resumed.Start.Sent, resumed.Start.Tokens = "so far ", 2
+		resumed.Start.SentText, resumed.Start.SentTokens = "so far ", 2
 		service := endpoint.Call{Target: "service:app", Start: message.Start{
 			Method: http.MethodPost, Path: "/bookings/1?x=y", Header: []message.Field{{Name: "X-Own", Value: "kept"}}, Body: []byte("the body"),
 		}}
--- a/internal/relay/entry/call.go
+++ b/internal/relay/entry/call.go
@@ -157,7 +157,7 @@
 	m := c.start
 	m.Request = c.id
 	m.Attempt = a
-	m.Sent = c.sent.String()
-	m.Tokens = c.tokens
+	m.SentText = c.sent.String()
+	m.SentTokens = c.tokens
 	return m
 }
--- a/internal/relay/entry/chat.go
+++ b/internal/relay/entry/chat.go
@@ -193,7 +193,7 @@
 }
 
 func finishReason(f finished) *string {
-	reason := f.End.Finish
+	reason := f.End.FinishReason
 	if reason == "" {
 		reason = "stop"
 	}
@@ -203,7 +203,7 @@
 func usageOf(f finished, c *call) *chatUsage {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return &chatUsage{Prompt: f.End.Prompt, Completion: c.tokens, Total: f.End.Prompt + c.tokens}
+	return &chatUsage{Prompt: f.End.PromptTokens, Completion: c.tokens, Total: f.End.PromptTokens + c.tokens}
 }
 
 // stream writes the answer as it comes.
--- a/internal/testing/bench/decision_test.go
+++ b/internal/testing/bench/decision_test.go
@@ -30,7 +30,7 @@
 	for n := range agents {
 		name := fmt.Sprint("agent-", n)
 		c.AgentUp(now, name, time.Millisecond)
-		l := message.Load{Target: target, Slots: 64, Free: 64, Step: 30 * time.Millisecond, FirstToken: 100 * time.Millisecond}
+		l := message.Load{Target: target, Slots: 64, Free: 64, SlotInterval: 30 * time.Millisecond, FirstToken: 100 * time.Millisecond}
 		c.Heartbeat(now, name, message.Heartbeat{Loads: []message.Load{l}})
 	}
 	return c
--- a/internal/testing/bench/link_test.go
+++ b/internal/testing/bench/link_test.go
@@ -26,7 +26,7 @@
 	for name, m := range map[string]message.Message{
 		"offer":     message.Offer{Request: 1, Attempt: 1, Target: target, Terms: terms, Prefix: []uint64{1, 2, 3, 4}},
 		"chunk":     message.Chunk{Request: 1, Attempt: 1, Text: " word", Tokens: 1},
-		"heartbeat": message.Heartbeat{Settings: 1, Loads: []message.Load{{Target: target, Slots: 64, Free: 3, Step: time.Millisecond}}},
+		"heartbeat": message.Heartbeat{Settings: 1, Loads: []message.Load{{Target: target, Slots: 64, Free: 3, SlotInterval: time.Millisecond}}},
 	} {
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
--- a/internal/testing/standin/engine.go
+++ b/internal/testing/standin/engine.go
@@ -142,14 +142,14 @@
 	if err := json.Unmarshal(c.Start.Body, &q); err != nil {
 		return message.End{Code: result.EndpointFailed, Run: result.NotRun, Reason: err.Error()}
 	}
-	if c.Start.Sent != "" {
-		q.Messages = append(q.Messages, engineMessage{Role: "assistant", Content: c.Start.Sent})
+	if c.Start.SentText != "" {
+		q.Messages = append(q.Messages, engineMessage{Role: "assistant", Content: c.Start.SentText})
 		q.Continue = true
-		if q.Most > 0 && q.Most <= c.Start.Tokens {
-			return message.End{Code: result.OK, Run: result.Ran, Finish: "length"}
+		if q.Most > 0 && q.Most <= c.Start.SentTokens {
+			return message.End{Code: result.OK, Run: result.Ran, FinishReason: "length"}
 		}
 		if q.Most > 0 {
-			q.Most -= c.Start.Tokens
+			q.Most -= c.Start.SentTokens
 		}
 	}
 	prompt, tokens, done := q.split()
@@ -160,5 +160,5 @@
 	if e.generate(ctx, prompt, tokens, done, func(token string) error { return k.Text(token, 1) }) != whole {
 		return message.End{Code: result.EndpointFailed, Run: result.Ran, Reason: "the answer broke off"}
 	}
-	return message.End{Code: result.OK, Run: result.Ran, Finish: "stop", Tokens: len(tokens) - done}
+	return message.End{Code: result.OK, Run: result.Ran, FinishReason: "stop", AnswerTokens: len(tokens) - done}
 }
