--- a/coord/dispatch/endpoint.go
+++ b/coord/dispatch/endpoint.go
@@ -82,6 +82,17 @@
 	return most
 }
 
+// strictest returns the strictest target that runs, or zero.
+func (e *endpoint) strictest() time.Duration {
+	var least time.Duration
+	for d := range e.targets {
+		if least == 0 || d < least {
+			least = d
+		}
+	}
+	return least
+}
+
 // room returns how many more pieces of work with the target fit.
 func (e *endpoint) room(now time.Time, target time.Duration) int {
 	occupied := e.occupied()
--- a/coord/dispatch/pool.go
+++ b/coord/dispatch/pool.go
@@ -8,7 +8,7 @@
 	"foxcross.dev/coord/queue"
 )
 
-// Weights of the running means.
+// The running means.
 const (
 	// meanWeight is the weight of the newest value in a decayed mean. Chosen, not measured.
 	meanWeight = 0.1
@@ -16,9 +16,6 @@
 	firstGuess = 200 * time.Millisecond
 	// spanGuess is how long a piece of work takes before any is seen. Chosen, not measured.
 	spanGuess = 2 * time.Second
-	// preemptLead is how long before its deadline a request preempts, in the mean time
-	// between two slots that fall free. 0.5 and 1.0 are worse: EXPERIMENTS 9.
-	preemptLead = 1.5
 )
 
 // mean is an exponentially weighted running mean.
@@ -63,15 +60,15 @@
 	return max(1, sum)
 }
 
-// step is the expected time between two slots that fall free.
-func (p *pool) step() time.Duration {
+// slotInterval is the expected time between two slots that fall free.
+func (p *pool) slotInterval() time.Duration {
 	return p.span.or(spanGuess) / time.Duration(p.slots())
 }
 
 func (p *pool) runningOf(class string) int { return p.classes[class] }
 
 func (p *pool) roomFor() queue.Room {
-	return queue.Room{Slots: p.slots(), NextFree: p.step(), Running: p.runningOf}
+	return queue.Room{Slots: p.slots(), NextFree: p.slotInterval(), Running: p.runningOf}
 }
 
 // latestStart returns the latest start that still meets the offer's target.
@@ -143,7 +140,7 @@
 	l := message.Load{
 		Target:        p.target,
 		Slots:         p.slots(),
-		SlotInterval:  p.step(),
+		SlotInterval:  p.slotInterval(),
 		FirstToken:    p.first.or(firstGuess),
 		BetweenTokens: p.between.or(0),
 	}
@@ -161,14 +158,3 @@
 	}
 	return l
 }
-
-// strictest returns the strictest target that runs, or zero.
-func (e *endpoint) strictest() time.Duration {
-	var least time.Duration
-	for d := range e.targets {
-		if least == 0 || d < least {
-			least = d
-		}
-	}
-	return least
-}
--- a/internal/decisions_test.go
+++ b/internal/decisions_test.go
@@ -72,6 +72,7 @@
 	"internal/metrics/metrics.go",
 	"coord/binding/core.go",
 	"coord/binding/choose.go",
+	"coord/dispatch/fill.go",
 	"coord/dispatch/core.go",
 	"coord/dispatch/pool.go",
 	"coord/limit/learned.go",
