--- a/coord/binding/binding_test.go
+++ b/coord/binding/binding_test.go
@@ -31,9 +31,9 @@
 
 func request(repeatable bool) binding.Request {
 	return binding.Request{
-		Target:       target,
-		GiveUp:       10 * time.Second,
-		RetryPermill: 200,
+		Target:        target,
+		GiveUp:        10 * time.Second,
+		RetryPermille: 200,
 		Terms: message.Terms{
 			Class: "c", FirstToken: time.Second, BetweenTokens: time.Second,
 			StallAfter: 5 * time.Second, Repeatable: repeatable,
@@ -234,7 +234,7 @@
 		retries := 0
 		for range 500 {
 			q := request(true)
-			q.RetryPermill = 100
+			q.RetryPermille = 100
 			id, s := started(c, q)
 			end := message.End{Request: id, Attempt: 1, Code: result.EndpointFailed, Run: result.Ran}
 			actions := c.End(now, s.Agent, end)
--- a/coord/binding/request.go
+++ b/coord/binding/request.go
@@ -12,12 +12,12 @@
 
 // Request is what the entry knows of a request when it accepts it.
 type Request struct {
-	Target       string // model or service
-	Terms        message.Terms
-	GiveUp       time.Duration // longest wait for a start
-	RetryPermill int           // retries per thousand fresh requests of the class
-	PromptTokens int
-	Prefix       []uint64
+	Target        string // model or service
+	Terms         message.Terms
+	GiveUp        time.Duration // longest wait for a start
+	RetryPermille int           // retries per thousand fresh requests of the class
+	PromptTokens  int
+	Prefix        []uint64
 }
 
 // state is where a request is. Its transitions, by step:
--- a/coord/binding/retry.go
+++ b/coord/binding/retry.go
@@ -84,7 +84,7 @@
 	if !ok {
 		b = retryBurst
 	}
-	c.budgets[q.Terms.Class] = min(retryBurst, b+float64(q.RetryPermill)/1000)
+	c.budgets[q.Terms.Class] = min(retryBurst, b+float64(q.RetryPermille)/1000)
 }
 
 func (c *Core) spendRetry(r *request) bool {
--- a/coord/queue/class.go
+++ b/coord/queue/class.go
@@ -8,7 +8,7 @@
 )
 
 // idleTeams is how many teams without items a class remembers before it
-// forgets those that hold no lead over the others.
+// forgets those that hold no lead over the others. Chosen, not measured.
 const idleTeams = 64
 
 // class holds the items of one class, shared fairly between its teams.
@@ -30,9 +30,12 @@
 	index   [2]int // place in the class's fresh and late heaps, -1 when absent
 }
 
+// The lists of a team.
 const (
+	// freshList holds the items that can still meet their target.
 	freshList = 0
-	lateList  = 1
+	// lateList holds those that can't.
+	lateList = 1
 )
 
 func listOf(late bool) int {
--- a/coord/settings/route.go
+++ b/coord/settings/route.go
@@ -10,7 +10,7 @@
 
 // RouteInfo is what a class says of requests that are chosen by host and path.
 type RouteInfo struct {
-	Places      []Match // host and prefix of each place that the route covers
+	Matches     []Match // hosts and prefixes that the route covers
 	Split       []Share // at least one service
 	MaxAttempts int     // endpoints that one request may be sent to
 	Streaming   bool
@@ -20,7 +20,7 @@
 }
 
 // Has tells whether the class is a route.
-func (r RouteInfo) Has() bool { return len(r.Places) > 0 }
+func (r RouteInfo) Has() bool { return len(r.Matches) > 0 }
 
 // MayRepeat tells whether a request of the class may run more than once.
 func (c ClassInfo) MayRepeat() bool {
@@ -71,7 +71,7 @@
 	}
 	for _, m := range c.Match {
 		if m.Host != "" {
-			r.Places = append(r.Places, m)
+			r.Matches = append(r.Matches, m)
 		}
 	}
 	if len(r.Split) == 0 && c.Service != "" {
@@ -80,29 +80,28 @@
 	return r
 }
 
-// place is one prefix of a host and the class that covers it.
-type place struct {
+// routePrefix is one prefix of a host and the class that covers it.
+type routePrefix struct {
 	prefix string
 	class  ClassInfo
 }
 
-// routeTable holds the places of each host, the longest prefix first.
-type routeTable map[string][]place
+// routeTable holds the prefixes of each host, the longest first.
+type routeTable map[string][]routePrefix
 
 func (t routeTable) add(c ClassInfo) {
-	for _, m := range c.Route.Places {
-		t[m.Host] = append(t[m.Host], place{prefix: m.Prefix, class: c})
+	for _, m := range c.Route.Matches {
+		t[m.Host] = append(t[m.Host], routePrefix{prefix: m.Prefix, class: c})
 	}
 }
 
 func (t routeTable) sort() {
-	for _, places := range t {
-		slices.SortStableFunc(places, func(a, b place) int { return len(b.prefix) - len(a.prefix) })
+	for _, prefixes := range t {
+		slices.SortStableFunc(prefixes, func(a, b routePrefix) int { return len(b.prefix) - len(a.prefix) })
 	}
 }
 
-// Route returns the class whose place of the host has the longest prefix of
-// the path.
+// Route returns the class that covers the longest prefix of the path at the host.
 func (s Snapshot) Route(host, path string) (ClassInfo, bool) {
 	for _, p := range s.routes[host] {
 		if strings.HasPrefix(path, p.prefix) {
@@ -120,7 +119,7 @@
 type ServiceInfo struct {
 	Name           string
 	MaxConnections int // of one endpoint, from all entries together
-	Slots          int // requests that one engine runs at once, 0 for not known
+	Slots          int // requests that one engine runs at once, 0 for not known; decisions go by the endpoints' own
 	MemoryTokens   int // that one engine keeps, 0 for not known
 	EventTokens    int // that one event of a stream holds
 }
--- a/coord/settings/snapshot.go
+++ b/coord/settings/snapshot.go
@@ -13,15 +13,15 @@
 
 // ClassInfo is a class with everything it inherits.
 type ClassInfo struct {
-	Name         string
-	Model        string
-	Service      string
-	Match        []Match
-	Terms        message.Terms // Team and Weight are filled per request
-	Complete     time.Duration
-	GiveUp       time.Duration
-	RetryPermill int
-	Route        RouteInfo
+	Name          string
+	Model         string
+	Service       string
+	Match         []Match
+	Terms         message.Terms // Team and Weight are filled per request
+	Complete      time.Duration
+	GiveUp        time.Duration
+	RetryPermille int
+	Route         RouteInfo
 }
 
 // Target returns the model or service that the class asks for.
@@ -186,6 +186,7 @@
 	return nil
 }
 
+// last returns the last name of a path.
 func last(path string) string { return path[strings.LastIndexByte(path, '/')+1:] }
 
 func (s *Snapshot) addClass(t Tree, path string) error {
@@ -194,13 +195,13 @@
 	}
 	f := t.Resolve(path)
 	c := ClassInfo{
-		Name:         last(path),
-		Model:        value(f.Model),
-		Service:      value(f.Service),
-		Match:        value(f.Match),
-		Complete:     milliseconds(f.CompleteMS),
-		GiveUp:       milliseconds(f.GiveUpMS),
-		RetryPermill: value(f.RetryPermille),
+		Name:          last(path),
+		Model:         value(f.Model),
+		Service:       value(f.Service),
+		Match:         value(f.Match),
+		Complete:      milliseconds(f.CompleteMS),
+		GiveUp:        milliseconds(f.GiveUpMS),
+		RetryPermille: value(f.RetryPermille),
 		Terms: message.Terms{
 			Class:         last(path),
 			Tier:          value(f.Tier),
@@ -217,16 +218,13 @@
 	if err := s.checkClass(path, c); err != nil {
 		return err
 	}
-	if c.Route.Has() {
+	switch {
+	case c.Route.Has():
 		s.routes.add(c)
-		s.classes[c.Name] = c
-		s.names = append(s.names, c.Name)
-		return nil
-	}
-	if c.Service != "" {
-		c.Terms.BetweenTokens = 0
+	case c.Service != "":
+		c.Terms.BetweenTokens = 0 // the answer of a plain service has no tokens
 		s.service[c.Service] = append(s.service[c.Service], c.Name)
-	} else {
+	default:
 		s.byModel[c.Model] = append(s.byModel[c.Model], c.Name)
 	}
 	s.classes[c.Name] = c
--- a/coord/settings/tree.go
+++ b/coord/settings/tree.go
@@ -149,8 +149,7 @@
 	n := t.nodes[path]
 	d := document{Name: name, Kind: n.Kind, Set: n.Set}
 	for _, p := range below[path] {
-		last := p[strings.LastIndexByte(p, '/')+1:]
-		d.Children = append(d.Children, t.nest(p, last, below))
+		d.Children = append(d.Children, t.nest(p, last(p), below))
 	}
 	return d
 }
@@ -188,6 +187,8 @@
 	return all
 }
 
+// equal tells whether two nodes have the same form as JSON. A node that has none
+// equals nothing, so that it shows as changed.
 func equal(a, b Node) bool {
 	left, errLeft := json.Marshal(a)
 	right, errRight := json.Marshal(b)
--- a/internal/decisions_test.go
+++ b/internal/decisions_test.go
@@ -75,6 +75,7 @@
 	"coord/dispatch/fill.go",
 	"coord/dispatch/core.go",
 	"coord/dispatch/pool.go",
+	"coord/queue/class.go",
 	"coord/limit/learned.go",
 	"coord/limit/team.go",
 	"coord/health/health.go",
--- a/internal/relay/entry/chat.go
+++ b/internal/relay/entry/chat.go
@@ -98,12 +98,12 @@
 
 func chatBinding(c caller, k settings.ClassInfo, q chatRequest) binding.Request {
 	return binding.Request{
-		Target:       k.Target(),
-		Terms:        c.terms(k),
-		GiveUp:       k.GiveUp,
-		RetryPermill: k.RetryPermill,
-		PromptTokens: len(q.Messages) / bytesPerToken,
-		Prefix:       affinity.Chain(q.Messages),
+		Target:        k.Target(),
+		Terms:         c.terms(k),
+		GiveUp:        k.GiveUp,
+		RetryPermille: k.RetryPermille,
+		PromptTokens:  len(q.Messages) / bytesPerToken,
+		Prefix:        affinity.Chain(q.Messages),
 	}
 }
 
--- a/internal/relay/entry/service.go
+++ b/internal/relay/entry/service.go
@@ -47,7 +47,7 @@
 	if failure != nil {
 		return failure
 	}
-	q := binding.Request{Target: k.Target(), Terms: c.terms(k), GiveUp: k.GiveUp, RetryPermill: k.RetryPermill}
+	q := binding.Request{Target: k.Target(), Terms: c.terms(k), GiveUp: k.GiveUp, RetryPermille: k.RetryPermille}
 	a, done, failure := e.submit(r, c, k, q, serviceStart(r, path, body))
 	if failure != nil {
 		return failure
