--- a/coord/placement/admit.go
+++ b/coord/placement/admit.go
@@ -1,74 +1,76 @@
-// Whether a request is sent where Choose would send it, or refused for now.
+// Decides whether a request is sent to the chosen endpoint or rejected for now.
 //
-// Rule: only long prompts are refused. One is admitted wherever it would start at once,
-// whatever its length; else only if its first event is expected within maxFirstTargets, or,
-// where streams miss their targets beside prefill, maxHarmfulFirstTargets, and, once half of
-// the service's slots are busy, if it harms no more than one request. What is expected is
-// multiplied by how much longer such prompts took lately. With short queues nearly as many
-// long prompts are served under overload, more of them in time, and streams beside them miss
-// fewer of their targets, where engines lose time to memory that runs out and to what is
-// computed again.
+// Rule: only long prompts are rejected. A prompt is admitted wherever it would start at once,
+// whatever its length. Otherwise it is admitted only if its first event is expected within
+// maxFirstEventTargets, or within maxInterferenceFirstEventTargets where streams miss their
+// targets during prefill. Once half of the service's slots are busy, it must also harm no more
+// than one request. Expected times are multiplied by the recent overrun of such prompts. With
+// short queues, nearly as many long prompts are served under overload, more of them are served
+// in time, and streams beside them miss fewer of their targets, where engines lose time to
+// exhausted memory and recomputation.
 // Inputs: the estimates of a Choice, the request's target, the time to its deadline.
 // Unit: times in first-event targets; harm in requests.
-// Never: a short prompt or a call of a plain service is not refused here; nothing
-// is refused because of its class or team.
+// Never: a short prompt, or a call of a service without a model, is rejected here; a request is
+// rejected because of its class or team.
 
 package placement
 
 import "time"
 
 const (
-	// maxStartTargets is the longest wait, in first-event targets, after which a prompt counts
-	// as started at once. Above the shortest waits, since few engines are seldom free.
-	maxStartTargets = 0.15
-	// maxFirstTargets is until when, in first-event targets, a prompt that waits has to have
-	// its first event: what comes later earns little and delays everything behind it.
-	maxFirstTargets = 1.0
-	// maxHarmfulFirstTargets is the same where streams miss their targets beside prefill.
-	maxHarmfulFirstTargets = 0.35
-	// crowdedShare is the share of busy slots from which the service counts as crowded.
-	crowdedShare = 0.5
-	// crowdedHarm is the most harm that is admitted at a crowded service, in requests.
-	crowdedHarm = 1.0
-	// minRetryAfter is the soonest that a refused request may come back: a time in which
-	// some prompts are computed at each engine.
+	// immediateStartTargets is the longest wait, in first-event targets, after which a prompt
+	// counts as started at once. It is above the shortest waits, since an engine of a small
+	// service is seldom free.
+	immediateStartTargets = 0.15
+	// maxFirstEventTargets is the latest expected first event of a prompt that waits, in
+	// first-event targets. A later answer has little value and delays all prompts behind it.
+	maxFirstEventTargets = 1.0
+	// maxInterferenceFirstEventTargets is the same where streams miss their targets during
+	// prefill.
+	maxInterferenceFirstEventTargets = 0.35
+	// busyServiceShare is the share of busy slots from which maxBusyInterference applies.
+	busyServiceShare = 0.5
+	// maxBusyInterference is the most harm admitted at a busy service, in requests.
+	maxBusyInterference = 1.0
+	// minRetryAfter is the shortest delay before a rejected request is retried. Each engine
+	// computes some prompts in this time.
 	minRetryAfter = 700 * time.Millisecond
-	// maxRetryShare is the share of the time to its deadline that a refused caller is told to
-	// wait at the most, as one part in so many.
-	maxRetryShare = 4
+	// retryAfterDivisor is the divisor of the time to the deadline that bounds the delay before
+	// a retry.
+	retryAfterDivisor = 4
 )
 
-// Admit tells whether a request is to be sent to the chosen endpoint. If not, it
-// returns when to come back: when the prompts that wait there will have been
-// computed. left is the time to the request's deadline.
+// Admit reports whether to send a request to the chosen endpoint. If not, it returns the delay
+// before a retry: the expected time until the prompts that wait there have been computed,
+// within bounds. left is the time to the request's deadline.
 func (c Choice) Admit(r Request, left time.Duration) (retryAfter time.Duration, ok bool) {
 	if !c.Long || r.FirstToken <= 0 {
 		return 0, true
 	}
-	wait := c.expected(c.WaitMS)
-	late := wait > targets(maxStartTargets, r) && c.expected(c.FirstMS) > targets(c.firstLimit(), r)
-	harmful := c.BusyShare >= crowdedShare && c.Terms.Harm > crowdedHarm
-	if late || harmful {
-		return min(max(wait, minRetryAfter), left/maxRetryShare), false
+	wait := c.correctedTime(c.WaitMS)
+	late := wait > targetMultiple(immediateStartTargets, r) && c.correctedTime(c.FirstMS) > targetMultiple(c.firstEventLimit(), r)
+	interferes := c.BusyShare >= busyServiceShare && c.Terms.Harm > maxBusyInterference
+	if late || interferes {
+		return min(max(wait, minRetryAfter), left/retryAfterDivisor), false
 	}
 	return 0, true
 }
 
-// firstLimit returns until when the first event of a prompt that waits has to be expected, in
+// firstEventLimit returns the latest expected first event of a prompt that waits, in
 // first-event targets.
-func (c Choice) firstLimit() float64 {
+func (c Choice) firstEventLimit() float64 {
 	if c.HarmsStreams {
-		return maxHarmfulFirstTargets
+		return maxInterferenceFirstEventTargets
 	}
-	return maxFirstTargets
+	return maxFirstEventTargets
 }
 
-// expected returns an estimated time as it came true lately.
-func (c Choice) expected(ms float64) time.Duration {
+// correctedTime returns an estimated time multiplied by the recent overrun.
+func (c Choice) correctedTime(ms float64) time.Duration {
 	return time.Duration(ms * max(c.Overrun, 1) * float64(time.Millisecond))
 }
 
-// targets returns a multiple of the request's first-event target.
-func targets(n float64, r Request) time.Duration {
+// targetMultiple returns a multiple of the request's first-event target.
+func targetMultiple(n float64, r Request) time.Duration {
 	return time.Duration(n * float64(r.FirstToken))
 }
--- a/coord/placement/arrivals.go
+++ b/coord/placement/arrivals.go
@@ -5,26 +5,27 @@
 	"time"
 )
 
-// arrivalsDecay is the time constant of the rate of arrivals.
-const arrivalsDecay = time.Second
+// arrivalRateDecay is the time constant of the arrival rate.
+const arrivalRateDecay = time.Second
 
-// arrivals is how many requests come to a service, at all entries. The zero value is none.
-type arrivals struct {
-	count float64 // decayed
-	at    time.Time
+// arrivalRate measures the requests that arrive for a service at all entries. The zero value is
+// a rate of 0.
+type arrivalRate struct {
+	decayedCount float64
+	updatedAt    time.Time
 }
 
-// add counts a request. What other entries tell may lie a little in the past.
-func (a *arrivals) add(now time.Time) {
-	if now.After(a.at) {
-		a.count = a.perSecond(now) * arrivalsDecay.Seconds()
-		a.at = now
+// add counts a request. Times announced by other entries may lie slightly in the past.
+func (a *arrivalRate) add(now time.Time) {
+	if now.After(a.updatedAt) {
+		a.decayedCount = a.perSecond(now) * arrivalRateDecay.Seconds()
+		a.updatedAt = now
 	}
-	a.count++
+	a.decayedCount++
 }
 
-// perSecond returns the rate.
-func (a *arrivals) perSecond(now time.Time) float64 {
-	passed := max(now.Sub(a.at), 0)
-	return a.count * math.Exp(-float64(passed)/float64(arrivalsDecay)) / arrivalsDecay.Seconds()
+// perSecond returns the rate in requests per second.
+func (a *arrivalRate) perSecond(now time.Time) float64 {
+	passed := max(now.Sub(a.updatedAt), 0)
+	return a.decayedCount * math.Exp(-float64(passed)/float64(arrivalRateDecay)) / arrivalRateDecay.Seconds()
 }
--- a/coord/placement/attempts.go
+++ b/coord/placement/attempts.go
@@ -1,8 +1,8 @@
-// What a table learns from the events of attempts. An attempt is sent (Place), has
-// its first event (FirstEvent), perhaps further ones (NextEvent, known only of this
-// entry's streams), and ends (End). Other entries tell theirs; what they tell may
-// come late or not at all, so attempts of others are also forgotten with their
-// owner (DropOwner) and some time after their deadline (Expire).
+// Updates a table with the events of attempts. An attempt is sent (Place), has its first event
+// (FirstEvent) and possibly further ones (NextEvent, only for streams of this entry), and ends
+// (End). Other entries announce the events of their attempts. These announcements may arrive
+// late or not at all, so the attempts of another entry are also removed when that entry is gone
+// (DropOwner) and some time after their deadline (Expire).
 
 package placement
 
@@ -13,16 +13,15 @@
 )
 
 const (
-	// expirySlack is how long after its deadline an attempt of another entry is forgotten if
-	// its end was not heard. Above the delay of the messages between entries.
+	// expirySlack is the time after its deadline until an attempt of another entry is removed
+	// if its end was not announced. It is above the delay of messages between entries.
 	expirySlack = time.Second
-	// unknownTimeLeft stands for the deadline of an attempt that names none.
-	unknownTimeLeft = 60 * time.Second
+	// defaultTimeLeft is the time to the deadline of an attempt without one.
+	defaultTimeLeft = 60 * time.Second
 )
 
-// Place records that a request was sent to an endpoint, by this entry or another.
-// An unknown endpoint, an id that is open, and what is beyond the table's bound are
-// passed over.
+// Place records a request that this or another entry has sent to an endpoint. It ignores
+// unknown endpoints, ids that are already open, and attempts beyond the table's bound.
 func (t *Table) Place(now time.Time, id AttemptID, endpointID string, r Request, f memory.Fetch) {
 	e := t.endpoints[endpointID]
 	if e == nil || e.attempts[id] != nil || len(t.byAttempt) >= maxAttempts {
@@ -33,7 +32,7 @@
 	}
 	t.byAttempt[id] = e
 	service := t.service(e.Service)
-	baseMS, perTokenMS := service.prefill.line()
+	baseMS, perTokenMS := service.prefill.coefficients()
 	tokens := max(e.cache.Uncached(r.Prompt)-f.Tokens, 0)
 	prefillMS := float64(tokens) * perTokenMS
 	a := &attempt{
@@ -42,24 +41,24 @@
 		own:           id.Owner == t.Self,
 		sentAt:        now,
 		prefillTokens: tokens,
-		expectedMS:    baseMS + max(e.waitMS(now, r.Priority), t.occupyLinks(now, e, f)) + prefillMS*e.slowdown,
-		alone:         e.backlogMS(now) == 0,
+		expectedMS:    baseMS + max(e.waitMS(now, r.Priority), t.reserveLinks(now, e, f)) + prefillMS*e.slowdown,
+		idleEngine:    e.backlogMS(now) == 0,
 	}
 	if a.own && e.ownStreams() == 0 {
 		e.lastEvent = now
 	}
 	e.attempts[id] = a
-	service.arrivals.add(now)
+	service.arrivalRate.add(now)
 	e.warmup.Sent(now, service.Warmup, a.own, t.Group)
 	e.limit.Sent(now, a.own, t.Group)
-	e.tokens += r.Prompt.Tokens + r.Prompt.Out()
+	e.openTokens += r.Prompt.Tokens + r.Prompt.Out()
 	if e.Engine {
-		t.placePrompt(now, service, e, a, prefillMS)
+		t.recordPrompt(now, service, e, a, prefillMS)
 	}
 }
 
-// occupyLinks records a fetch and returns after how many ms it is expected to be done.
-func (t *Table) occupyLinks(now time.Time, e *endpoint, f memory.Fetch) float64 {
+// reserveLinks records a fetch and returns the number of ms until it is expected to be done.
+func (t *Table) reserveLinks(now time.Time, e *endpoint, f memory.Fetch) float64 {
 	source := t.endpoints[f.Source]
 	if !f.Any() || source == nil {
 		return 0
@@ -68,13 +67,13 @@
 	return memory.WaitMS(now, &source.link, &e.link)
 }
 
-// placePrompt records the prompt of an attempt at an engine.
-func (t *Table) placePrompt(now time.Time, s *service, e *endpoint, a *attempt, prefillMS float64) {
-	e.backlog.ms[level(a.request.Priority)] += prefillMS
+// recordPrompt records the prompt of an attempt at an engine.
+func (t *Table) recordPrompt(now time.Time, s *service, e *endpoint, a *attempt, prefillMS float64) {
+	e.backlog.prefillMS[clampPriority(a.request.Priority)] += prefillMS
 	e.lastSent = now
-	e.addPrefill(now, prefillMS)
-	a.brought = e.cache.Use(a.request.Prompt, memory.Room(s.MemoryTokens, e.tokens))
-	t.remember(now, a.request.Prompt, e)
+	e.recordPrefill(now, prefillMS)
+	a.addedParts = e.cache.Use(a.request.Prompt, memory.Room(s.MemoryTokens, e.openTokens))
+	t.recordUse(now, a.request.Prompt, e)
 	s.pool.add(now, prefillMS, s.isLong(prefillMS))
 }
 
@@ -97,46 +96,46 @@
 	if !e.Engine {
 		return
 	}
-	e.cache.Settle(a.brought)
+	e.cache.Settle(a.addedParts)
 	observedMS := milliseconds(now.Sub(a.sentAt))
 	t.service(e.Service).overruns.observe(a.request.Priority, a.expectedMS, observedMS)
 	if a.own {
 		e.lastEvent = now
 	}
 	if a.fetch.Any() {
-		t.learnFetch(e, a, observedMS)
+		t.observeFetch(e, a, observedMS)
 	} else {
-		t.learnPrefill(e, a, observedMS)
+		t.observePrefill(e, a, observedMS)
 	}
-	t.boundBacklog(now, e)
+	t.trimBacklog(now, e)
 }
 
-// learnPrefill records a first event before which nothing was fetched. What a token takes is
-// learned of prompts that nothing waited before and that nothing joined, since others make it
-// seem longer.
-func (t *Table) learnPrefill(e *endpoint, a *attempt, observedMS float64) {
-	if a.alone && a.own && e.lastSent.Equal(a.sentAt) {
+// observePrefill records a first event that no fetch preceded. The prefill model is updated
+// only from prompts sent to an idle engine before any further prompt arrived, since other
+// prompts increase the observed time per token.
+func (t *Table) observePrefill(e *endpoint, a *attempt, observedMS float64) {
+	if a.idleEngine && a.own && e.lastSent.Equal(a.sentAt) {
 		s := t.service(e.Service)
 		s.prefill.observe(a.prefillTokens, observedMS*s.meanSlowdown()/e.slowdown)
 	}
 	e.updateSlowdown(a.expectedMS, observedMS)
 }
 
-// learnFetch takes in a first event after a fetch: whether the source still kept what
-// it was believed to. Such an event says nothing else, since it is not known what was
-// computed.
-func (t *Table) learnFetch(e *endpoint, a *attempt, observedMS float64) {
+// observeFetch records from a first event after a fetch whether the source still cached the
+// expected parts. Nothing else can be derived from such an event, since the number of computed
+// tokens is unknown.
+func (t *Table) observeFetch(e *endpoint, a *attempt, observedMS float64) {
 	source := t.endpoints[a.fetch.Source]
 	if source == nil {
 		return
 	}
-	_, perTokenMS := t.service(e.Service).prefill.line()
+	_, perTokenMS := t.service(e.Service).prefill.coefficients()
 	source.trust.Learn(observedMS-a.expectedMS, float64(a.fetch.Tokens)*perTokenMS*e.slowdown)
 }
 
-// NextEvent records a later event of a stream of this entry. The interval since the
-// event before counts as undisturbed if no prompt waited meanwhile, as beside
-// prefill if prompts waited all the time, and else not at all.
+// NextEvent records a later event of a stream of this entry. The interval since the previous
+// event counts as without prefill if no prompt waited during it, as with prefill if prompts
+// waited for all of it, and otherwise not at all.
 func (t *Table) NextEvent(now time.Time, id AttemptID) {
 	e := t.byAttempt[id]
 	if e == nil {
@@ -152,76 +151,76 @@
 	service := t.service(e.Service)
 	switch {
 	case a.backlogMS >= intervalMS:
-		service.besidePrefill.observe(intervalMS / e.slowdown)
+		service.intervalsWithPrefill.observe(intervalMS / e.slowdown)
 	case a.backlogMS == 0 && backlogMS == 0 && e.lastSent.Before(a.lastAt):
-		service.undisturbed.observe(intervalMS / e.slowdown)
+		service.intervalsWithoutPrefill.observe(intervalMS / e.slowdown)
 	}
 	a.lastAt = now
 	a.backlogMS = backlogMS
 }
 
-// End records that an attempt has ended.
+// End records the end of an attempt.
 func (t *Table) End(now time.Time, id AttemptID, o Outcome) {
 	if e := t.remove(now, id, o); e != nil {
-		t.boundBacklog(now, e)
+		t.trimBacklog(now, e)
 	}
 }
 
-// remove takes an ended attempt off its endpoint. It returns the endpoint if it is
-// an engine that has not finished the attempt's prefill, else nil.
+// remove deletes an ended attempt from its endpoint. It returns the endpoint if it is an engine
+// that has not finished the attempt's prefill, else nil.
 func (t *Table) remove(now time.Time, id AttemptID, o Outcome) *endpoint {
 	e := t.byAttempt[id]
 	if e == nil {
-		t.noteEnded(id)
+		t.recordEnded(id)
 		return nil
 	}
 	a := e.attempts[id]
 	delete(t.byAttempt, id)
 	delete(e.attempts, id)
-	e.tokens -= a.request.Prompt.Tokens + a.request.Prompt.Out()
+	e.openTokens -= a.request.Prompt.Tokens + a.request.Prompt.Out()
 	e.record(now, o)
 	if !e.Engine || !a.waiting() {
 		return nil
 	}
-	e.cache.Forget(a.brought)
+	e.cache.Forget(a.addedParts)
 	return e
 }
 
-// boundBacklog lowers the backlog of an engine to the prompts that wait there.
-func (t *Table) boundBacklog(now time.Time, e *endpoint) {
-	_, perTokenMS := t.service(e.Service).prefill.line()
-	e.boundBacklog(now, perTokenMS)
+// trimBacklog reduces the backlog of an engine to the prompts that wait there.
+func (t *Table) trimBacklog(now time.Time, e *endpoint) {
+	_, perTokenMS := t.service(e.Service).prefill.coefficients()
+	e.trimBacklog(now, perTokenMS)
 }
 
-// DropOwner forgets the attempts of an entry that is gone.
+// DropOwner removes the attempts of an entry that is gone.
 func (t *Table) DropOwner(now time.Time, owner uint64) {
 	t.abandon(now, func(id AttemptID, _ *attempt) bool { return id.Owner == owner })
 }
 
-// Expire forgets the attempts of other entries whose deadline has passed: the
-// messages of their ends were lost.
+// Expire removes the attempts of other entries whose deadline has passed, since the messages
+// with their ends were lost.
 func (t *Table) Expire(now time.Time) {
 	t.abandon(now, func(_ AttemptID, a *attempt) bool {
 		left := a.request.TimeLeft
 		if left <= 0 {
-			left = unknownTimeLeft
+			left = defaultTimeLeft
 		}
 		return !a.own && now.Sub(a.sentAt) > left+expirySlack
 	})
 }
 
-// abandon forgets the attempts that are picked.
-func (t *Table) abandon(now time.Time, picked func(AttemptID, *attempt) bool) {
+// abandon removes the matching attempts.
+func (t *Table) abandon(now time.Time, match func(AttemptID, *attempt) bool) {
 	changed := map[*endpoint]bool{}
 	for id, e := range t.byAttempt {
-		if !picked(id, e.attempts[id]) {
+		if !match(id, e.attempts[id]) {
 			continue
 		}
-		if waited := t.remove(now, id, Abandoned); waited != nil {
-			changed[waited] = true
+		if engine := t.remove(now, id, Abandoned); engine != nil {
+			changed[engine] = true
 		}
 	}
 	for e := range changed {
-		t.boundBacklog(now, e)
+		t.trimBacklog(now, e)
 	}
 }
--- a/coord/placement/candidates.go
+++ b/coord/placement/candidates.go
@@ -1,14 +1,15 @@
-// Which endpoints are looked at for a request.
+// Selects the endpoints considered for a request.
 //
-// Rule: all of a service that has no more than maxScanned; of a larger one those that are
-// known to keep the prompt's last shared part, its home, and some at random: of the side
-// of the pool that fits the prompt, of that side in the own data centre, and of the other
-// side. If all of these are backed off from or full, all endpoints are looked at.
+// Rule: all endpoints of a service with at most maxScanned of them. Of a larger service, the
+// engines known to cache the prompt's last shared part, its home, and random samples of three
+// groups: the side of the pool that fits the prompt, the endpoints of that side in the own data
+// centre, and the other side. If all of these are unreachable, draining or unavailable, all
+// endpoints are considered.
 // Inputs: the table, the request, a source of randomness.
 // Units: endpoints.
-// Never: the number looked at grows with the service. Besides bounding the time of a
-// choice that keeps entries, which know of each other's attempts some 10 ms late, from
-// all choosing the same endpoint (TestManyEntriesDoNotChooseTheSameEngine).
+// Never: the number of candidates grows with the service. This bounds the time of a choice. It
+// also prevents entries, which receive each other's attempts some 10 ms late, from all choosing
+// the same endpoint (TestEntriesWithDelayedEventsSpreadRequests).
 
 package placement
 
@@ -21,30 +22,31 @@
 )
 
 const (
-	// maxScanned is the largest service of which all endpoints are looked at. About what a
-	// larger one is cut down to.
+	// maxScanned is the size of the largest service of which all endpoints are considered. A
+	// larger service is reduced to about as many candidates.
 	maxScanned = 48
-	// fittingSample, nearSample and otherSample are how many endpoints are drawn of the side
-	// of the pool that fits, of that side in the own data centre, and of the other side.
-	fittingSample = 6
-	nearSample    = 3
-	otherSample   = 3
-	// maxKeepers is how many engines are remembered that keep a shared part. Parts in use
-	// spread over few.
-	maxKeepers = 6
+	// preferredSample, localSample and otherSample are the numbers of endpoints drawn from the
+	// side of the pool that fits the prompt, from that side in the own data centre, and from
+	// the other side.
+	preferredSample = 6
+	localSample     = 3
+	otherSample     = 3
+	// maxCachingEngines bounds the engines recorded per shared part. Parts in use are cached by
+	// few engines.
+	maxCachingEngines = 6
 )
 
-// candidate is an endpoint that is looked at.
+// candidate is an endpoint considered for a request.
 type candidate struct {
 	*endpoint
 	inPool bool
 }
 
-// candidates returns the endpoints to look at.
+// candidates returns the endpoints to consider.
 func (q *query) candidates(random *rand.Rand) []candidate {
 	s := q.service
 	if len(s.endpoints) <= maxScanned {
-		return q.all()
+		return q.allCandidates()
 	}
 	var found []candidate
 	add := func(e *endpoint) {
@@ -52,29 +54,29 @@
 			found = append(found, candidate{e, e.rank < q.poolSize})
 		}
 	}
-	for _, e := range q.keepers {
+	for _, e := range q.cachingEngines {
 		add(e)
 	}
 	if q.home != nil {
 		add(q.home)
 	}
 	inPool, outside := s.endpoints[:q.poolSize], s.endpoints[q.poolSize:]
-	fitting, other := outside, inPool
+	preferred, other := outside, inPool
 	if q.long {
-		fitting, other = inPool, outside
+		preferred, other = inPool, outside
 	}
-	sample(random, fitting, fittingSample, add)
+	sample(random, preferred, preferredSample, add)
 	sample(random, other, otherSample, add)
-	near := s.near[q.nearPool():]
+	local := s.local[q.localPoolSize():]
 	if q.long {
-		near = s.near[:q.nearPool()]
+		local = s.local[:q.localPoolSize()]
 	}
-	sample(random, near, nearSample, add)
+	sample(random, local, localSample, add)
 	return found
 }
 
-// all returns all endpoints of the service.
-func (q *query) all() []candidate {
+// allCandidates returns all endpoints of the service.
+func (q *query) allCandidates() []candidate {
 	found := make([]candidate, 0, len(q.service.endpoints))
 	for n, e := range q.service.endpoints {
 		found = append(found, candidate{e, n < q.poolSize})
@@ -82,52 +84,53 @@
 	return found
 }
 
-// nearPool returns how many endpoints of the own data centre are in the pool.
-func (q *query) nearPool() int {
-	n, _ := slices.BinarySearchFunc(q.service.near, q.poolSize, func(e *endpoint, size int) int { return e.rank - size })
+// localPoolSize returns the number of pool endpoints in the own data centre.
+func (q *query) localPoolSize() int {
+	n, _ := slices.BinarySearchFunc(q.service.local, q.poolSize, func(e *endpoint, size int) int { return e.rank - size })
 	return n
 }
 
-// sample adds so many endpoints at random, some of which may come twice.
-func sample(random *rand.Rand, from []*endpoint, count int, add func(*endpoint)) {
-	if len(from) <= count {
-		for _, e := range from {
+// sample adds count endpoints at random. The same endpoint may be drawn twice.
+func sample(random *rand.Rand, endpoints []*endpoint, count int, add func(*endpoint)) {
+	if len(endpoints) <= count {
+		for _, e := range endpoints {
 			add(e)
 		}
 		return
 	}
 	for range count {
-		add(from[random.IntN(len(from))])
+		add(endpoints[random.IntN(len(endpoints))])
 	}
 }
 
-// use is when a shared part was last used, and by which engines, the last one first.
-type use struct {
-	at      time.Time
-	keepers [maxKeepers]*endpoint
+// partUse holds the time of a shared part's last use and the engines that used it, the most
+// recent one first.
+type partUse struct {
+	lastUsed time.Time
+	engines  [maxCachingEngines]*endpoint
 }
 
-// keep records that an engine keeps the part.
-func (u *use) keep(e *endpoint) {
-	n := slices.Index(u.keepers[:], e)
+// addEngine records that an engine caches the part.
+func (u *partUse) addEngine(e *endpoint) {
+	n := slices.Index(u.engines[:], e)
 	if n < 0 {
-		n = maxKeepers - 1
+		n = maxCachingEngines - 1
 	}
-	copy(u.keepers[1:n+1], u.keepers[:n])
-	u.keepers[0] = e
+	copy(u.engines[1:n+1], u.engines[:n])
+	u.engines[0] = e
 }
 
-// keepersOf returns the engines that are known to keep the last of the prompt's shared
-// parts that any of them keeps.
-func (t *Table) keepersOf(p memory.Prompt) []*endpoint {
+// cachingEngines returns the engines known to cache the prompt's last shared part that any
+// engine caches.
+func (t *Table) cachingEngines(p memory.Prompt) []*endpoint {
 	shared := p.Shared()
 	for n := len(shared) - 1; n >= 0; n-- {
-		u := t.shared[shared[n].ID]
+		u := t.sharedParts[shared[n].ID]
 		if u == nil {
 			continue
 		}
 		var found []*endpoint
-		for _, e := range u.keepers {
+		for _, e := range u.engines {
 			if e != nil && t.endpoints[e.Incarnation()] == e && e.cache.Has(shared[n].ID) {
 				found = append(found, e)
 			}
--- a/coord/placement/choose.go
+++ b/coord/placement/choose.go
@@ -1,15 +1,13 @@
-// Which endpoint takes a request.
+// Selects the endpoint for a request.
 //
-// Rule: of the endpoints of the request's service that are looked at (candidates.go) and
-// may be tried, the one with the lowest cost; among equal costs one at random. An endpoint
-// may not be tried
-// while it is leaving, when the caller of Choose excludes it (it was tried before),
-// when it has as many open requests as the service allows it, or when it is not
-// eligible for the request (eligible.go). An endpoint that could not be reached lately, or that
-// says in its responses that it drains, may be tried: its cost is so high that all others go
-// first.
+// Rule: among the candidates of the request's service (candidates.go) that are available, the
+// one with the lowest cost; ties are broken at random. An endpoint is unavailable while it is
+// leaving, when the caller of Choose excludes it because it was already tried, when it has as
+// many open requests as the service allows, or when it is not eligible for the request
+// (eligible.go). An endpoint that was unreachable recently, or whose responses say that it is
+// draining, remains available at a cost so high that all others are preferred.
 // Inputs: the table, the request, the time, a source of randomness.
-// Never: it does not change the table but for the pool's size; it does not refuse
+// Never: it changes nothing in the table except the size of the pool; it rejects no request
 // (see admit.go).
 
 package placement
@@ -28,46 +26,46 @@
 	Endpoint      Endpoint
 	Cost          float64 // sum of Terms
 	Terms         Terms
-	WaitMS        float64 // expected until the prefill of the prompt starts
-	FirstMS       float64 // expected until the first event
+	WaitMS        float64 // expected time until the prefill of the prompt starts
+	FirstMS       float64 // expected time until the first event
 	Fetch         memory.Fetch
 	PrefillTokens int     // prompt tokens that the endpoint neither caches nor fetches
-	RereadTokens  int     // of those, tokens of prefixes that other endpoints have computed lately
-	Long          bool    // the prefill takes long, see isLong
-	PoolSize      int     // endpoints that long prompts are kept to
-	HarmsStreams  bool    // streams of the service miss their targets beside prefill
-	Overrun       float64 // lately of observed over expected times to a first event, at least 1
-	BusyShare     float64 // of the service's slots, 0 to 1
+	RereadTokens  int     // those of PrefillTokens in prefixes that other endpoints computed recently
+	Long          bool    // the prefill is long, see isLong
+	PoolSize      int     // endpoints in the pool for long prompts
+	HarmsStreams  bool    // streams of the service miss their inter-event targets during prefill
+	Overrun       float64 // recent ratio of observed to expected times to a first event, at least 1
+	BusyShare     float64 // share of the service's slots in use, 0 to 1
 	Slowdown      float64 // of the endpoint, 1 for as fast as expected
 }
 
-// query is a request that looks for an endpoint, with what the candidates share.
+// query is a request to be placed, with the values shared by all candidates.
 type query struct {
-	table    *Table
-	service  *service
-	request  Request
-	now      time.Time
-	poolSize int
-	long     bool            // the whole prompt takes long to prefill
-	keepers  []*endpoint     // of the prompt's last shared part that is kept anywhere
-	home     *endpoint       // nil if the prompt shares nothing
-	sources  []memory.Source // of the prompt's parts
+	table          *Table
+	service        *service
+	request        Request
+	now            time.Time
+	poolSize       int
+	long           bool            // the prefill of the whole prompt is long
+	cachingEngines []*endpoint     // cache the prompt's last shared part that any engine caches
+	home           *endpoint       // nil if the prompt has no shared part
+	sources        []memory.Source // of the prompt's parts
 }
 
 func (t *Table) newQuery(now time.Time, r Request) query {
 	service := t.service(r.Service)
 	size := service.pool.resize(len(service.endpoints))
-	_, perTokenMS := service.prefill.line()
+	_, perTokenMS := service.prefill.coefficients()
 	long := service.isLong(float64(r.Prompt.Tokens) * perTokenMS)
 	q := query{
-		table:    t,
-		service:  service,
-		request:  r,
-		now:      now,
-		poolSize: size,
-		long:     long,
-		keepers:  t.keepersOf(r.Prompt),
-		home:     t.home(service, r, long, size),
+		table:          t,
+		service:        service,
+		request:        r,
+		now:            now,
+		poolSize:       size,
+		long:           long,
+		cachingEngines: t.cachingEngines(r.Prompt),
+		home:           t.home(service, r, long, size),
 	}
 	if !r.NoFetch {
 		q.sources = q.findSources()
@@ -75,28 +73,29 @@
 	return q
 }
 
-// Choose returns the endpoint of lowest cost that may be tried; false if there is
+// Choose returns the available endpoint with the lowest cost. It returns false if there is
 // none.
 func (t *Table) Choose(now time.Time, r Request, exclude func(id string) bool, random *rand.Rand) (Choice, bool) {
 	q := t.newQuery(now, r)
-	best, found := q.cheapest(q.candidates(random), exclude, random)
+	best, found := q.lowestCost(q.candidates(random), exclude, random)
 	if !found || best.Cost >= unreachableCost {
-		best, found = q.cheapest(q.all(), exclude, random)
+		best, found = q.lowestCost(q.allCandidates(), exclude, random)
 	}
 	best.PoolSize = q.poolSize
-	best.HarmsStreams = q.service.prefillHarms()
+	best.HarmsStreams = q.service.prefillInterferes()
 	best.Overrun = q.service.overruns.factor(r.Priority)
 	best.BusyShare = q.service.busyShare(now)
 	return best, found
 }
 
-// cheapest returns the candidate of lowest cost that may be tried; false if there is none.
-func (q *query) cheapest(all []candidate, exclude func(id string) bool, random *rand.Rand) (Choice, bool) {
+// lowestCost returns the available candidate with the lowest cost. It returns false if there is
+// none.
+func (q *query) lowestCost(all []candidate, exclude func(id string) bool, random *rand.Rand) (Choice, bool) {
 	best := Choice{Cost: math.Inf(1)}
 	found := false
 	ties := 0
 	for _, e := range all {
-		if !q.mayTry(e.endpoint) || exclude(e.ID) || !q.shown(e.endpoint, random) {
+		if !q.available(e.endpoint) || exclude(e.ID) || !q.passesRateSampling(e.endpoint, random) {
 			continue
 		}
 		c := q.estimate(e.endpoint, e.inPool)
@@ -117,15 +116,16 @@
 	return best, found
 }
 
-// mayTry tells whether an endpoint takes the request.
-func (q *query) mayTry(e *endpoint) bool {
+// available reports whether the request may be sent to an endpoint.
+func (q *query) available(e *endpoint) bool {
 	most := q.service.MaxRequests
 	full := most > 0 && len(e.attempts) >= most
 	return !e.Leaving && !full && q.eligibility(e) == eligibility.Eligible
 }
 
-// busyShare returns the share of the service's slots that are in use, 0 if the
-// number of slots is unknown.
+// busyShare returns the share of the service's slots that are in use, or 0 if the number of
+// slots is unknown. Endpoints that are draining, evacuated, rate-limited or in backoff don't
+// count.
 func (s *service) busyShare(now time.Time) float64 {
 	busy, slots := 0, 0
 	for _, e := range s.endpoints {
--- a/coord/placement/cost.go
+++ b/coord/placement/cost.go
@@ -1,85 +1,87 @@
-// What it would cost to send a request to an endpoint.
+// Estimates the cost of sending a request to an endpoint.
 //
 // Rule: the cost is the sum of seven terms, each an expected loss:
 //
-//	late      the request's own first event, against its target
-//	harm      targets between events: those of the streams that its prefill would
-//	          delay, and its own by long prompts to come
-//	reread    prompt tokens that have to be computed, above all those of prefixes
-//	          that another endpoint caches, and those that are fetched from one
-//	crowding  slots and memory that run out
+//	late      lateness of the request's own first event against its target
+//	harm      missed inter-event targets: those of the running streams that the prefill
+//	          delays, and its own because of long prompts that arrive later
+//	reread    prompt tokens to compute, above all those of prefixes that another
+//	          endpoint caches, and tokens to fetch from one
+//	crowding  exhaustion of slots and memory
 //	pool      a long prompt outside the pool of long prompts, or a short one inside
-//	trouble   recent failures, unreachable lately, silence, draining
+//	trouble   recent failures, recent unreachability, stalls, draining
 //	distance  another data centre
 //
 // Unit: one request answered within its targets is worth 1.
-// Inputs: what the table knows of the endpoint; nothing of a class but its targets.
-// Never: the name of a class, service or data centre has no weight of its own.
+// Inputs: the table's state of the endpoint; of a class, only its targets.
+// Never: the name of a class, service or data centre has a weight of its own.
 
 package placement
 
 import "math"
 
 const (
-	// lateFrom is the share of the first-event target from which lateness costs.
-	lateFrom = 0.5
-	// lateTo is the share of the target at which lateness costs in full.
-	lateTo = 1.2
-	// lateWeight is the cost of a late answer. A late answer still earns something.
-	lateWeight = 0.8
-	// laterWeight is the cost of each further target of lateness.
-	laterWeight = 0.1
-	// harmWeight is the cost of a running stream that misses its target between events.
-	harmWeight = 0.3
-	// doomedWeight is the same for a stream that misses it anyway.
-	doomedWeight = 0.1
-	// rereadWeight is the cost of a prefix token computed again.
-	rereadWeight = 4e-4
-	// homeShare is the share of rereadWeight for prefix tokens that are not cached at an
+	// latenessStart is the share of the first-event target from which lateness has a cost.
+	latenessStart = 0.5
+	// latenessFull is the share of the target from which latenessWeight applies in full.
+	latenessFull = 1.2
+	// latenessWeight is the cost of a late answer. It is below 1 since a late answer retains
+	// some value.
+	latenessWeight = 0.8
+	// extraLatenessWeight is the cost per multiple of the first-event target.
+	extraLatenessWeight = 0.1
+	// interferenceWeight is the cost of a running stream that misses its inter-event target.
+	interferenceWeight = 0.3
+	// certainMissWeight is the same for a stream that misses its target in any case.
+	certainMissWeight = 0.1
+	// recomputeWeight is the cost of recomputing a token of a prefix.
+	recomputeWeight = 4e-4
+	// nonHomeShare is the share of recomputeWeight that applies to uncached prefix tokens at an
 	// endpoint other than their home.
-	homeShare = 0.1
-	// fetchWeight is the cost of a token that is fetched from another engine.
+	nonHomeShare = 0.1
+	// fetchWeight is the cost of a token fetched from another engine.
 	fetchWeight = 2e-5
-	// prefillWeight is the cost of any token computed.
+	// prefillWeight is the cost of computing a token, whether or not another engine caches it.
 	prefillWeight = 1e-5
-	// poolWeight is the cost of leaving the pool that a prompt belongs to.
+	// poolWeight is the cost of placing a prompt on the wrong side of the pool.
 	poolWeight = 0.5
-	// slotWeight is the cost of a full engine.
+	// slotWeight is the cost of an engine whose slots are all in use.
 	slotWeight = 0.1
-	// overloadWeight is the cost of a load beyond the slots, for each multiple of them.
+	// overloadWeight is the cost of load beyond the slots, per multiple of them.
 	overloadWeight = 1.5
-	// memoryWeight is the cost of tokens beyond the engine's memory, for each multiple of it:
-	// the engine preempts requests then.
+	// memoryWeight is the cost of tokens beyond the engine's memory, per multiple of it, since
+	// the engine then preempts requests.
 	memoryWeight = 1.0
 	// distanceWeight is the cost of another data centre.
 	distanceWeight = 0.01
-	// failureWeight is the cost of an endpoint that always fails.
+	// failureWeight is the cost of an endpoint of which every attempt fails.
 	failureWeight = 2.0
-	// unreachableCost is the cost of an endpoint that could not be reached lately. Above what the
-	// other terms usually add up to, so that such an endpoint goes last.
+	// unreachableCost is the cost of a recently unreachable endpoint. It exceeds the usual sum
+	// of the other terms, so that such an endpoint is tried last.
 	unreachableCost = 20.0
-	// drainingCost is the cost of an endpoint that says that it drains. Above unreachableCost, so that
-	// it is the last resort.
+	// drainingCost is the cost of an endpoint that reports that it is draining. It exceeds
+	// unreachableCost, so that the endpoint is the last resort.
 	drainingCost = 40.0
-	// overdueWeight is the cost of an endpoint that is late by one first-event target.
+	// overdueWeight is the cost of an endpoint that is overdue by one first-event target.
 	overdueWeight = 1.0
-	// plainWeight is the cost of a full endpoint without a model.
-	plainWeight = 1.0
-	// safeShare is the share of a target between events below which the interval seen beside
-	// prefills has to stay for them to count as harmless.
-	safeShare = 0.5
-	// usableShare is the share of a target between events that prefill may use up.
-	usableShare = 0.8
-	// stepMS is the time of one token beside no prefill, in ms, until intervals have been
-	// observed.
-	stepMS = 4.0
+	// nonEngineLoadWeight is the cost of a full endpoint that is no engine.
+	nonEngineLoadWeight = 1.0
+	// harmlessIntervalShare is the share of an inter-event target below which the intervals
+	// observed during prefill must stay for prefill to count as harmless.
+	harmlessIntervalShare = 0.5
+	// usableIntervalShare is the share of an inter-event target that decoding and prefill may
+	// take up together.
+	usableIntervalShare = 0.8
+	// defaultDecodeStepMS is the time per token without prefill, in ms, until intervals have
+	// been observed.
+	defaultDecodeStepMS = 4.0
 )
 
-// Terms are the parts of a cost. The JSON names are those of the request's log line.
+// Terms are the components of a cost. The JSON names are those in the request's log line.
 type Terms struct {
 	Late     float64 `json:"late"`
 	Harm     float64 `json:"harm"`
-	Reread   float64 `json:"again"` // logged under its former name
+	Reread   float64 `json:"again"`
 	Crowding float64 `json:"crowding"`
 	Pool     float64 `json:"pool"`
 	Trouble  float64 `json:"trouble"`
@@ -90,12 +92,12 @@
 	return t.Late + t.Harm + t.Reread + t.Crowding + t.Pool + t.Trouble + t.Distance
 }
 
-// estimate returns what the request would cost at an endpoint.
+// estimate returns the expected cost of the request at an endpoint.
 func (q *query) estimate(e *endpoint, inPool bool) Choice {
 	c := Choice{
 		Endpoint: e.Endpoint,
 		Slowdown: e.slowdown,
-		Terms:    Terms{Distance: q.distance(e), Trouble: e.failureCost(q.now)},
+		Terms:    Terms{Distance: q.distanceCost(e), Trouble: e.failureCost(q.now)},
 	}
 	if e.drain.Draining() {
 		c.Terms.Trouble += drainingCost
@@ -103,50 +105,50 @@
 	if e.Engine {
 		q.estimateEngine(e, inPool, &c)
 	} else {
-		q.estimatePlain(e, &c)
+		q.estimateNonEngine(e, &c)
 	}
 	c.Cost = c.Terms.sum()
 	return c
 }
 
-// estimateEngine adds what concerns engines only.
+// estimateEngine adds the estimates that apply only to engines.
 func (q *query) estimateEngine(e *endpoint, inPool bool, c *Choice) {
 	prompt := q.request.Prompt
-	baseMS, perTokenMS := q.service.prefill.line()
+	baseMS, perTokenMS := q.service.prefill.coefficients()
 	missing := e.cache.Uncached(prompt)
-	c.Fetch = q.fetch(e, prompt.Tokens-missing, perTokenMS)
+	c.Fetch = q.estimateFetch(e, prompt.Tokens-missing, perTokenMS)
 	c.PrefillTokens = max(missing-c.Fetch.Tokens, 0)
-	c.RereadTokens = max(q.rereadTokens(e)-c.Fetch.Tokens, 0)
+	c.RereadTokens = max(q.recomputedTokens(e)-c.Fetch.Tokens, 0)
 	c.Long = q.service.isLong(float64(c.PrefillTokens) * perTokenMS)
-	// What a fetch is expected to miss is computed after all.
+	// The tokens that the fetch is expected to miss are computed at this engine.
 	prefillMS := (float64(c.PrefillTokens) + c.Fetch.ExpectedMiss()) * perTokenMS * e.slowdown
 	c.WaitMS = max(e.waitMS(q.now, q.request.Priority), c.Fetch.MS())
 	c.FirstMS = baseMS*e.slowdown + c.WaitMS + prefillMS
 	target := q.request.firstTokenMS()
-	c.Terms.Late = lateness(c.FirstMS / target)
+	c.Terms.Late = latenessCost(c.FirstMS / target)
 	c.Terms.Trouble += overdueWeight * e.overdueMS(q.now) / target
-	c.Terms.Harm = q.harm(e, prefillMS)
-	c.Terms.Reread = q.reread(e, *c)
-	c.Terms.Crowding = q.crowding(e)
+	c.Terms.Harm = q.interferenceCost(e, prefillMS)
+	c.Terms.Reread = q.recomputeCost(e, *c)
+	c.Terms.Crowding = q.saturationCost(e)
 	if inPool != c.Long {
 		c.Terms.Pool = poolWeight
 	}
 }
 
-// reread returns the cost of the tokens that are computed or fetched.
-func (q *query) reread(e *endpoint, c Choice) float64 {
-	cost := rereadWeight*(float64(c.RereadTokens)+c.Fetch.ExpectedMiss()) +
+// recomputeCost returns the cost of the tokens computed or fetched.
+func (q *query) recomputeCost(e *endpoint, c Choice) float64 {
+	cost := recomputeWeight*(float64(c.RereadTokens)+c.Fetch.ExpectedMiss()) +
 		prefillWeight*float64(c.PrefillTokens) + fetchWeight*float64(c.Fetch.Tokens)
 	if q.home != nil && q.home != e {
 		away := max(e.cache.UncachedShared(q.request.Prompt)-c.Fetch.Tokens, 0)
-		cost += homeShare * rereadWeight * float64(away)
+		cost += nonHomeShare * recomputeWeight * float64(away)
 	}
 	return cost
 }
 
-// estimatePlain adds the load of an endpoint that runs no model, and how far its
-// oldest attempt is beyond the request's target.
-func (q *query) estimatePlain(e *endpoint, c *Choice) {
+// estimateNonEngine adds the load of an endpoint that runs no model, and by how much its oldest
+// attempt exceeds the request's target.
+func (q *query) estimateNonEngine(e *endpoint, c *Choice) {
 	load := float64(len(e.attempts))
 	if e.Slots > 0 {
 		load /= float64(e.Slots)
@@ -155,20 +157,20 @@
 	for _, a := range e.attempts {
 		oldestMS = max(oldestMS, milliseconds(q.now.Sub(a.sentAt)))
 	}
-	overdue := max(oldestMS/q.request.firstTokenMS()-1, 0)
-	c.Terms.Crowding = plainWeight*load + overloadWeight*max(load-1, 0) + overdueWeight*overdue
+	overdueTargets := max(oldestMS/q.request.firstTokenMS()-1, 0)
+	c.Terms.Crowding = nonEngineLoadWeight*load + overloadWeight*max(load-1, 0) + overdueWeight*overdueTargets
 }
 
-// lateness returns the cost of a first event after a multiple of its target.
-func lateness(targets float64) float64 {
-	ramp := min(max((targets-lateFrom)/(lateTo-lateFrom), 0), 1)
-	return lateWeight*ramp + laterWeight*targets
+// latenessCost returns the cost of a first event after the given multiple of its target.
+func latenessCost(targets float64) float64 {
+	ramp := min(max((targets-latenessStart)/(latenessFull-latenessStart), 0), 1)
+	return latenessWeight*ramp + extraLatenessWeight*targets
 }
 
-// harm returns the expected cost of missed targets between events: of the streams
-// that run at the engine, by a prefill of the length, and of the request's own
-// stream, by long prompts to come.
-func (q *query) harm(e *endpoint, prefillMS float64) float64 {
+// interferenceCost returns the expected cost of missed inter-event targets: of the streams that
+// run at the engine, because of a prefill of the given length, and of the request's own stream,
+// because of long prompts that arrive later.
+func (q *query) interferenceCost(e *endpoint, prefillMS float64) float64 {
 	cost := 0.0
 	waitingMS := e.backlogMS(q.now)
 	for _, a := range e.attempts {
@@ -176,51 +178,51 @@
 		switch {
 		case !bounded || waitingMS+prefillMS <= allowedMS:
 		case waitingMS > allowedMS:
-			cost += doomedWeight
+			cost += certainMissWeight
 		default:
-			cost += harmWeight
+			cost += interferenceWeight
 		}
 	}
 	if allowedMS, bounded := q.service.allowedPrefillMS(e, q.request); bounded {
-		streamSeconds := stepMS * e.slowdown * float64(q.request.Prompt.Out()) / 1000
-		cost += harmWeight * (1 - math.Exp(-e.longPrefillRate(q.now, allowedMS)*streamSeconds))
+		streamSeconds := defaultDecodeStepMS * e.slowdown * float64(q.request.Prompt.Out()) / 1000
+		cost += interferenceWeight * (1 - math.Exp(-e.longPrefillRate(q.now, allowedMS)*streamSeconds))
 	}
 	return cost
 }
 
-// allowedPrefillMS returns how many ms of prefill fit between two events of a
-// stream without a miss of its target; false if any prefill does.
+// allowedPrefillMS returns how many ms of prefill fit between two events of a stream without a
+// missed target. It returns false if any prefill fits.
 func (s *service) allowedPrefillMS(e *endpoint, r Request) (float64, bool) {
 	if r.BetweenTokens <= 0 {
 		return 0, false
 	}
 	target := milliseconds(r.BetweenTokens)
-	if high, known := s.besidePrefill.high(); known && high*e.slowdown < safeShare*target {
+	if upper, known := s.intervalsWithPrefill.upperEstimate(); known && upper*e.slowdown < harmlessIntervalShare*target {
 		return 0, false
 	}
-	eventMS := stepMS * float64(max(s.EventTokens, 1))
-	if mean, known := s.undisturbed.average(); known {
+	eventMS := defaultDecodeStepMS * float64(max(s.EventTokens, 1))
+	if mean, known := s.intervalsWithoutPrefill.mean(); known {
 		eventMS = mean
 	}
-	return max(usableShare*target-eventMS*e.slowdown, 1), true
+	return max(usableIntervalShare*target-eventMS*e.slowdown, 1), true
 }
 
-// rereadTokens returns the tokens of shared parts that another endpoint has
-// computed lately and this one would compute again.
-func (q *query) rereadTokens(e *endpoint) int {
+// recomputedTokens returns the tokens of shared parts that another endpoint computed recently
+// and this one would recompute.
+func (q *query) recomputedTokens(e *endpoint) int {
 	tokens := 0
 	cached := true
 	for _, part := range q.request.Prompt.Shared() {
 		cached = cached && e.cache.Has(part.ID)
-		if !cached && q.table.computedLately(q.now, part.ID) {
+		if !cached && q.table.computedRecently(q.now, part.ID) {
 			tokens += part.Tokens
 		}
 	}
 	return tokens
 }
 
-// crowding returns the cost of slots and memory that run out at an engine.
-func (q *query) crowding(e *endpoint) float64 {
+// saturationCost returns the cost of exhausting an engine's slots and memory.
+func (q *query) saturationCost(e *endpoint) float64 {
 	cost := 0.0
 	if e.Slots > 0 {
 		load := float64(len(e.attempts)+1) / float64(e.Slots)
@@ -228,13 +230,13 @@
 	}
 	if q.service.MemoryTokens > 0 {
 		prompt := q.request.Prompt
-		load := float64(e.tokens+prompt.Tokens+prompt.Out()) / float64(q.service.MemoryTokens)
+		load := float64(e.openTokens+prompt.Tokens+prompt.Out()) / float64(q.service.MemoryTokens)
 		cost += memoryWeight * max(load-1, 0)
 	}
 	return cost
 }
 
-func (q *query) distance(e *endpoint) float64 {
+func (q *query) distanceCost(e *endpoint) float64 {
 	if e.DataCentre == q.table.DataCentre {
 		return 0
 	}
--- a/coord/placement/dump.go
+++ b/coord/placement/dump.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// EndpointState is what is believed of one endpoint, for operators. The JSON names
-// are those of the state dump.
+// EndpointState is the table's state of one endpoint, for operators. The JSON names are those
+// of the state dump.
 type EndpointState struct {
 	ID           string  `json:"id"`
 	Service      string  `json:"service"`
@@ -15,19 +15,19 @@
 	Leaving      bool    `json:"leaving,omitempty"`
 	Evacuated    bool    `json:"evacuated,omitempty"`
 	Warming      bool    `json:"warming_up,omitempty"`
-	Limit        float64 `json:"limit_per_s,omitempty"` // that its answers name, in requests a second
-	LimitNamedMS int64   `json:"limit_named,omitempty"` // since the last one did
-	BackoffMS    int64   `json:"backoff_ms,omitempty"`  // that this entry sends it nothing
-	DrainingMS   int64   `json:"draining_ms,omitempty"` // since the first sign that it drains
+	Limit        float64 `json:"limit_per_s,omitempty"` // advertised in its responses, in requests per second; 0 for none
+	LimitNamedMS int64   `json:"limit_named,omitempty"` // ms since the last response with the limit
+	BackoffMS    int64   `json:"backoff_ms,omitempty"`  // ms for which this entry sends it no requests
+	DrainingMS   int64   `json:"draining_ms,omitempty"` // ms since the first drain signal
 	Requests     int     `json:"requests"`              // open attempts of all entries
-	BacklogMS    float64 `json:"reading_ms"`            // until no prompt waits for prefill
+	BacklogMS    float64 `json:"reading_ms"`            // ms until no prompt waits for prefill
 	Slowdown     float64 `json:"factor"`                // 1 for as fast as expected
 	Failures     float64 `json:"errors"`                // decayed share of recent attempts that failed
 	CachedTokens int     `json:"kept_tokens"`           // of prompt prefixes
-	MissedMoves  float64 `json:"missed"`                // decayed share of fetches from it that did not bring them
+	MissedMoves  float64 `json:"missed"`                // decayed share of fetches from it that did not deliver the cached tokens
 }
 
-// States returns what is believed of all endpoints, by service and id.
+// States returns the state of all endpoints, sorted by service and id.
 func (t *Table) States(now time.Time) []EndpointState {
 	all := make([]EndpointState, 0, len(t.endpoints))
 	for _, e := range t.endpoints {
@@ -56,7 +56,8 @@
 	return all
 }
 
-// limitAge returns since when no answer has named the endpoint's limit, 0 for no limit.
+// limitAge returns the time since the last response with the endpoint's limit, or 0 if it has
+// none.
 func (e *endpoint) limitAge(now time.Time) time.Duration {
 	if !e.limit.Limited() {
 		return 0
@@ -64,7 +65,7 @@
 	return now.Sub(e.limit.AdvertisedAt())
 }
 
-// drainAge returns since when the endpoint drains, 0 for not.
+// drainAge returns how long the endpoint has been draining, or 0 if it is not.
 func (e *endpoint) drainAge(now time.Time) time.Duration {
 	if !e.drain.Draining() {
 		return 0
--- a/coord/placement/eligible.go
+++ b/coord/placement/eligible.go
@@ -17,7 +17,7 @@
 	if !e.warmup.Allows(q.now, q.service.Warmup, q.table.Group) {
 		return eligibility.WarmingUp
 	}
-	if !e.allowsBackoff(q.now) {
+	if !e.backoffAllows(q.now) {
 		return eligibility.BackedOff
 	}
 	if !e.limit.Allows(q.now, q.table.Group) {
@@ -26,8 +26,8 @@
 	return eligibility.Eligible
 }
 
-// SetEvacuated takes in which data centres are evacuated. What operators have emptied may
-// have been started anew meanwhile: its endpoints count as cold when they are given back.
+// SetEvacuated sets the evacuated data centres. Endpoints of a data centre that is no longer
+// evacuated count as cold, since operators may have restarted them in the meantime.
 func (t *Table) SetEvacuated(now time.Time, dataCentres []string) {
 	t.evacuated = make(map[string]bool, len(dataCentres))
 	for _, name := range dataCentres {
@@ -42,14 +42,14 @@
 	}
 }
 
-// locationOf returns where an endpoint is.
+// locationOf returns the location of an endpoint.
 func (t *Table) locationOf(e Endpoint) eligibility.Location {
 	return eligibility.Location{Region: t.Regions[e.DataCentre], Evacuated: t.evacuated[e.DataCentre]}
 }
 
-// takeWarmup takes in what an endpoint says of its warm-up, if that is news. Word that it is
-// warm ends nothing: it may be older than the end of an evacuation.
-func (e *endpoint) takeWarmup(now time.Time, listed Endpoint) {
+// applyWarmup applies a changed warm-up time of an endpoint. A listed time of 0 ends no
+// warm-up, since it may be older than the end of an evacuation.
+func (e *endpoint) applyWarmup(now time.Time, listed Endpoint) {
 	if listed.WarmupLeft != e.WarmupLeft {
 		e.warmup.Cold(now, listed.WarmupLeft)
 	}
--- a/coord/placement/home.go
+++ b/coord/placement/home.go
@@ -1,13 +1,13 @@
-// Where a prompt prefix goes that no endpoint is known to cache.
+// Selects the home of a prompt prefix that no endpoint is known to cache.
 //
-// Rule: each shared prefix has a home, the endpoint that comes first by rendezvous
-// hashing among those for prompts of its length (the pool, or the rest). Sending the
-// prompt elsewhere costs homeShare of computing the prefix again (cost.go). So
-// entries that have heard nothing of each other, as after a restart of all, still
-// send one prefix to one endpoint.
+// Rule: the home of a shared prefix is the endpoint that ranks first by rendezvous hashing
+// among the endpoints for prompts of its length (the pool, or the rest). At another endpoint,
+// computing the prefix costs an additional nonHomeShare of recomputeWeight (cost.go). Entries
+// that have exchanged no events, as after a restart of all, therefore still send a prefix to
+// the same endpoint.
 // Inputs: the prompt's shared parts, the endpoints, the pool's size.
-// Never: a home is no more than a preference; an endpoint that leaves, or that may not take
-// the request, is no home.
+// Never: the home is more than a preference; an endpoint that is leaving, or that may not take
+// the request, is a home.
 
 package placement
 
@@ -18,7 +18,7 @@
 	"foxcross.dev/coord/rendezvous"
 )
 
-// home returns the home of a prompt's shared parts, nil if it shares nothing.
+// home returns the home of a prompt's shared parts, or nil if it has none.
 func (t *Table) home(s *service, r Request, long bool, poolSize int) *endpoint {
 	shared := r.Prompt.Shared()
 	if len(shared) == 0 {
--- a/coord/placement/interval.go
+++ b/coord/placement/interval.go
@@ -5,43 +5,44 @@
 const (
 	// intervalDecay is the weight of the newest value.
 	intervalDecay = 0.02
-	// minIntervals is how many values are needed before they say anything.
+	// minIntervals is the number of values below which the statistics are not used.
 	minIntervals = 10
-	// highDeviations is how many standard deviations above the mean a high value is.
+	// highDeviations is the number of standard deviations between the mean and upperEstimate.
 	highDeviations = 1.5
 )
 
-// intervals is a decayed mean and variance of the ms between events of streams, at
-// a slowdown of 1. The zero value is empty.
-type intervals struct {
+// intervalStats is the decayed mean and variance of the ms between events of streams, at a
+// slowdown of 1. The zero value is empty.
+type intervalStats struct {
 	_        struct{} `cbor:",toarray"`
 	Count    int
 	Mean     float64
 	Variance float64
 }
 
-func (i *intervals) observe(ms float64) {
+func (i *intervalStats) observe(ms float64) {
 	i.Count++
 	weight := max(intervalDecay, 1/float64(i.Count))
-	off := ms - i.Mean
-	i.Mean += weight * off
-	i.Variance += weight * (off*off - i.Variance)
+	deviation := ms - i.Mean
+	i.Mean += weight * deviation
+	i.Variance += weight * (deviation*deviation - i.Variance)
 }
 
-// average returns the mean; false while too few values are known.
-func (i *intervals) average() (float64, bool) { return i.Mean, i.Count >= minIntervals }
+// mean returns the mean. It returns false while there are too few values.
+func (i *intervalStats) mean() (float64, bool) { return i.Mean, i.Count >= minIntervals }
 
-// high returns a value that most stay below; false while too few are known.
-func (i *intervals) high() (float64, bool) {
+// upperEstimate returns a value that most intervals stay below. It returns false while there
+// are too few values.
+func (i *intervalStats) upperEstimate() (float64, bool) {
 	if i.Count < minIntervals {
 		return 0, false
 	}
 	return i.Mean + highDeviations*math.Sqrt(i.Variance), true
 }
 
-// prefillHarms tells whether streams with the service's strictest target between events are
-// known to come close to it, or to miss it, beside prefill.
-func (s *service) prefillHarms() bool {
-	high, known := s.besidePrefill.high()
-	return known && s.BetweenTokens > 0 && high >= safeShare*milliseconds(s.BetweenTokens)
+// prefillInterferes reports whether streams with the service's strictest inter-event target are
+// known to come close to the target, or to miss it, during prefill.
+func (s *service) prefillInterferes() bool {
+	upper, known := s.intervalsWithPrefill.upperEstimate()
+	return known && s.BetweenTokens > 0 && upper >= harmlessIntervalShare*milliseconds(s.BetweenTokens)
 }
--- a/coord/placement/limits.go
+++ b/coord/placement/limits.go
@@ -7,10 +7,10 @@
 	"foxcross.dev/coord/eligibility"
 )
 
-// ApplyLimit records an update of an endpoint's limit, from a response or another entry. It returns
-// what that has changed, and whether it is to be announced to others.
+// ApplyLimit records an update of an endpoint's limit from a response or another entry. It
+// returns the change, and reports whether to announce it to other entries.
 func (t *Table) ApplyLimit(now time.Time, endpointID string, u eligibility.LimitUpdate) (c eligibility.Change, announce bool) {
-	s := t.knownSignals(endpointID)
+	s := t.findSignals(endpointID)
 	if s == nil {
 		return eligibility.Unchanged, false
 	}
@@ -18,16 +18,17 @@
 	return c, s.limit.Announce(now, c)
 }
 
-// shown tells whether the request may choose an endpoint that bears a rate, so that not all do
-// before they have heard of each other.
-func (q *query) shown(e *endpoint, random *rand.Rand) bool {
+// passesRateSampling reports whether the request may choose an endpoint with a rate limit or a
+// warm-up. Only a random share of the requests may, since entries receive each other's attempts
+// with a delay and would otherwise all choose it.
+func (q *query) passesRateSampling(e *endpoint, random *rand.Rand) bool {
 	if !e.limit.Limited() && !e.warmup.Warming(q.now) {
 		return true
 	}
-	arrivals := q.service.arrivals.perSecond(q.now)
+	arrivalsPerSecond := q.service.arrivalRate.perSecond(q.now)
 	chance := min(
-		e.warmup.Chance(q.now, q.service.Warmup, arrivals, q.table.Group),
-		e.limit.Chance(q.now, arrivals, q.table.Group),
+		e.warmup.Chance(q.now, q.service.Warmup, arrivalsPerSecond, q.table.Group),
+		e.limit.Chance(q.now, arrivalsPerSecond, q.table.Group),
 	)
 	return random.Float64() < chance
 }
--- a/coord/placement/obstacle.go
+++ b/coord/placement/obstacle.go
@@ -1,10 +1,10 @@
-// Why a request can be sent nowhere now, and when that passes.
+// Determines why no endpoint can take a request now, and when one can.
 //
-// Rule: of the obstacles of the service's endpoints, the one that passes the soonest counts: by
-// its time where it is known, else by its reason.
+// Rule: of the obstacles of the service's endpoints, the one that ends first counts. They are
+// compared by their remaining times if both are known, else by their reasons.
 // Inputs: the table, the request, the time.
 // Units: times.
-// Never: an endpoint that leaves counts.
+// Never: an endpoint that is leaving counts.
 
 package placement
 
@@ -14,23 +14,23 @@
 	"foxcross.dev/coord/eligibility"
 )
 
-// minBackoffWait is the least time that a backoff is said to last, also where it is over and the
-// endpoint gets few requests at first.
+// minBackoffWait is the shortest wait reported for a backoff, also after its end while the
+// endpoint gets few requests.
 const minBackoffWait = 20 * time.Millisecond
 
-// Obstacle is why a request can be sent nowhere now. Its endpoint is the one that may be sent a
-// request the soonest.
+// Obstacle is the reason why no endpoint can take a request now. Endpoint is the one expected
+// to become available first.
 type Obstacle struct {
-	Reason   eligibility.Reason // Eligible for another reason than those
+	Reason   eligibility.Reason // Eligible if none of the reasons of package eligibility applies
 	Endpoint string             // of Limited and BackedOff
 	Wait     time.Duration      // of Limited and BackedOff: until it may be sent a request, as far as is known
-	Limit    float64            // of Limited: in requests a second
-	Since    time.Duration      // of Limited and BackedOff: since the response that said so
-	Delay    time.Duration      // of BackedOff: that the response asked for
+	Limit    float64            // of Limited: in requests per second
+	Since    time.Duration      // of Limited and BackedOff: since the response with the limit or delay
+	Delay    time.Duration      // of BackedOff: the delay that the response asked for
 }
 
-// timed tells whether it is known when the obstacle passes.
-func (o Obstacle) timed() bool {
+// hasWait reports whether the remaining time is known.
+func (o Obstacle) hasWait() bool {
 	return o.Reason == eligibility.Limited || o.Reason == eligibility.BackedOff
 }
 
@@ -46,15 +46,15 @@
 		if o.Reason == eligibility.Eligible {
 			return o
 		}
-		if soonest.Reason == eligibility.Eligible || o.sooner(soonest) {
+		if soonest.Reason == eligibility.Eligible || o.endsBefore(soonest) {
 			soonest = o
 		}
 	}
 	return soonest
 }
 
-// obstacle returns why an endpoint may not take the request now. A rate-limited endpoint is one
-// also while it has capacity, since only a share of the requests may choose it.
+// obstacle returns why an endpoint may not take the request now. A rate-limited endpoint is an
+// obstacle even while it has capacity, since only a share of the requests may choose it.
 func (q *query) obstacle(e *endpoint) Obstacle {
 	reason := q.eligibility(e)
 	if reason == eligibility.Eligible && e.limit.Limited() {
@@ -77,10 +77,10 @@
 	return o
 }
 
-// sooner tells whether the obstacle passes sooner than another one.
-func (o Obstacle) sooner(than Obstacle) bool {
-	if o.timed() && than.timed() {
-		return o.Wait < than.Wait
+// endsBefore reports whether the obstacle ends before another one.
+func (o Obstacle) endsBefore(other Obstacle) bool {
+	if o.hasWait() && other.hasWait() {
+		return o.Wait < other.Wait
 	}
-	return o.Reason < than.Reason
+	return o.Reason < other.Reason
 }
--- a/coord/placement/pool.go
+++ b/coord/placement/pool.go
@@ -1,13 +1,14 @@
-// How many endpoints of a service long prompts are kept to.
+// Sizes the pool of endpoints for the long prompts of a service.
 //
-// Rule: long prompts get the endpoints that the prefill of short ones leaves, or
-// their share of all endpoints if there is enough for both; at least one endpoint
-// and never all. The endpoints are the first ones in an order that all entries have
-// in common. The pool is a preference: leaving it costs poolWeight (cost.go).
-// Inputs: the prefill time that requests of all entries ask for, decayed. Entries
-// hear of all attempts and so come to about the same size.
+// Rule: long prompts get the endpoints that the prefill of short prompts doesn't need. If there
+// are enough endpoints for both, long prompts get a share of all endpoints in proportion to
+// their demand. The pool has at least one endpoint and never all of them. It consists of the
+// first endpoints in an order common to all entries. The pool is a preference: placing a prompt
+// on the wrong side costs poolWeight (cost.go).
+// Inputs: the prefill time demanded by the requests of all entries, decayed. Each entry
+// receives the events of all attempts, so their pools have about the same size.
 // Unit: milliseconds of prefill per millisecond, endpoints.
-// Never: a class's name is not looked at; a prompt is long by its prefill time.
+// Never: the name of a class counts; a prompt is long by its prefill time.
 
 package placement
 
@@ -19,36 +20,36 @@
 const (
 	// demandDecay is the time constant of the demand.
 	demandDecay = 6 * time.Second
-	// poolHysteresis is by how many endpoints the wanted size must differ for the pool to
-	// change. Below one, so that it follows.
+	// poolHysteresis is the difference between the wanted and the current size, in endpoints,
+	// beyond which the pool changes. It is below one, so that the size follows the demand.
 	poolHysteresis = 0.8
 	// maxShortLoad is the share of its time that an endpoint may spend on the prefill of short
 	// prompts beside its streams.
 	maxShortLoad = 0.4
 	// maxLongLoad is the share of its time that an endpoint of the pool may spend on prefill.
 	maxLongLoad = 0.8
-	// longShare is the share of the service's strictest target between events from which a
+	// longPrefillShare is the share of the service's strictest inter-event target from which a
 	// prefill counts as long.
-	longShare = 0.5
+	longPrefillShare = 0.5
 )
 
-// pool is the number of endpoints for long prompts and the demand behind it. The
-// zero value is no demand.
+// pool is the number of endpoints for long prompts and the demand behind it. The zero value has
+// no demand.
 type pool struct {
-	longMS  float64 // prefill time of long prompts, decayed
-	shortMS float64 // the same of all others
-	at      time.Time
-	size    int
+	longMS    float64 // prefill time of long prompts, decayed
+	shortMS   float64 // prefill time of all other prompts, decayed
+	updatedAt time.Time
+	size      int
 }
 
-// add takes in a prompt that takes so long to prefill.
+// add adds the prefill time of a prompt to the demand.
 func (p *pool) add(now time.Time, prefillMS float64, long bool) {
-	if !p.at.IsZero() {
-		keep := math.Exp(-float64(now.Sub(p.at)) / float64(demandDecay))
+	if !p.updatedAt.IsZero() {
+		keep := math.Exp(-float64(now.Sub(p.updatedAt)) / float64(demandDecay))
 		p.longMS *= keep
 		p.shortMS *= keep
 	}
-	p.at = now
+	p.updatedAt = now
 	if long {
 		p.longMS += prefillMS
 	} else {
@@ -56,7 +57,7 @@
 	}
 }
 
-// resize returns how many of the endpoints long prompts are kept to.
+// resize returns the number of endpoints in the pool.
 func (p *pool) resize(endpoints int) int {
 	if p.longMS <= 0 || endpoints < 2 {
 		p.size = 0
@@ -76,8 +77,8 @@
 	return p.size
 }
 
-// isLong tells whether a prefill takes so long that a stream beside it would miss
-// the strictest target between events of the service.
+// isLong reports whether a prefill takes so long that a stream beside it would miss the
+// service's strictest inter-event target.
 func (s *service) isLong(prefillMS float64) bool {
-	return s.BetweenTokens > 0 && prefillMS > longShare*milliseconds(s.BetweenTokens)
+	return s.BetweenTokens > 0 && prefillMS > longPrefillShare*milliseconds(s.BetweenTokens)
 }
--- a/coord/placement/signals.go
+++ b/coord/placement/signals.go
@@ -1,10 +1,11 @@
-// What an endpoint has said of itself in its responses.
+// Keeps the signals that endpoints send in their responses.
 //
-// Rule: a rate limit, a backoff and draining belong to one start of an endpoint. They are kept for
-// signalRetention after the endpoint has left the list, since its record may lapse and come
-// back; what other entries announce of an endpoint that is not listed yet is kept as well.
-// Inputs: signals of responses, the list of endpoints.
-// Never: an endpoint that comes back under the same start is used as if it had said nothing.
+// Rule: a rate limit, a backoff and draining belong to one incarnation of an endpoint. They are
+// kept for signalRetention after the endpoint has left the list, since its record may expire
+// and return. Signals that other entries announce for an endpoint not listed yet are kept as
+// well.
+// Inputs: signals in responses, the list of endpoints.
+// Never: an endpoint that returns in the same incarnation is used as if it had sent no signal.
 
 package placement
 
@@ -16,37 +17,36 @@
 )
 
 const (
-	// signalRetention is how long signals of an endpoint that is not listed are kept. Above the
-	// longest outage of the store in which records lapse.
+	// signalRetention is how long the signals of an unlisted endpoint are kept. It is above the
+	// longest outage of the store during which records expire.
 	signalRetention = 10 * time.Minute
-	// maxUnlisted bounds the endpoints that are not listed of which signals are kept.
+	// maxUnlisted bounds the unlisted endpoints whose signals are kept.
 	maxUnlisted = 4096
-	// backoffJitter is the share of a delay by which entries that were refused at the same moment
-	// spread their return.
+	// backoffJitter is the largest share of a delay that is added at random, so that entries
+	// rejected at the same moment don't all return at once.
 	backoffJitter = 0.3
 )
 
-// signals are what one start of an endpoint has said. The zero value is nothing.
+// signals holds the signals of one incarnation of an endpoint. The zero value has none.
 type signals struct {
 	limit   eligibility.Limit
 	backoff eligibility.Backoff
 	drain   eligibility.Drain
 }
 
-// unlisted are the signals of an endpoint that is not on the list.
+// unlisted holds the signals of an endpoint that is not listed.
 type unlisted struct {
 	signals
-	since time.Time // when they were set aside
+	addedAt time.Time // when the endpoint left the list, or its first signal arrived
 }
 
-// matter tells whether there is anything to keep.
-func (s *signals) matter(now time.Time) bool {
+// active reports whether any signal is in effect.
+func (s *signals) active(now time.Time) bool {
 	return s.limit.Limited() || s.backoff.Active(now) || s.drain.Draining()
 }
 
-// knownSignals returns the signals of an endpoint that is listed, or of which some are kept; else
-// nil.
-func (t *Table) knownSignals(incarnation string) *signals {
+// findSignals returns the signals of an endpoint, listed or not, or nil if it has no entry.
+func (t *Table) findSignals(incarnation string) *signals {
 	if e := t.endpoints[incarnation]; e != nil {
 		return &e.signals
 	}
@@ -56,30 +56,31 @@
 	return nil
 }
 
-// signalsOf returns the signals of an endpoint, listed or not; nil if there is no room for one
-// that is not listed.
-func (t *Table) signalsOf(now time.Time, incarnation string) *signals {
-	if s := t.knownSignals(incarnation); s != nil {
+// findOrAddSignals returns the signals of an endpoint, listed or not. It returns nil if the
+// bound on unlisted endpoints is reached.
+func (t *Table) findOrAddSignals(now time.Time, incarnation string) *signals {
+	if s := t.findSignals(incarnation); s != nil {
 		return s
 	}
-	return t.setAside(now, incarnation, signals{})
+	return t.addUnlisted(now, incarnation, signals{})
 }
 
-// setAside keeps the signals of an endpoint that is not listed.
-func (t *Table) setAside(now time.Time, incarnation string, s signals) *signals {
+// addUnlisted keeps the signals of an unlisted endpoint. It returns nil if the bound is
+// reached.
+func (t *Table) addUnlisted(now time.Time, incarnation string, s signals) *signals {
 	if t.unlisted == nil {
 		t.unlisted = map[string]*unlisted{}
 	}
 	if len(t.unlisted) >= maxUnlisted {
 		return nil
 	}
-	u := &unlisted{signals: s, since: now}
+	u := &unlisted{signals: s, addedAt: now}
 	t.unlisted[incarnation] = u
 	return &u.signals
 }
 
-// relist returns the signals that were kept of an endpoint that is listed now.
-func (t *Table) relist(incarnation string) signals {
+// takeUnlisted removes and returns the signals kept for an endpoint that is listed again.
+func (t *Table) takeUnlisted(incarnation string) signals {
 	u := t.unlisted[incarnation]
 	if u == nil {
 		return signals{}
@@ -88,38 +89,38 @@
 	return u.signals
 }
 
-// forgetUnlisted drops signals of endpoints that have not been listed for long.
-func (t *Table) forgetUnlisted(now time.Time) {
+// expireUnlisted removes the signals of endpoints that have been unlisted for longer than
+// signalRetention.
+func (t *Table) expireUnlisted(now time.Time) {
 	for incarnation, u := range t.unlisted {
-		if now.Sub(u.since) > signalRetention {
+		if now.Sub(u.addedAt) > signalRetention {
 			delete(t.unlisted, incarnation)
 		}
 	}
 }
 
-// ApplyBackoff records a response of an endpoint to this entry that asks for a delay. It returns
-// whether a backoff began.
+// ApplyBackoff records a response to this entry that asks for a delay. It reports whether a
+// backoff began.
 func (t *Table) ApplyBackoff(now time.Time, incarnation string, delay time.Duration, random *rand.Rand) (began bool) {
-	s := t.signalsOf(now, incarnation)
+	s := t.findOrAddSignals(now, incarnation)
 	if s == nil {
 		return false
 	}
 	return s.backoff.Apply(now, delay, time.Duration(backoffJitter*random.Float64()*float64(delay)))
 }
 
-// ApplyDrain records a sign that an endpoint drains, of a response or of another entry. It
-// returns whether it is the first one, and whether others are to be told.
+// ApplyDrain records a drain signal from a response or another entry. It reports whether the
+// signal is the first one, and whether to announce it to other entries.
 func (t *Table) ApplyDrain(now time.Time, incarnation string, at time.Time) (began, announce bool) {
-	s := t.signalsOf(now, incarnation)
+	s := t.findOrAddSignals(now, incarnation)
 	if s == nil {
 		return false, false
 	}
 	return s.drain.Apply(at), s.drain.Announce(now)
 }
 
-// Withdraw tells whether a request that was placed at an endpoint is not to be sent there any
-// more.
+// Withdraw reports whether a request placed at an endpoint must no longer be sent there.
 func (t *Table) Withdraw(now time.Time, incarnation string) bool {
-	s := t.knownSignals(incarnation)
+	s := t.findSignals(incarnation)
 	return s != nil && (s.backoff.Active(now) || !s.drain.Allows(now, t.DrainGrace))
 }
--- a/coord/placement/snapshot.go
+++ b/coord/placement/snapshot.go
@@ -1,14 +1,13 @@
-// What one table hands to another that has just started.
+// Transfers the state of a table to a table that has just started.
 //
-// Rule: a snapshot holds the open attempts, how fast and how reliable endpoints are, and
-// which shared parts they keep of those used within ReuseLife. Restore takes it into a
-// table that knows the endpoints; what that table has learned itself stays, and attempts
-// whose end it was told meanwhile are left out.
+// Rule: a snapshot holds the open attempts, the speed and reliability of endpoints, and the
+// shared parts that they cache of those used within ReuseLife. Restore merges it into a table
+// that has the list of endpoints. The table's own observations take precedence, and attempts
+// whose end it has received in the meantime are left out.
 // Inputs: two tables, the time.
 // Units: ages in milliseconds, since clocks differ.
-// Never: parts that one request alone has, or that were not used lately, are handed on,
-// so that a snapshot is bounded by the traffic of ReuseLife and not by the engines'
-// memory.
+// Never: parts of a single request, or parts not used recently, are transferred, so that a
+// snapshot is bounded by the traffic of ReuseLife and not by the engines' memory.
 
 package placement
 
@@ -20,38 +19,38 @@
 )
 
 const (
-	// maxSnapshotParts bounds the distinct shared parts of a snapshot. 12 bytes each, 0.1 s
-	// over 10 Mbit/s.
+	// maxSnapshotParts bounds the distinct shared parts of a snapshot. They have 12 bytes each
+	// and take 0.1 s over 10 Mbit/s.
 	maxSnapshotParts = 10_000
-	// maxEnded bounds the ended attempts that are remembered for a snapshot to come. 2 s of
-	// 4,000 attempts a second.
+	// maxEnded bounds the ended attempts recorded before a snapshot arrives. It corresponds to
+	// 2 s of 4,000 attempts per second.
 	maxEnded = 8192
 )
 
-// Snapshot is what a table knows. Its form is on the wire.
+// Snapshot is the state of a table. Its encoding is part of the protocol between entries.
 type Snapshot struct {
-	Parts     []memory.Part      `cbor:"1,keyasint"` // shared ones that were used lately
-	UsedMS    []int64            `cbor:"2,keyasint"` // since the last use of each of Parts
+	Parts     []memory.Part      `cbor:"1,keyasint"` // shared ones that were used recently
+	UsedMS    []int64            `cbor:"2,keyasint"` // ms since the last use of each of Parts
 	Endpoints []EndpointSnapshot `cbor:"3,keyasint"`
 	Services  []ServiceSnapshot  `cbor:"4,keyasint"`
-	Warmups   []WarmupSnapshot   `cbor:"5,keyasint,omitempty"` // entries of former versions pass over it and what follows
+	Warmups   []WarmupSnapshot   `cbor:"5,keyasint,omitempty"` // entries of earlier versions ignore this and the following fields
 	Limits    []LimitSnapshot    `cbor:"6,keyasint,omitempty"`
 	Drains    []DrainSnapshot    `cbor:"7,keyasint,omitempty"`
 }
 
-// EndpointSnapshot is what is known of one endpoint.
+// EndpointSnapshot is the state of one endpoint.
 type EndpointSnapshot struct {
 	_        struct{} `cbor:",toarray"`
 	ID       string
 	Slowdown float64
 	Failures float64
-	Missing  float64 // share of fetches that did not bring what it was believed to keep
-	Kept     []int   // of Parts, the most recently used first
+	Missing  float64 // share of fetches that did not deliver the parts expected in its cache
+	Kept     []int   // indexes into Parts, the most recently used first
 	Backlog  []float64
 	Attempts []AttemptSnapshot
 }
 
-// AttemptSnapshot is an attempt that has not ended.
+// AttemptSnapshot is an open attempt.
 type AttemptSnapshot struct {
 	_             struct{} `cbor:",toarray"`
 	ID            AttemptID
@@ -62,49 +61,49 @@
 	ExpectedMS    float64
 }
 
-// ServiceSnapshot is what the endpoints of a service have in common.
+// ServiceSnapshot is the state shared by the endpoints of a service.
 type ServiceSnapshot struct {
 	_             struct{} `cbor:",toarray"`
 	Name          string
 	Prefill       [5]float64 // weight and sums of the fit
-	Undisturbed   intervals
-	BesidePrefill intervals
-	LongMS        float64 // prefill time asked for by long prompts, decayed
+	Undisturbed   intervalStats
+	BesidePrefill intervalStats
+	LongMS        float64 // prefill time demanded by long prompts, decayed
 	ShortMS       float64
 }
 
-// WarmupSnapshot is that an endpoint warms up.
+// WarmupSnapshot is the remaining warm-up time of an endpoint.
 type WarmupSnapshot struct {
 	_      struct{} `cbor:",toarray"`
 	ID     string
 	LeftMS int64
 }
 
-// LimitSnapshot is that an endpoint has named a limit.
+// LimitSnapshot is the rate limit that an endpoint has advertised.
 type LimitSnapshot struct {
 	_         struct{} `cbor:",toarray"`
 	ID        string
 	PerSecond float64
-	NamedMS   int64 // since the last answer that named it
+	NamedMS   int64 // since the last response with the limit
 }
 
-// DrainSnapshot is that an endpoint drains.
+// DrainSnapshot is the time for which an endpoint has been draining.
 type DrainSnapshot struct {
 	_       struct{} `cbor:",toarray"`
 	ID      string
-	SinceMS int64 // since the first sign
+	SinceMS int64 // since the first signal
 }
 
-// noFirst stands for an attempt without a first event.
-const noFirst = -1
+// noFirstEvent is the FirstMS of an attempt without a first event.
+const noFirstEvent = -1
 
-// Snapshot returns what the table knows.
+// Snapshot returns the state of the table.
 func (t *Table) Snapshot(now time.Time) Snapshot {
 	var s Snapshot
-	index := make(map[uint64]int, min(len(t.shared), maxSnapshotParts))
+	index := make(map[uint64]int, min(len(t.sharedParts), maxSnapshotParts))
 	for id, e := range t.endpoints {
 		if e.Engine || len(e.attempts) > 0 {
-			s.Endpoints = append(s.Endpoints, t.snapshotOf(now, id, e, &s, index))
+			s.Endpoints = append(s.Endpoints, t.endpointSnapshot(now, id, e, &s, index))
 		}
 		if left := e.warmup.Left(now); left > 0 {
 			s.Warmups = append(s.Warmups, WarmupSnapshot{ID: id, LeftMS: left.Milliseconds()})
@@ -119,14 +118,14 @@
 	for name, v := range t.services {
 		p := v.prefill
 		s.Services = append(s.Services, ServiceSnapshot{
-			Name: name, Prefill: [5]float64{p.weight, p.x, p.y, p.xx, p.xy},
-			Undisturbed: v.undisturbed, BesidePrefill: v.besidePrefill, LongMS: v.pool.longMS, ShortMS: v.pool.shortMS,
+			Name: name, Prefill: [5]float64{p.weight, p.sumX, p.sumY, p.sumXX, p.sumXY},
+			Undisturbed: v.intervalsWithoutPrefill, BesidePrefill: v.intervalsWithPrefill, LongMS: v.pool.longMS, ShortMS: v.pool.shortMS,
 		})
 	}
 	return s
 }
 
-// drainSnapshots returns which endpoints drain, listed or not.
+// drainSnapshots returns the draining endpoints, listed or not.
 func (t *Table) drainSnapshots(now time.Time) []DrainSnapshot {
 	var all []DrainSnapshot
 	add := func(id string, s *signals) {
@@ -143,15 +142,15 @@
 	return all
 }
 
-// snapshotOf returns what is known of an endpoint. Parts that it keeps are added to the
-// snapshot's, whose index is given.
-func (t *Table) snapshotOf(now time.Time, id string, e *endpoint, s *Snapshot, index map[uint64]int) EndpointSnapshot {
+// endpointSnapshot returns the state of an endpoint. It adds the cached parts to the snapshot
+// and their positions to index.
+func (t *Table) endpointSnapshot(now time.Time, id string, e *endpoint, s *Snapshot, index map[uint64]int) EndpointSnapshot {
 	e.backlog.advance(now, e.slowdown)
 	x := EndpointSnapshot{
-		ID: id, Slowdown: e.slowdown, Failures: e.failures, Missing: e.trust.Missing(), Backlog: e.backlog.ms[:],
+		ID: id, Slowdown: e.slowdown, Failures: e.failures, Missing: e.trust.Missing(), Backlog: e.backlog.prefillMS[:],
 	}
 	for part := range e.cache.Settled() {
-		if !t.computedLately(now, part.ID) {
+		if !t.computedRecently(now, part.ID) {
 			continue
 		}
 		n, known := index[part.ID]
@@ -162,12 +161,12 @@
 			n = len(s.Parts)
 			index[part.ID] = n
 			s.Parts = append(s.Parts, part)
-			s.UsedMS = append(s.UsedMS, now.Sub(t.shared[part.ID].at).Milliseconds())
+			s.UsedMS = append(s.UsedMS, now.Sub(t.sharedParts[part.ID].lastUsed).Milliseconds())
 		}
 		x.Kept = append(x.Kept, n)
 	}
 	for id, a := range e.attempts {
-		first := int64(noFirst)
+		first := int64(noFirstEvent)
 		if !a.waiting() {
 			first = now.Sub(a.firstAt).Milliseconds()
 		}
@@ -179,11 +178,11 @@
 	return x
 }
 
-// Restore takes in a snapshot of another table.
+// Restore merges a snapshot of another table.
 func (t *Table) Restore(now time.Time, s Snapshot) {
 	for n, part := range s.Parts {
 		if n < len(s.UsedMS) {
-			t.rememberAt(part.ID, now.Add(-time.Duration(s.UsedMS[n])*time.Millisecond))
+			t.recordUseAt(part.ID, now.Add(-time.Duration(s.UsedMS[n])*time.Millisecond))
 		}
 	}
 	for _, x := range s.Services {
@@ -213,56 +212,56 @@
 	t.StopRestoring()
 }
 
-// StopRestoring forgets what was remembered for a snapshot.
+// StopRestoring deletes the state kept for a pending snapshot.
 func (t *Table) StopRestoring() {
 	t.Restoring = false
 	t.ended = nil
 }
 
-// TakeKept takes in what an engine says that it keeps. When the parts were last used is not
-// known; they count as used now, so that they are not computed elsewhere.
+// TakeKept records the parts that an engine reports as cached. The time of their last use is
+// unknown. They count as used now, so that other engines don't recompute them.
 func (t *Table) TakeKept(now time.Time, endpointID string, parts []memory.Part) {
 	e := t.endpoints[endpointID]
 	if e == nil || !e.Engine {
 		return
 	}
-	room := memory.Room(t.service(e.Service).MemoryTokens, e.tokens)
+	capacity := memory.Room(t.service(e.Service).MemoryTokens, e.openTokens)
 	for _, part := range parts {
-		e.cache.Add(part, room)
-		t.rememberAt(part.ID, now)
-		if u := t.shared[part.ID]; u != nil {
-			u.keep(e)
+		e.cache.Add(part, capacity)
+		t.recordUseAt(part.ID, now)
+		if u := t.sharedParts[part.ID]; u != nil {
+			u.addEngine(e)
 		}
 	}
 }
 
-// rememberAt records the use of a shared part unless a later one is known.
-func (t *Table) rememberAt(part uint64, at time.Time) {
-	if len(t.shared) >= maxShared {
+// recordUseAt records a use of a shared part unless a later one is known.
+func (t *Table) recordUseAt(part uint64, at time.Time) {
+	if len(t.sharedParts) >= maxSharedParts {
 		return
 	}
-	if u := t.use(part); at.After(u.at) {
-		u.at = at
+	if u := t.partUse(part); at.After(u.lastUsed) {
+		u.lastUsed = at
 	}
 }
 
-// restore takes in what another table has observed, unless this one has observed more.
+// restore replaces those observations of the service of which another table has more.
 func (s *service) restore(now time.Time, x ServiceSnapshot) {
 	if x.Prefill[0] > s.prefill.weight {
-		s.prefill = prefillModel{weight: x.Prefill[0], x: x.Prefill[1], y: x.Prefill[2], xx: x.Prefill[3], xy: x.Prefill[4]}
+		s.prefill = prefillModel{weight: x.Prefill[0], sumX: x.Prefill[1], sumY: x.Prefill[2], sumXX: x.Prefill[3], sumXY: x.Prefill[4]}
 	}
-	if x.Undisturbed.Count > s.undisturbed.Count {
-		s.undisturbed = x.Undisturbed
+	if x.Undisturbed.Count > s.intervalsWithoutPrefill.Count {
+		s.intervalsWithoutPrefill = x.Undisturbed
 	}
-	if x.BesidePrefill.Count > s.besidePrefill.Count {
-		s.besidePrefill = x.BesidePrefill
+	if x.BesidePrefill.Count > s.intervalsWithPrefill.Count {
+		s.intervalsWithPrefill = x.BesidePrefill
 	}
 	if x.LongMS+x.ShortMS > s.pool.longMS+s.pool.shortMS {
-		s.pool.longMS, s.pool.shortMS, s.pool.at = x.LongMS, x.ShortMS, now
+		s.pool.longMS, s.pool.shortMS, s.pool.updatedAt = x.LongMS, x.ShortMS, now
 	}
 }
 
-// restoreEndpoint takes in what another table knows of an endpoint.
+// restoreEndpoint merges another table's state of an endpoint.
 func (t *Table) restoreEndpoint(now time.Time, e *endpoint, x EndpointSnapshot, parts []memory.Part) {
 	if e.slowdown == 1 && x.Slowdown > 0 {
 		e.setSlowdown(x.Slowdown)
@@ -270,24 +269,24 @@
 	e.failures = max(e.failures, min(x.Failures, 1))
 	e.trust.Restore(x.Missing)
 	service := t.service(e.Service)
-	room := memory.Room(service.MemoryTokens, e.tokens)
+	capacity := memory.Room(service.MemoryTokens, e.openTokens)
 	for n := len(x.Kept) - 1; n >= 0; n-- { // the most recent one last
 		if k := x.Kept[n]; k >= 0 && k < len(parts) {
-			e.cache.Add(parts[k], room)
-			t.use(parts[k].ID).keep(e)
+			e.cache.Add(parts[k], capacity)
+			t.partUse(parts[k].ID).addEngine(e)
 		}
 	}
 	for _, a := range x.Attempts {
 		t.restoreAttempt(now, e, a)
 	}
 	e.backlog.advance(now, e.slowdown)
-	for n, ms := range x.Backlog[:min(len(x.Backlog), priorities)] {
-		e.backlog.ms[n] = max(e.backlog.ms[n], ms)
+	for n, ms := range x.Backlog[:min(len(x.Backlog), numPriorities)] {
+		e.backlog.prefillMS[n] = max(e.backlog.prefillMS[n], ms)
 	}
-	t.boundBacklog(now, e)
+	t.trimBacklog(now, e)
 }
 
-// restoreAttempt takes in an open attempt of another entry.
+// restoreAttempt adds an open attempt of another entry.
 func (t *Table) restoreAttempt(now time.Time, e *endpoint, a AttemptSnapshot) {
 	if e.attempts[a.ID] != nil || t.ended[a.ID] || a.ID.Owner == t.Self || len(t.byAttempt) >= maxAttempts {
 		return
@@ -296,24 +295,24 @@
 		t.byAttempt = map[AttemptID]*endpoint{}
 	}
 	t.byAttempt[a.ID] = e
-	x := &attempt{
+	restored := &attempt{
 		request: a.Request, prefillTokens: a.PrefillTokens, expectedMS: a.ExpectedMS,
 		sentAt: now.Add(-time.Duration(a.SentMS) * time.Millisecond),
 	}
-	e.attempts[a.ID] = x
-	e.tokens += a.Request.Prompt.Tokens + a.Request.Prompt.Out()
-	if a.FirstMS != noFirst {
-		x.firstAt = now.Add(-time.Duration(a.FirstMS) * time.Millisecond)
-		x.lastAt = x.firstAt
+	e.attempts[a.ID] = restored
+	e.openTokens += a.Request.Prompt.Tokens + a.Request.Prompt.Out()
+	if a.FirstMS != noFirstEvent {
+		restored.firstAt = now.Add(-time.Duration(a.FirstMS) * time.Millisecond)
+		restored.lastAt = restored.firstAt
 		return
 	}
 	if e.Engine {
-		x.brought = e.cache.Use(a.Request.Prompt, memory.Room(t.service(e.Service).MemoryTokens, e.tokens))
+		restored.addedParts = e.cache.Use(a.Request.Prompt, memory.Room(t.service(e.Service).MemoryTokens, e.openTokens))
 	}
 }
 
-// noteEnded remembers the end of an attempt that is not known, until Restore.
-func (t *Table) noteEnded(id AttemptID) {
+// recordEnded records the end of an unknown attempt until Restore.
+func (t *Table) recordEnded(id AttemptID) {
 	if !t.Restoring || len(t.ended) >= maxEnded {
 		return
 	}
--- a/coord/placement/source.go
+++ b/coord/placement/source.go
@@ -1,11 +1,11 @@
-// Which engines are sources of a prompt's parts.
+// Selects the engines from which a prompt's parts can be fetched.
 //
-// Rule: the maxSources engines of the service that are believed to keep the most of the
-// prompt, of a large service among those that used its last shared part lately. One that
-// is leaving, failing, backed off from, overdue or slow is none, nor one that is evacuated or
-// outside the request's regions.
-// Inputs: what each engine keeps and its health.
-// Never: an engine of another service, nor one whose service moves no memory.
+// Rule: the maxSources engines of the service that are estimated to cache the most of the
+// prompt; in a large service, among those that used its last shared part recently. An engine
+// that is leaving, failing, unreachable, overdue or slow is no source, nor is one that is
+// evacuated or outside the request's regions.
+// Inputs: the cached parts of each engine and its health.
+// Never: an engine of another service is a source, nor one whose service transfers no memory.
 
 package placement
 
@@ -18,16 +18,17 @@
 )
 
 const (
-	// maxSources bounds the sources that a request looks at. More cost time at each endpoint.
+	// maxSources bounds the sources considered for a request. Each one adds time to the
+	// estimate of every endpoint.
 	maxSources = 4
-	// maxSourceFailures is the decayed share of failures up to which an engine is a source.
-	// One failure among successes counts 0.2.
+	// maxSourceFailures is the largest decayed share of failures of a source. One failure among
+	// successes counts 0.2.
 	maxSourceFailures = 0.3
-	// maxSourceSlowdown is the slowdown up to which an engine is a source.
+	// maxSourceSlowdown is the largest slowdown of a source.
 	maxSourceSlowdown = 2.5
 )
 
-// findSources returns the sources of the request's prompt, those that keep most first.
+// findSources returns the sources of the request's prompt, those that cache most first.
 func (q *query) findSources() []memory.Source {
 	prompt := q.request.Prompt
 	if !q.service.MoveRate.Offered() || len(prompt.Parts) == 0 {
@@ -36,11 +37,11 @@
 	var found []memory.Source
 	engines := q.service.endpoints
 	if len(engines) > maxScanned {
-		engines = q.keepers
+		engines = q.cachingEngines
 	}
 	for _, e := range engines {
 		kept := e.cache.Fetchable(prompt)
-		if kept == 0 || !q.maySend(e) {
+		if kept == 0 || !q.canBeSource(e) {
 			continue
 		}
 		found = append(found, memory.Source{
@@ -51,14 +52,15 @@
 	return found[:min(len(found), maxSources)]
 }
 
-// maySend tells whether an engine is fit to be fetched from.
-func (q *query) maySend(e *endpoint) bool {
-	return e.Engine && !e.draining() && eligibility.Check(q.request.Regions, e.location) == eligibility.Eligible && e.failures <= maxSourceFailures && !q.now.Before(e.redialAt) &&
+// canBeSource reports whether parts may be fetched from an engine.
+func (q *query) canBeSource(e *endpoint) bool {
+	return e.Engine && !e.draining() && eligibility.Check(q.request.Regions, e.location) == eligibility.Eligible && e.failures <= maxSourceFailures && !q.now.Before(e.unreachableUntil) &&
 		e.slowdown <= maxSourceSlowdown && e.overdueMS(q.now) == 0
 }
 
-// fetch returns what an engine would fetch that keeps the first tokens of the prompt.
-func (q *query) fetch(e *endpoint, kept int, perTokenMS float64) memory.Fetch {
+// estimateFetch returns the expected fetch of an engine that caches the first kept tokens of
+// the prompt.
+func (q *query) estimateFetch(e *endpoint, kept int, perTokenMS float64) memory.Fetch {
 	if len(q.sources) == 0 || !e.Engine {
 		return memory.Fetch{}
 	}
--- a/coord/placement/table.go
+++ b/coord/placement/table.go
@@ -11,48 +11,49 @@
 )
 
 const (
-	// maxShared bounds the shared parts that are remembered.
-	maxShared = 65536
+	// maxSharedParts bounds the shared parts whose use is recorded.
+	maxSharedParts = 65536
 	// maxAttempts bounds the open attempts of all entries.
-	maxAttempts      = 65536
+	maxAttempts = 65536
+	// minSweepInterval is the shortest time between two sweeps of the shared parts.
 	minSweepInterval = time.Second
 )
 
-// Table is what one entry knows of all endpoints. The zero value is empty; it is
-// not safe for concurrent use.
+// Table holds the state of all endpoints at one entry. The zero value is empty. A Table is not
+// safe for concurrent use.
 type Table struct {
 	DataCentre string            // of this entry
 	Self       uint64            // owner of this entry's attempts
-	ReuseLife  time.Duration     // computing a shared part again costs for so long after its last use
-	Restoring  bool              // a snapshot of another table is still to come
+	ReuseLife  time.Duration     // how long after its last use recomputing a shared part has a cost
+	Restoring  bool              // a snapshot of another table is pending
 	Regions    map[string]string // of data centres, by name
 	Group      eligibility.Group // of entries that send to the same endpoints
-	DrainGrace time.Duration     // a draining endpoint gets nothing that comes later
-
-	endpoints map[string]*endpoint
-	services  map[string]*service
-	byAttempt map[AttemptID]*endpoint
-	ended     map[AttemptID]bool   // attempts that ended without being known, while Restoring
-	shared    map[uint64]*use      // of shared parts
-	swept     time.Time            // when shared was last walked over
-	evacuated map[string]bool      // data centres
-	unlisted  map[string]*unlisted // by incarnation
+	DrainGrace time.Duration     // time from the drain signal of an endpoint until it gets no more requests
+
+	endpoints   map[string]*endpoint
+	services    map[string]*service
+	byAttempt   map[AttemptID]*endpoint
+	ended       map[AttemptID]bool   // unknown attempts that ended while Restoring
+	sharedParts map[uint64]*partUse  // by part id
+	lastSweep   time.Time            // of sharedParts
+	evacuated   map[string]bool      // data centres
+	unlisted    map[string]*unlisted // by incarnation
 }
 
-// service is what the endpoints of one service have in common.
+// service is the state shared by the endpoints of one service.
 type service struct {
 	Service
-	endpoints     []*endpoint  // in an order that all entries have in common
-	near          []*endpoint  // those of the own data centre, in that order
-	undisturbed   intervals    // between events while no prefill runs
-	besidePrefill intervals    // between events while prefills run
-	prefill       prefillModel // time to the first event
-	pool          pool
-	overruns      overruns
-	arrivals      arrivals
+	endpoints               []*endpoint   // in an order common to all entries
+	local                   []*endpoint   // those of the own data centre, in that order
+	intervalsWithoutPrefill intervalStats // between events while no prefill runs
+	intervalsWithPrefill    intervalStats // between events while prefills run
+	prefill                 prefillModel  // time to the first event
+	pool                    pool
+	overruns                overruns
+	arrivalRate             arrivalRate
 }
 
-// SetServices takes in what the settings say.
+// SetServices applies the settings of services.
 func (t *Table) SetServices(all []Service) {
 	for _, s := range all {
 		t.service(s.Name).Service = s
@@ -71,8 +72,8 @@
 	return s
 }
 
-// SetEndpoints takes in the list of endpoints. What is known of those that stay is
-// kept; attempts at those that are gone are forgotten.
+// SetEndpoints replaces the list of endpoints. The state of endpoints that remain is kept;
+// attempts at removed endpoints are dropped.
 func (t *Table) SetEndpoints(now time.Time, list []Endpoint) {
 	next := make(map[string]*endpoint, len(list))
 	for _, listed := range list {
@@ -80,13 +81,13 @@
 		if e == nil {
 			e = &endpoint{
 				slowdown: 1, attempts: map[AttemptID]*attempt{}, hash: rendezvous.Hash(listed.ID),
-				signals: t.relist(listed.Incarnation()),
+				signals: t.takeUnlisted(listed.Incarnation()),
 			}
 		}
 		if listed.Leaving {
 			e.drain.Apply(now)
 		}
-		e.takeWarmup(now, listed)
+		e.applyWarmup(now, listed)
 		e.Endpoint = listed
 		e.location = t.locationOf(listed)
 		next[listed.Incarnation()] = e
@@ -95,27 +96,27 @@
 		if next[id] != nil {
 			continue
 		}
-		t.forgetAttempts(e)
-		if e.matter(now) {
-			t.setAside(now, id, e.signals)
+		t.removeAttempts(e)
+		if e.active(now) {
+			t.addUnlisted(now, id, e.signals)
 		}
 	}
-	t.forgetUnlisted(now)
+	t.expireUnlisted(now)
 	t.endpoints = next
-	t.group()
+	t.groupByService()
 }
 
-func (t *Table) forgetAttempts(e *endpoint) {
+func (t *Table) removeAttempts(e *endpoint) {
 	for id := range e.attempts {
 		delete(t.byAttempt, id)
 	}
 }
 
-// group sorts the endpoints by service, in the common order.
-func (t *Table) group() {
+// groupByService sorts the endpoints by service, in the common order.
+func (t *Table) groupByService() {
 	for _, s := range t.services {
 		s.endpoints = s.endpoints[:0]
-		s.near = s.near[:0]
+		s.local = s.local[:0]
 	}
 	for _, e := range t.endpoints {
 		s := t.service(e.Service)
@@ -129,61 +130,61 @@
 		for n, e := range s.endpoints {
 			e.rank = n
 			if e.DataCentre == t.DataCentre {
-				s.near = append(s.near, e)
+				s.local = append(s.local, e)
 			}
 		}
 	}
 }
 
-// Open returns the number of attempts that have not ended.
+// Open returns the number of open attempts.
 func (t *Table) Open() int { return len(t.byAttempt) }
 
-// computedLately tells whether any endpoint has used a shared part within ReuseLife.
-func (t *Table) computedLately(now time.Time, part uint64) bool {
-	u := t.shared[part]
-	return u != nil && now.Sub(u.at) < t.ReuseLife
+// computedRecently reports whether any endpoint has used a shared part within ReuseLife.
+func (t *Table) computedRecently(now time.Time, part uint64) bool {
+	u := t.sharedParts[part]
+	return u != nil && now.Sub(u.lastUsed) < t.ReuseLife
 }
 
-// remember records the use of a prompt's shared parts at an engine.
-func (t *Table) remember(now time.Time, p memory.Prompt, e *endpoint) {
+// recordUse records the use of a prompt's shared parts at an engine.
+func (t *Table) recordUse(now time.Time, p memory.Prompt, e *endpoint) {
 	for _, part := range p.Shared() {
-		u := t.use(part.ID)
-		u.at = now
-		u.keep(e)
+		u := t.partUse(part.ID)
+		u.lastUsed = now
+		u.addEngine(e)
 	}
-	if len(t.shared) <= maxShared {
+	if len(t.sharedParts) <= maxSharedParts {
 		return
 	}
-	if now.Sub(t.swept) >= minSweepInterval {
-		t.swept = now
+	if now.Sub(t.lastSweep) >= minSweepInterval {
+		t.lastSweep = now
 		t.sweepShared(now)
 	}
-	for id := range t.shared { // any, if forgetting the unused ones was not enough
-		if len(t.shared) <= maxShared {
+	for id := range t.sharedParts { // removes any parts, if removing the unused ones was not enough
+		if len(t.sharedParts) <= maxSharedParts {
 			return
 		}
-		delete(t.shared, id)
+		delete(t.sharedParts, id)
 	}
 }
 
-// use returns what is known of a shared part.
-func (t *Table) use(part uint64) *use {
-	if t.shared == nil {
-		t.shared = map[uint64]*use{}
+// partUse returns the use of a shared part, which it adds if there is none.
+func (t *Table) partUse(part uint64) *partUse {
+	if t.sharedParts == nil {
+		t.sharedParts = map[uint64]*partUse{}
 	}
-	u := t.shared[part]
+	u := t.sharedParts[part]
 	if u == nil {
-		u = &use{}
-		t.shared[part] = u
+		u = &partUse{}
+		t.sharedParts[part] = u
 	}
 	return u
 }
 
-// sweepShared forgets the shared parts that were not used within ReuseLife.
+// sweepSharedParts removes the shared parts that were not used within ReuseLife.
 func (t *Table) sweepShared(now time.Time) {
-	for id, u := range t.shared {
-		if now.Sub(u.at) > t.ReuseLife {
-			delete(t.shared, id)
+	for id, u := range t.sharedParts {
+		if now.Sub(u.lastUsed) > t.ReuseLife {
+			delete(t.sharedParts, id)
 		}
 	}
 }
