--- a/coord/placement/admit_test.go
+++ b/coord/placement/admit_test.go
@@ -7,29 +7,30 @@
 	"foxcross.dev/coord/placement"
 )
 
-// TestAdmit holds what is refused of prompts whose target is 2 s, and when they may come back.
+// TestAdmit checks which prompts with a target of 2 s are rejected, and the delay before a
+// retry.
 func TestAdmit(t *testing.T) {
 	request := placement.Request{FirstToken: 2 * time.Second}
 	for _, c := range []struct {
 		name   string
 		choice placement.Choice
 		left   time.Duration
-		retry  time.Duration // zero for admitted
+		retry  time.Duration // zero if admitted
 	}{
 		{"short", placement.Choice{WaitMS: 9000, FirstMS: 9000, HarmsStreams: true}, time.Minute, 0},
 		{"starts at once, whatever its length", placement.Choice{Long: true, WaitMS: 300, FirstMS: 9000, HarmsStreams: true}, time.Minute, 0},
 		{"in time", placement.Choice{Long: true, WaitMS: 1500, FirstMS: 2000}, time.Minute, 0},
 		{"late", placement.Choice{Long: true, WaitMS: 1500, FirstMS: 2001}, time.Minute, 1500 * time.Millisecond},
-		{"late as such prompts were lately", placement.Choice{Long: true, WaitMS: 800, FirstMS: 1100, Overrun: 2}, time.Minute, 1600 * time.Millisecond},
-		{"soon, beside streams that prefill harms", placement.Choice{Long: true, WaitMS: 400, FirstMS: 700, HarmsStreams: true}, time.Minute, 0},
-		{"later, beside streams that prefill harms", placement.Choice{Long: true, WaitMS: 400, FirstMS: 701, HarmsStreams: true}, time.Minute, 700 * time.Millisecond},
-		{"harms more than one at a crowded service", placement.Choice{Long: true, Terms: placement.Terms{Harm: 1.1}, BusyShare: 0.5}, time.Minute, 700 * time.Millisecond},
-		{"harms more than one where slots are free", placement.Choice{Long: true, Terms: placement.Terms{Harm: 1.1}, BusyShare: 0.4}, time.Minute, 0},
+		{"late with the recent overrun", placement.Choice{Long: true, WaitMS: 800, FirstMS: 1100, Overrun: 2}, time.Minute, 1600 * time.Millisecond},
+		{"soon, with prefill interference", placement.Choice{Long: true, WaitMS: 400, FirstMS: 700, HarmsStreams: true}, time.Minute, 0},
+		{"later, with prefill interference", placement.Choice{Long: true, WaitMS: 400, FirstMS: 701, HarmsStreams: true}, time.Minute, 700 * time.Millisecond},
+		{"harms more than one request at a busy service", placement.Choice{Long: true, Terms: placement.Terms{Harm: 1.1}, BusyShare: 0.5}, time.Minute, 700 * time.Millisecond},
+		{"harms more than one request with free slots", placement.Choice{Long: true, Terms: placement.Terms{Harm: 1.1}, BusyShare: 0.4}, time.Minute, 0},
 		{"little time left", placement.Choice{Long: true, WaitMS: 1500, FirstMS: 2001}, 2 * time.Second, 500 * time.Millisecond},
 	} {
 		retry, ok := c.choice.Admit(request, c.left)
 		if ok != (c.retry == 0) || retry != c.retry {
-			t.Errorf("%s: admitted %v, to come back after %v, want %v", c.name, ok, retry, c.retry)
+			t.Errorf("%s: admitted %v, retry after %v, want %v", c.name, ok, retry, c.retry)
 		}
 	}
 }
--- a/coord/placement/backoff_play_test.go
+++ b/coord/placement/backoff_play_test.go
@@ -11,184 +11,184 @@
 	"foxcross.dev/coord/placement"
 )
 
-// Planted faults of a backoffPlay.
+// Faults injected into a backoffSimulation.
 const (
-	sound          = "sound"
-	pathDoesNotAsk = "a path does not ask"         // some requests go to an endpoint whatever it has asked for
-	shorterCounts  = "a shorter delay counts"      // the last response sets the end
-	takesAny       = "falls back to all endpoints" // where none may be tried, any is
-	noSecondAsking = "what was placed is sent"     // no second question when the connection is ready
+	noFault               = "no fault"
+	requestsIgnoreBackoff = "some requests ignore the backoff"      // some requests are sent whatever the endpoint's backoff
+	lastDelayWins         = "a shorter delay replaces a longer one" // the last response sets the end of the backoff
+	fallsBackToAny        = "falls back to all endpoints"           // a request with no available endpoint is sent to any
+	noRecheck             = "no recheck before sending"             // the backoff is not checked again when the connection is ready
 )
 
-// backoffPlay is one entry before a few endpoints that refuse at random, with delays at random, in
-// virtual time: responses come late and in any order, some get lost, connections take long, and
-// the process stands still at times.
-type backoffPlay struct {
+// backoffSimulation simulates one entry and a few endpoints in virtual time. Endpoints reject
+// requests at random, with random delays. Responses arrive late and in any order, some are
+// lost, some connections take long, and the process freezes at times.
+type backoffSimulation struct {
 	seed  uint64
 	fault string
 
-	table   *placement.Table
-	random  *rand.Rand
-	queue   steps
-	begin   time.Time
-	number  uint64
-	frozen  time.Time // the process stands still until then
-	excused time.Time // refusals before then do not count
-	refused []backoffRefusal
-	asked   map[string]time.Duration // the last delay, by endpoint
-	worst   int                      // requests of the entry within one backoff
+	table        *placement.Table
+	random       *rand.Rand
+	queue        eventQueue
+	start        time.Time
+	lastNumber   uint64
+	frozenUntil  time.Time // the process does nothing until then
+	ignoredUntil time.Time // earlier rejections do not count
+	rejections   []rejection
+	lastDelays   map[string]time.Duration // by endpoint
+	maxRequests  int                      // largest number of requests of the entry within one backoff
 }
 
-// backoffRefusal is a response that asks for a delay.
-type backoffRefusal struct {
+// rejection is a response that asks for a delay.
+type rejection struct {
 	endpoint string
 	at       time.Time
 	delay    time.Duration
-	got      int
+	requests int
 }
 
 const (
-	playLasts      = 20 * time.Second
-	playEndpoints  = 4
-	playGap        = 5 * time.Millisecond // between requests, mean
-	playSlowDial   = 0.2                  // share of requests whose connection takes long
-	playRefuses    = 0.1                  // share of requests that are refused
-	playLost       = 0.1                  // share of responses that are lost
-	playLongest    = 3 * time.Second      // delay, beside the least
-	playLeast      = 300 * time.Millisecond
-	playResponse   = 200 * time.Millisecond // at the most
-	backoffGrace   = 500 * time.Millisecond
-	mostInABackoff = 2
+	backoffDuration      = 20 * time.Second
+	backoffEndpoints     = 4
+	meanRequestInterval  = 5 * time.Millisecond
+	slowConnectShare     = 0.2             // share of requests whose connection takes long
+	rejectShare          = 0.1             // share of requests that are rejected
+	lostResponseShare    = 0.1             // share of responses that are lost
+	delayRange           = 3 * time.Second // of the delay above minDelay
+	minDelay             = 300 * time.Millisecond
+	maxResponseTime      = 200 * time.Millisecond // at most
+	backoffGrace         = 500 * time.Millisecond
+	maxRequestsInBackoff = 2
 )
 
-func (p *backoffPlay) play() {
-	p.begin = origin
+func (p *backoffSimulation) run() {
+	p.start = origin
 	p.random = rand.New(rand.NewPCG(p.seed, 9))
-	p.asked = map[string]time.Duration{}
-	p.restart(p.begin)
-	for at := time.Duration(0); at < playLasts; at += time.Duration(p.random.ExpFloat64() * float64(playGap)) {
-		p.at(p.begin.Add(at), p.place)
+	p.lastDelays = map[string]time.Duration{}
+	p.restart(p.start)
+	for at := time.Duration(0); at < backoffDuration; at += time.Duration(p.random.ExpFloat64() * float64(meanRequestInterval)) {
+		p.schedule(p.start.Add(at), p.place)
 	}
-	for at := 3 * time.Second; at < playLasts; at += 4 * time.Second {
-		from := p.begin.Add(at)
+	for at := 3 * time.Second; at < backoffDuration; at += 4 * time.Second {
+		from := p.start.Add(at)
 		if p.random.IntN(2) == 0 {
-			p.at(from, p.restart)
+			p.schedule(from, p.restart)
 			continue
 		}
-		p.at(from, func(now time.Time) {
-			p.frozen = now.Add(time.Duration(p.random.Float64() * float64(time.Second)))
-			p.excused = p.frozen
+		p.schedule(from, func(now time.Time) {
+			p.frozenUntil = now.Add(time.Duration(p.random.Float64() * float64(time.Second)))
+			p.ignoredUntil = p.frozenUntil
 		})
 	}
 	for len(p.queue) > 0 {
-		s := heap.Pop(&p.queue).(step)
-		s.do(p.begin.Add(s.at))
+		s := heap.Pop(&p.queue).(scheduledEvent)
+		s.do(p.start.Add(s.at))
 	}
-	for _, r := range p.refused {
-		p.worst = max(p.worst, r.got)
+	for _, r := range p.rejections {
+		p.maxRequests = max(p.maxRequests, r.requests)
 	}
 }
 
-func (p *backoffPlay) at(at time.Time, do func(time.Time)) {
-	heap.Push(&p.queue, step{at.Sub(p.begin), do})
+func (p *backoffSimulation) schedule(at time.Time, do func(time.Time)) {
+	heap.Push(&p.queue, scheduledEvent{at.Sub(p.start), do})
 }
 
-// inProcess does something at a time, or once the process goes on.
-func (p *backoffPlay) inProcess(at time.Time, do func(time.Time)) {
-	p.at(at, func(now time.Time) {
-		if now.Before(p.frozen) {
-			p.inProcess(p.frozen, do)
+// scheduleInProcess runs do at a time, or when the process is no longer frozen.
+func (p *backoffSimulation) scheduleInProcess(at time.Time, do func(time.Time)) {
+	p.schedule(at, func(now time.Time) {
+		if now.Before(p.frozenUntil) {
+			p.scheduleInProcess(p.frozenUntil, do)
 			return
 		}
 		do(now)
 	})
 }
 
-// restart lets the entry begin anew.
-func (p *backoffPlay) restart(now time.Time) {
-	ids := make([]string, playEndpoints)
+// restart restarts the entry.
+func (p *backoffSimulation) restart(now time.Time) {
+	ids := make([]string, backoffEndpoints)
 	for n := range ids {
 		ids[n] = fmt.Sprint("i-", n)
 	}
-	p.table, _ = deskTable(ids...)
-	p.excused = now
+	p.table, _ = nonEngineTable(ids...)
+	p.ignoredUntil = now
 }
 
 // place chooses an endpoint for a request and connects to it.
-func (p *backoffPlay) place(now time.Time) {
-	if now.Before(p.frozen) {
+func (p *backoffSimulation) place(now time.Time) {
+	if now.Before(p.frozenUntil) {
 		return
 	}
 	r := placement.Request{Service: "desk", FirstToken: time.Second, TimeLeft: 5 * time.Second}
 	c, ok := p.table.Choose(now, r, func(string) bool { return false }, p.random)
 	endpoint := c.Endpoint.ID
-	blind := p.fault == pathDoesNotAsk && p.random.IntN(5) == 0
-	if blind || !ok && p.fault == takesAny {
-		endpoint, ok = fmt.Sprint("i-", p.random.IntN(playEndpoints)), true
+	ignoresBackoff := p.fault == requestsIgnoreBackoff && p.random.IntN(5) == 0
+	if ignoresBackoff || !ok && p.fault == fallsBackToAny {
+		endpoint, ok = fmt.Sprint("i-", p.random.IntN(backoffEndpoints)), true
 	}
 	if !ok {
 		return
 	}
-	p.number++
-	id := placement.AttemptID{Owner: 1, Number: p.number}
+	p.lastNumber++
+	id := placement.AttemptID{Owner: 1, Number: p.lastNumber}
 	p.table.Place(now, id, endpoint, r, memory.Fetch{})
 	ready := now
-	if p.random.Float64() < playSlowDial {
+	if p.random.Float64() < slowConnectShare {
 		ready = now.Add(time.Duration(p.random.Float64() * float64(2*time.Second)))
 	}
 	table := p.table
-	p.inProcess(ready, func(now time.Time) {
-		asks := !blind && p.fault != noSecondAsking && p.fault != takesAny
-		if table != p.table || asks && table.Withdraw(now, endpoint) {
+	p.scheduleInProcess(ready, func(now time.Time) {
+		rechecks := !ignoresBackoff && p.fault != noRecheck && p.fault != fallsBackToAny
+		if table != p.table || rechecks && table.Withdraw(now, endpoint) {
 			table.End(now, id, placement.Abandoned)
 			return
 		}
-		p.at(now.Add(networkTime), func(now time.Time) { p.arrive(now, table, id, endpoint) })
+		p.schedule(now.Add(networkDelay), func(now time.Time) { p.receive(now, table, id, endpoint) })
 	})
 }
 
-// arrive lets an endpoint respond to a request.
-func (p *backoffPlay) arrive(now time.Time, table *placement.Table, id placement.AttemptID, endpoint string) {
-	for n := range p.refused {
-		r := &p.refused[n]
-		passed := now.Sub(r.at)
-		if r.endpoint == endpoint && r.at.After(p.excused) && passed >= backoffGrace && passed < r.delay {
-			r.got++
+// receive simulates the response of an endpoint to a request.
+func (p *backoffSimulation) receive(now time.Time, table *placement.Table, id placement.AttemptID, endpoint string) {
+	for n := range p.rejections {
+		r := &p.rejections[n]
+		elapsed := now.Sub(r.at)
+		if r.endpoint == endpoint && r.at.After(p.ignoredUntil) && elapsed >= backoffGrace && elapsed < r.delay {
+			r.requests++
 		}
 	}
-	response := now.Add(time.Duration(p.random.Float64() * float64(playResponse)))
-	if p.random.Float64() >= playRefuses {
-		p.inProcess(response, func(now time.Time) {
+	response := now.Add(time.Duration(p.random.Float64() * float64(maxResponseTime)))
+	if p.random.Float64() >= rejectShare {
+		p.scheduleInProcess(response, func(now time.Time) {
 			table.FirstEvent(now, id)
 			table.End(now, id, placement.Succeeded)
 		})
 		return
 	}
-	delay := playLeast + time.Duration(p.random.Float64()*float64(playLongest))
-	if p.random.Float64() < playLost {
-		p.inProcess(response, func(now time.Time) { table.End(now, id, placement.Broken) })
+	delay := minDelay + time.Duration(p.random.Float64()*float64(delayRange))
+	if p.random.Float64() < lostResponseShare {
+		p.scheduleInProcess(response, func(now time.Time) { table.End(now, id, placement.Broken) })
 		return
 	}
-	p.at(response, func(at time.Time) {
+	p.schedule(response, func(at time.Time) {
 		if table != p.table {
-			return // the process that was waiting has ended
+			return // the process waiting for the response has ended
 		}
-		p.refused = append(p.refused, backoffRefusal{endpoint: endpoint, at: at, delay: delay})
-		p.inProcess(at, func(now time.Time) { p.pushBack(now, table, id, endpoint, delay) })
+		p.rejections = append(p.rejections, rejection{endpoint: endpoint, at: at, delay: delay})
+		p.scheduleInProcess(at, func(now time.Time) { p.applyRejection(now, table, id, endpoint, delay) })
 	})
 }
 
-// pushBack lets the entry have the response.
-func (p *backoffPlay) pushBack(now time.Time, table *placement.Table, id placement.AttemptID, endpoint string, delay time.Duration) {
-	if p.fault == shorterCounts && table == p.table {
+// applyRejection passes the response to the entry.
+func (p *backoffSimulation) applyRejection(now time.Time, table *placement.Table, id placement.AttemptID, endpoint string, delay time.Duration) {
+	if p.fault == lastDelayWins && table == p.table {
 		list := table.States(now)
 		var kept []placement.Endpoint
 		for _, e := range list {
 			born := int64(0)
 			if e.ID == endpoint {
-				born = int64(p.number) // a new incarnation has no backoff
+				born = int64(p.lastNumber) // a new incarnation has no backoff
 			}
-			kept = append(kept, placement.Endpoint{ID: e.ID, Service: "desk", Slots: overloadSlots, Born: born})
+			kept = append(kept, placement.Endpoint{ID: e.ID, Service: "desk", Slots: slotsPerEndpoint, Born: born})
 		}
 		table.SetEndpoints(now, kept)
 		for _, e := range kept {
@@ -202,21 +202,21 @@
 	table.End(now, id, placement.PushedBack)
 }
 
-// Guards against requests within a Retry-After, with late, lost and repeated responses.
+// Guards against requests within a Retry-After when responses are late, lost or repeated.
 func TestAtMostTwoRequestsReachAnEndpointInABackoff(t *testing.T) {
-	const plays = 20
-	for _, fault := range []string{sound, pathDoesNotAsk, shorterCounts, takesAny, noSecondAsking} {
+	const simulations = 20
+	for _, fault := range []string{noFault, requestsIgnoreBackoff, lastDelayWins, fallsBackToAny, noRecheck} {
 		t.Run(fault, func(t *testing.T) {
-			worst, refused := 0, 0
-			for seed := range uint64(plays) {
-				p := &backoffPlay{seed: seed + 1, fault: fault}
-				p.play()
-				worst = max(worst, p.worst)
-				refused += len(p.refused)
+			maxRequests, rejected := 0, 0
+			for seed := range uint64(simulations) {
+				p := &backoffSimulation{seed: seed + 1, fault: fault}
+				p.run()
+				maxRequests = max(maxRequests, p.maxRequests)
+				rejected += len(p.rejections)
 			}
-			t.Logf("%d refusals, at most %d requests within a backoff", refused, worst)
-			if broken := worst > mostInABackoff; broken != (fault != sound) {
-				t.Errorf("at most %d requests come within a backoff", worst)
+			t.Logf("%d rejections, at most %d requests within a backoff", rejected, maxRequests)
+			if exceeded := maxRequests > maxRequestsInBackoff; exceeded != (fault != noFault) {
+				t.Errorf("up to %d requests arrive within a backoff", maxRequests)
 			}
 		})
 	}
--- a/coord/placement/bench_test.go
+++ b/coord/placement/bench_test.go
@@ -11,35 +11,36 @@
 	"foxcross.dev/coord/placement"
 )
 
-// BenchmarkDecision measures what one request costs an entry that knows so many engines,
-// each with ten running requests: choose, place, first event, end. Beside other work 23 to
-// 38 µs at 160 engines, 24 to 29 at 400, 39 to 50 at 1,600; 210 to 270 at 200 where all
-// engines were looked at. Since the slowdowns' logarithms are kept 68 µs at 1,600 in place of 105,
-// medians of 7 pairs beside other work.
+// BenchmarkDecision measures the work of an entry for one request: choose, place, first event,
+// end. Each of the given number of engines has ten running requests. On a shared machine it
+// takes 23 to 38 µs at 160 engines, 24 to 29 at 400, 39 to 50 at 1,600, and 210 to 270 at 200
+// if all engines are considered. With the logarithms of the slowdowns stored it takes 68 µs at
+// 1,600, against 105 without (medians of 7 pairs on a shared machine).
 func BenchmarkDecision(b *testing.B) {
 	for _, engines := range []int{160, 400, 1600} {
-		b.Run(fmt.Sprint(engines, " engines"), func(b *testing.B) { decide(b, engines, 0, memory.Rate{}) })
+		b.Run(fmt.Sprint(engines, " engines"), func(b *testing.B) { benchmarkDecision(b, engines, 0, memory.Rate{}) })
 	}
 }
 
-// BenchmarkDecisionWithMoves is the same where engines fetch from each other. Beside other
-// work: 0.21 to 0.34 ms and 7 allocations, against 0.21 to 0.27 ms and 5 before there were
-// moves; most of the time goes into the estimate of each of the 200 engines.
+// BenchmarkDecisionWithMoves is the same with engines that fetch from each other. On a shared
+// machine it takes 0.21 to 0.34 ms and 7 allocations, against 0.21 to 0.27 ms and 5 without
+// fetches. Most of the time is spent on the estimates for each of the 200 engines.
 func BenchmarkDecisionWithMoves(b *testing.B) {
-	decide(b, 200, 0, memory.Rate{TokenBytes: 163_840, LinkMbps: 260_000})
+	benchmarkDecision(b, 200, 0, memory.Rate{TokenBytes: 163_840, LinkMbps: 260_000})
 }
 
-// BenchmarkDecisionWithLimits is the same where so many of 1,600 engines name a limit of 2 requests a
-// second to 620 entries. Medians of 5, beside other work: 74 µs without limits, 73
-// with 160, 83 before endpoints could name limits.
+// BenchmarkDecisionWithLimits is the same with the given number of 1,600 engines that advertise
+// a limit of 2 requests per second to 620 entries. Medians of 5 on a shared machine: 74 µs
+// without limits, 73 with 160, 83 without support for limits.
 func BenchmarkDecisionWithLimits(b *testing.B) {
 	for _, limited := range []int{0, 160} {
-		b.Run(fmt.Sprint(limited, " limited"), func(b *testing.B) { decide(b, 1600, limited, memory.Rate{}) })
+		b.Run(fmt.Sprint(limited, " limited"), func(b *testing.B) { benchmarkDecision(b, 1600, limited, memory.Rate{}) })
 	}
 }
 
-// decide measures decisions at engines that move memory at the rate, of which some name a limit.
-func decide(b *testing.B, endpoints, limited int, rate memory.Rate) {
+// benchmarkDecision measures decisions at engines that transfer memory at the rate. The first
+// limited endpoints advertise a limit.
+func benchmarkDecision(b *testing.B, endpoints, limited int, rate memory.Rate) {
 	running := 10 * endpoints
 	now := time.Unix(1_000_000, 0)
 	var t placement.Table
@@ -58,7 +59,7 @@
 		t.ApplyLimit(now, e.ID, eligibility.LimitUpdate{PerSecond: 2, Sent: now, Received: now})
 	}
 	random := rand.New(rand.NewPCG(1, 2))
-	job := func(n int) placement.Request {
+	request := func(n int) placement.Request {
 		tokens := 600
 		if n%4 == 0 {
 			tokens = 6000
@@ -70,12 +71,12 @@
 	}
 	place := func(n int) {
 		now = now.Add(time.Millisecond)
-		c, ok := t.Choose(now, job(n), func(string) bool { return false }, random)
+		c, ok := t.Choose(now, request(n), func(string) bool { return false }, random)
 		if !ok {
 			b.Fatal("no endpoint")
 		}
 		id := placement.AttemptID{Owner: 1, Number: uint64(n)}
-		t.Place(now, id, c.Endpoint.ID, job(n), c.Fetch)
+		t.Place(now, id, c.Endpoint.ID, request(n), c.Fetch)
 		t.FirstEvent(now.Add(20*time.Millisecond), id)
 	}
 	for n := range running {
--- a/coord/placement/example_test.go
+++ b/coord/placement/example_test.go
@@ -9,8 +9,8 @@
 	"foxcross.dev/coord/placement"
 )
 
-// A table learns from each attempt that is placed: here a prompt goes where its
-// prefix is cached.
+// A table is updated by each attempt that is placed: here a prompt is sent to the endpoint that
+// caches its prefix.
 func ExampleTable() {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	table := placement.Table{Self: 1, ReuseLife: 10 * time.Second}
@@ -32,7 +32,7 @@
 	// Output: true i-2 100 tokens to compute
 }
 
-// Admit refuses what would come after its target, and says when to come back.
+// Admit rejects a prompt that would miss its target, and returns the delay before a retry.
 func ExampleChoice_Admit() {
 	choice := placement.Choice{Long: true, WaitMS: 3000, FirstMS: 3200}
 	request := placement.Request{FirstToken: 2 * time.Second}
--- a/coord/placement/export_test.go
+++ b/coord/placement/export_test.go
@@ -1,7 +1,7 @@
 package placement
 
-// Listed tells whether an endpoint is on the list.
+// Listed reports whether an endpoint is listed.
 func (t *Table) Listed(id string) bool { return t.endpoints[id] != nil }
 
-// Shared returns the number of shared parts that are remembered.
+// Shared returns the number of shared parts whose use is recorded.
 func (t *Table) Shared() int { return len(t.sharedParts) }
--- a/coord/placement/golden_test.go
+++ b/coord/placement/golden_test.go
@@ -14,12 +14,12 @@
 
 const decisionsFile = "testdata/decisions.golden"
 
-// TestGoldenDecisions plays a recorded series of unlike requests, endpoints that
-// come, go, fail and slow down, and another entry's work, and holds each choice
-// and refusal to what it was.
+// TestGoldenDecisions replays a recorded series of requests and compares each choice and
+// rejection with the golden file. The requests differ, endpoints are added, removed, fail and
+// slow down, and another entry sends requests too.
 func TestGoldenDecisions(t *testing.T) {
 	const requests = 900
-	table := fleetOf(12)
+	table := engineTable(12)
 	table.SetServices([]placement.Service{
 		{Name: "pool", MemoryTokens: 120_000, EventTokens: 6, BetweenTokens: 150 * time.Millisecond, MaxRequests: 40},
 		{Name: "app", MaxRequests: 20},
@@ -32,7 +32,7 @@
 	table.SetEndpoints(origin, endpoints)
 	random := rand.New(rand.NewPCG(1, 2))
 	now := origin
-	var open []run
+	var open []openRequest
 	var got strings.Builder
 	for n := range requests {
 		now = now.Add(time.Duration(1+n%9) * time.Millisecond)
@@ -50,10 +50,10 @@
 		}
 		id := placement.AttemptID{Owner: 1 + uint64(n%2), Number: uint64(n)}
 		table.Place(now, id, c.Endpoint.ID, q, memory.Fetch{})
-		begins := now.Add(time.Duration((c.FirstMS + slow(c.Endpoint.ID, q)) * float64(time.Millisecond)))
-		open = append(open, run{id: id, number: n, begins: begins, ends: begins.Add(time.Duration(300+n%500) * time.Millisecond)})
-		open = playOn(table, now, open)
-		if n == requests/2 { // one leaves, another has left the list
+		firstAt := now.Add(time.Duration((c.FirstMS + extraMS(c.Endpoint.ID, q)) * float64(time.Millisecond)))
+		open = append(open, openRequest{id: id, number: n, firstAt: firstAt, endsAt: firstAt.Add(time.Duration(300+n%500) * time.Millisecond)})
+		open = advance(table, now, open)
+		if n == requests/2 { // one is leaving, another is no longer listed
 			endpoints[5].Leaving = true
 			table.SetEndpoints(now, endpoints[:len(endpoints)-1])
 		}
@@ -76,35 +76,35 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	wanted := strings.Split(string(want), "\n")
+	wantLines := strings.Split(string(want), "\n")
 	for n, line := range strings.Split(got.String(), "\n") {
-		if n >= len(wanted) || line != wanted[n] {
-			t.Fatalf("line %d differs\ngot:  %s\nwant: %s", n+1, line, wanted[min(n, len(wanted)-1)])
+		if n >= len(wantLines) || line != wantLines[n] {
+			t.Fatalf("line %d differs\ngot:  %s\nwant: %s", n+1, line, wantLines[min(n, len(wantLines)-1)])
 		}
 	}
 }
 
-// slow returns by how many ms the first event is later than expected: one engine
-// reads at a third of the speed, and each event takes its way.
-func slow(endpoint string, q placement.Request) float64 {
-	const way, perToken = 3, 0.04
+// extraMS returns by how many ms the first event is later than expected. One engine prefills at
+// a third of the speed, and each event has a network delay.
+func extraMS(endpoint string, q placement.Request) float64 {
+	const networkMS, msPerToken = 3, 0.04
 	if endpoint != "e-2" {
-		return way
+		return networkMS
 	}
-	return way + perToken*float64(q.Prompt.Tokens)
+	return networkMS + msPerToken*float64(q.Prompt.Tokens)
 }
 
-// recordedRequest returns the nth request: short chats, long prompts that share
-// their beginnings, and calls of a plain service.
+// recordedRequest returns the nth request: short chats, long prompts with shared prefixes, and
+// calls of a service without a model.
 func recordedRequest(n int, random *rand.Rand) placement.Request {
 	var q placement.Request
 	switch n % 5 {
 	case 0:
-		q = chat(uint64(1000 + n))
+		q = shortRequest(uint64(1000 + n))
 	case 1, 2:
-		q = plan(uint64(50+random.IntN(4)), uint64(1000+n))
+		q = longRequest(uint64(50+random.IntN(4)), uint64(1000+n))
 	case 3:
-		q = chat(uint64(1000 + n))
+		q = shortRequest(uint64(1000 + n))
 		q.Priority, q.BetweenTokens, q.FirstToken = 5, 0, 400*time.Millisecond
 	default:
 		q = placement.Request{Service: "app", FirstToken: 300 * time.Millisecond}
@@ -113,36 +113,36 @@
 	return q
 }
 
-// run is an open request of the recorded series.
-type run struct {
-	id     placement.AttemptID
-	number int
-	begins time.Time // its first event
-	heard  bool
-	ends   time.Time
+// openRequest is an open request of the recorded series.
+type openRequest struct {
+	id      placement.AttemptID
+	number  int
+	firstAt time.Time // first event
+	started bool
+	endsAt  time.Time
 }
 
-// playOn lets the open requests begin, go on and end when they are due, and
-// returns those that are still open.
-func playOn(table *placement.Table, now time.Time, open []run) []run {
+// advance applies the events of the open requests that are due, and returns the requests that
+// are still open.
+func advance(table *placement.Table, now time.Time, open []openRequest) []openRequest {
 	outcomes := []placement.Outcome{
 		placement.Succeeded, placement.Succeeded, placement.Succeeded, placement.Succeeded, placement.Succeeded,
 		placement.Abandoned, placement.Rejected, placement.Errored, placement.Broken, placement.Unreachable,
 	}
-	var left []run
+	var stillOpen []openRequest
 	for _, r := range open {
-		if !r.heard && !now.Before(r.begins) {
-			r.heard = true
-			table.FirstEvent(r.begins, r.id)
+		if !r.started && !now.Before(r.firstAt) {
+			r.started = true
+			table.FirstEvent(r.firstAt, r.id)
 		}
-		if now.Before(r.ends) {
-			if r.heard {
+		if now.Before(r.endsAt) {
+			if r.started {
 				table.NextEvent(now, r.id)
 			}
-			left = append(left, r)
+			stillOpen = append(stillOpen, r)
 			continue
 		}
 		table.End(now, r.id, outcomes[r.number%len(outcomes)])
 	}
-	return left
+	return stillOpen
 }
--- a/coord/placement/overload_test.go
+++ b/coord/placement/overload_test.go
@@ -12,113 +12,115 @@
 	"foxcross.dev/coord/placement"
 )
 
-// overload plays entries before the endpoints of one service, some of which refuse all requests for
-// a time and ask for a backoff, in virtual time. An endpoint whose slots and queue are full
-// refuses too.
-type overload struct {
+// overloadSimulation simulates entries and the endpoints of one service in virtual time. Some
+// of the endpoints reject all requests for a time and ask for a backoff. An endpoint whose
+// slots and queue are full rejects requests too.
+type overloadSimulation struct {
 	entries, endpoints int
-	refusing           int           // endpoints that refuse from refuseFrom on
-	load               float64       // of what all endpoints together sustain
-	noteDelay          time.Duration // until other entries know of an attempt
+	rejecting          int           // endpoints that reject all requests from rejectStart on
+	load               float64       // share of the endpoints' total capacity
+	eventDelay         time.Duration // until other entries receive an event
 	seed               uint64
 
-	tables []*placement.Table
-	nodes  []*overloaded
-	queue  steps
-	begin  time.Time
-	random *rand.Rand
-	number uint64
-	result overloadResult
+	tables     []*placement.Table
+	servers    []*simulatedEndpoint
+	queue      eventQueue
+	start      time.Time
+	random     *rand.Rand
+	lastNumber uint64
+	result     overloadResult
 }
 
-// overloaded is one endpoint.
-type overloaded struct {
-	active  int
-	waiting []func(now time.Time) // requests that wait for a slot
-	refused map[int]time.Time     // when an entry was last refused
-	closed  map[int]time.Time     // until when it was asked to back off
+// simulatedEndpoint is one endpoint.
+type simulatedEndpoint struct {
+	running      int
+	waiting      []func(now time.Time) // requests that wait for a slot
+	rejectedAt   map[int]time.Time     // last rejection, by entry
+	backoffUntil map[int]time.Time     // end of the backoff, by entry
 }
 
-// overloadResult is what came of a play.
+// overloadResult counts the results of a simulation.
 type overloadResult struct {
-	asked, served, inTime int // callers
-	firstSecond           int // requests at refusing endpoints in the second after the delay
-	refusedThen           int // of these, refused
-	inDelay               int // requests of entries within their backoff, but for those under way
+	requests, served, inTime int // by clients
+	afterBackoff             int // requests at rejecting endpoints in the second after the delay
+	rejectedAfterBackoff     int // those of afterBackoff that were rejected
+	duringBackoff            int // requests of entries within their backoff, except for those in flight
 }
 
 const (
-	overloadSlots = 8
-	overloadQueue = 4
-	overloadWork  = 240 * time.Millisecond
-	overloadPlay  = 12 * time.Second
-	refuseFrom    = 2 * time.Second
-	refuseFor     = 500 * time.Millisecond
-	refuseDelay   = 3 * time.Second
-	fullDelay     = time.Second // that a full endpoint asks for
-	callerTime    = 6 * time.Second
-	callerTarget  = 500 * time.Millisecond
-	callerSends   = 2 // attempts of one request
-	callerReturns = 1 // of a caller that was refused
-	returnShare   = 3 // a caller waits for one part in so many of its time
-	networkTime   = 500 * time.Microsecond
+	slotsPerEndpoint   = 8
+	queuePerEndpoint   = 4
+	meanServiceTime    = 240 * time.Millisecond
+	overloadDuration   = 12 * time.Second
+	rejectStart        = 2 * time.Second
+	rejectDuration     = 500 * time.Millisecond
+	rejectDelay        = 3 * time.Second
+	fullQueueDelay     = time.Second // asked for by a full endpoint
+	clientTimeout      = 6 * time.Second
+	clientTarget       = 500 * time.Millisecond
+	maxSends           = 2 // attempts per request
+	maxClientRetries   = 1 // after a rejection
+	clientRetryDivisor = 3 // a client waits for at most its remaining time divided by this
+	networkDelay       = 500 * time.Microsecond
 )
 
-// question is a request of a caller on its way.
-type question struct {
-	entry    int
-	deadline time.Time
-	came     time.Time // of the caller's first attempt
-	sends    int
-	returns  int
-	tried    map[string]bool
-	priority int
+// clientRequest is a request of a client.
+type clientRequest struct {
+	entry         int
+	deadline      time.Time
+	arrivedAt     time.Time // first attempt of the client
+	sends         int
+	clientRetries int
+	tried         map[string]bool
+	priority      int
 }
 
-func (o *overload) play() overloadResult {
-	o.begin = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+func (o *overloadSimulation) run() overloadResult {
+	o.start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	o.random = rand.New(rand.NewPCG(o.seed, 7))
 	var list []placement.Endpoint
 	for n := range o.endpoints {
-		list = append(list, placement.Endpoint{ID: fmt.Sprint("i-", n), Service: "desk", Slots: overloadSlots})
-		o.nodes = append(o.nodes, &overloaded{refused: map[int]time.Time{}, closed: map[int]time.Time{}})
+		list = append(list, placement.Endpoint{ID: fmt.Sprint("i-", n), Service: "desk", Slots: slotsPerEndpoint})
+		o.servers = append(o.servers, &simulatedEndpoint{rejectedAt: map[int]time.Time{}, backoffUntil: map[int]time.Time{}})
 	}
 	for n := range o.entries {
 		t := &placement.Table{Self: uint64(n + 1), Group: eligibility.Group{Self: uint64(n + 1), Entries: o.entries, Live: o.entries}}
 		t.SetServices([]placement.Service{{Name: "desk"}})
-		t.SetEndpoints(o.begin, list)
+		t.SetEndpoints(o.start, list)
 		o.tables = append(o.tables, t)
 	}
-	perSecond := o.load * float64(o.endpoints*overloadSlots) / overloadWork.Seconds()
-	for at := time.Duration(0); at < overloadPlay; at += time.Duration(o.random.ExpFloat64() / perSecond * float64(time.Second)) {
-		o.at(at, func(now time.Time) {
-			o.result.asked++
-			o.place(now, &question{
-				entry: o.random.IntN(o.entries), came: now, deadline: now.Add(callerTime),
+	perSecond := o.load * float64(o.endpoints*slotsPerEndpoint) / meanServiceTime.Seconds()
+	for at := time.Duration(0); at < overloadDuration; at += time.Duration(o.random.ExpFloat64() / perSecond * float64(time.Second)) {
+		o.schedule(at, func(now time.Time) {
+			o.result.requests++
+			o.place(now, &clientRequest{
+				entry: o.random.IntN(o.entries), arrivedAt: now, deadline: now.Add(clientTimeout),
 				tried: map[string]bool{}, priority: o.random.IntN(2),
 			})
 		})
 	}
 	for len(o.queue) > 0 {
-		s := heap.Pop(&o.queue).(step)
-		s.do(o.begin.Add(s.at))
+		s := heap.Pop(&o.queue).(scheduledEvent)
+		s.do(o.start.Add(s.at))
 	}
 	return o.result
 }
 
-func (o *overload) at(at time.Duration, do func(time.Time)) { heap.Push(&o.queue, step{at, do}) }
+func (o *overloadSimulation) schedule(at time.Duration, do func(time.Time)) {
+	heap.Push(&o.queue, scheduledEvent{at, do})
+}
 
-func (o *overload) after(now time.Time, d time.Duration, do func(time.Time)) {
-	o.at(now.Add(d).Sub(o.begin), do)
+func (o *overloadSimulation) scheduleAfter(now time.Time, d time.Duration, do func(time.Time)) {
+	o.schedule(now.Add(d).Sub(o.start), do)
 }
 
-// request returns the request as placement sees it.
-func (q *question) request(now time.Time) placement.Request {
-	return placement.Request{Service: "desk", FirstToken: callerTarget, TimeLeft: q.deadline.Sub(now), Priority: q.priority}
+// request returns the placement request.
+func (q *clientRequest) request(now time.Time) placement.Request {
+	return placement.Request{Service: "desk", FirstToken: clientTarget, TimeLeft: q.deadline.Sub(now), Priority: q.priority}
 }
 
-// place lets the request's entry choose an endpoint.
-func (o *overload) place(now time.Time, q *question) {
+// place chooses an endpoint at the request's entry.
+func (o *overloadSimulation) place(now time.Time, q *clientRequest) {
 	if now.After(q.deadline) {
 		return
 	}
@@ -127,113 +129,113 @@
 	tried := func(id string) bool { return q.tried[id] }
 	c, ok := t.Choose(now, r, tried, o.random)
 	if !ok {
-		o.refuse(now, q)
+		o.reject(now, q)
 		return
 	}
 	q.sends++
-	o.number++
-	id := placement.AttemptID{Owner: uint64(q.entry + 1), Number: o.number}
-	o.tell(now, q.entry, func(t *placement.Table, at time.Time) { t.Place(at, id, c.Endpoint.ID, r, memory.Fetch{}) })
-	o.after(now, networkTime, func(now time.Time) { o.arrive(now, q, id, c.Endpoint.ID) })
+	o.lastNumber++
+	id := placement.AttemptID{Owner: uint64(q.entry + 1), Number: o.lastNumber}
+	o.announce(now, q.entry, func(t *placement.Table, at time.Time) { t.Place(at, id, c.Endpoint.ID, r, memory.Fetch{}) })
+	o.scheduleAfter(now, networkDelay, func(now time.Time) { o.receive(now, q, id, c.Endpoint.ID) })
 }
 
-// refuse tells the caller of a request when to come back.
-func (o *overload) refuse(now time.Time, q *question) {
+// reject rejects a request with a delay before a retry.
+func (o *overloadSimulation) reject(now time.Time, q *clientRequest) {
 	obstacle := o.tables[q.entry].Obstacle(now, q.request(now))
 	wait := max(obstacle.Wait, 100*time.Millisecond)
 	if obstacle.Reason != eligibility.BackedOff {
 		wait = 500 * time.Millisecond
 	}
-	o.comeBack(now, q, wait)
+	o.retryClient(now, q, wait)
 }
 
-// comeBack lets a caller come back to another entry.
-func (o *overload) comeBack(now time.Time, q *question, wait time.Duration) {
-	if q.returns >= callerReturns {
+// retryClient schedules the retry of a client at another entry.
+func (o *overloadSimulation) retryClient(now time.Time, q *clientRequest, wait time.Duration) {
+	if q.clientRetries >= maxClientRetries {
 		return
 	}
-	q.returns++
+	q.clientRetries++
 	q.sends = 0
 	q.tried = map[string]bool{}
 	q.entry = o.random.IntN(o.entries)
-	o.after(now, min(wait, q.deadline.Sub(now)/returnShare), func(now time.Time) { o.place(now, q) })
+	o.scheduleAfter(now, min(wait, q.deadline.Sub(now)/clientRetryDivisor), func(now time.Time) { o.place(now, q) })
 }
 
-// arrive lets an endpoint take a request or refuse it.
-func (o *overload) arrive(now time.Time, q *question, id placement.AttemptID, endpoint string) {
-	n := nodeNumber(endpoint)
-	node := o.nodes[n]
-	at := now.Sub(o.begin)
-	refuses := n < o.refusing && at >= refuseFrom && at < refuseFrom+refuseFor
-	full := node.active >= overloadSlots && len(node.waiting) >= overloadQueue
-	ends := refuseFrom + refuseDelay
-	if n < o.refusing && at >= ends && at < ends+time.Second {
-		o.result.firstSecond++
+// receive lets an endpoint accept or reject a request.
+func (o *overloadSimulation) receive(now time.Time, q *clientRequest, id placement.AttemptID, endpoint string) {
+	n := endpointNumber(endpoint)
+	server := o.servers[n]
+	at := now.Sub(o.start)
+	rejects := n < o.rejecting && at >= rejectStart && at < rejectStart+rejectDuration
+	full := server.running >= slotsPerEndpoint && len(server.waiting) >= queuePerEndpoint
+	backoffEnd := rejectStart + rejectDelay
+	if n < o.rejecting && at >= backoffEnd && at < backoffEnd+time.Second {
+		o.result.afterBackoff++
 		if full {
-			o.result.refusedThen++
+			o.result.rejectedAfterBackoff++
 		}
 	}
-	if now.Before(node.closed[q.entry]) && now.After(node.refused[q.entry].Add(2*networkTime)) {
-		o.result.inDelay++
+	if now.Before(server.backoffUntil[q.entry]) && now.After(server.rejectedAt[q.entry].Add(2*networkDelay)) {
+		o.result.duringBackoff++
 	}
 	switch {
-	case refuses:
-		o.turnAway(now, q, id, node, endpoint, refuseDelay)
+	case rejects:
+		o.rejectWithDelay(now, q, id, server, endpoint, rejectDelay)
 	case full:
-		o.turnAway(now, q, id, node, endpoint, fullDelay)
-	case node.active >= overloadSlots:
-		node.waiting = append(node.waiting, func(now time.Time) { o.work(now, q, id, node) })
+		o.rejectWithDelay(now, q, id, server, endpoint, fullQueueDelay)
+	case server.running >= slotsPerEndpoint:
+		server.waiting = append(server.waiting, func(now time.Time) { o.serve(now, q, id, server) })
 	default:
-		o.work(now, q, id, node)
+		o.serve(now, q, id, server)
 	}
 }
 
-// work lets a slot of an endpoint work on a request.
-func (o *overload) work(now time.Time, q *question, id placement.AttemptID, node *overloaded) {
-	node.active++
-	lasts := time.Duration(float64(overloadWork) * (0.5 + o.random.Float64()))
-	o.after(now, lasts, func(now time.Time) {
-		node.active--
-		if len(node.waiting) > 0 {
-			next := node.waiting[0]
-			node.waiting = node.waiting[1:]
+// serve processes a request in a slot of an endpoint.
+func (o *overloadSimulation) serve(now time.Time, q *clientRequest, id placement.AttemptID, server *simulatedEndpoint) {
+	server.running++
+	duration := time.Duration(float64(meanServiceTime) * (0.5 + o.random.Float64()))
+	o.scheduleAfter(now, duration, func(now time.Time) {
+		server.running--
+		if len(server.waiting) > 0 {
+			next := server.waiting[0]
+			server.waiting = server.waiting[1:]
 			next(now)
 		}
 		if now.Before(q.deadline) {
 			o.result.served++
-			if now.Sub(q.came) <= callerTarget {
+			if now.Sub(q.arrivedAt) <= clientTarget {
 				o.result.inTime++
 			}
 		}
-		o.tell(now, q.entry, func(t *placement.Table, at time.Time) {
+		o.announce(now, q.entry, func(t *placement.Table, at time.Time) {
 			t.FirstEvent(at, id)
 			t.End(at, id, placement.Succeeded)
 		})
 	})
 }
 
-// turnAway lets an endpoint refuse a request with a delay.
-func (o *overload) turnAway(now time.Time, q *question, id placement.AttemptID, node *overloaded, endpoint string, delay time.Duration) {
-	node.refused[q.entry] = now
-	if until := now.Add(delay); until.After(node.closed[q.entry]) {
-		node.closed[q.entry] = until
+// rejectWithDelay lets an endpoint reject a request and ask for a backoff.
+func (o *overloadSimulation) rejectWithDelay(now time.Time, q *clientRequest, id placement.AttemptID, server *simulatedEndpoint, endpoint string, delay time.Duration) {
+	server.rejectedAt[q.entry] = now
+	if until := now.Add(delay); until.After(server.backoffUntil[q.entry]) {
+		server.backoffUntil[q.entry] = until
 	}
-	o.after(now, networkTime, func(now time.Time) {
+	o.scheduleAfter(now, networkDelay, func(now time.Time) {
 		t := o.tables[q.entry]
 		t.ApplyBackoff(now, endpoint, delay, o.random)
-		o.tell(now, q.entry, func(t *placement.Table, at time.Time) { t.End(at, id, placement.PushedBack) })
-		if q.sends < callerSends {
+		o.announce(now, q.entry, func(t *placement.Table, at time.Time) { t.End(at, id, placement.PushedBack) })
+		if q.sends < maxSends {
 			o.place(now, q)
 			return
 		}
-		o.refuse(now, q)
+		o.reject(now, q)
 	})
 }
 
-// tell lets one entry know something at once, and the others later.
-func (o *overload) tell(now time.Time, entry int, do func(*placement.Table, time.Time)) {
+// announce applies an event at one entry at once, and at the others after eventDelay.
+func (o *overloadSimulation) announce(now time.Time, entry int, do func(*placement.Table, time.Time)) {
 	do(o.tables[entry], now)
-	o.after(now, o.noteDelay, func(time.Time) {
+	o.scheduleAfter(now, o.eventDelay, func(time.Time) {
 		for n, t := range o.tables {
 			if n != entry {
 				do(t, now)
@@ -242,7 +244,7 @@
 	})
 }
 
-func nodeNumber(endpoint string) int {
+func endpointNumber(endpoint string) int {
 	var n int
 	if _, err := fmt.Sscanf(endpoint, "i-%d", &n); err != nil {
 		panic(err)
@@ -250,29 +252,29 @@
 	return n
 }
 
-// Guards against entries that were refused together and come back together.
-func TestOverloadedEndpointsAreNotOverrunWhenTheyAreBack(t *testing.T) {
-	const mostRefused = 0.1 // of what comes in the first second after the delay
-	for _, c := range []struct{ endpoints, refusing int }{{4, 1}, {16, 8}} {
-		var refused, came int
+// Guards against entries that were rejected at the same time and return at the same time.
+func TestRequestsReturnGraduallyAfterABackoff(t *testing.T) {
+	const maxRejectedShare = 0.1 // share of the requests in the first second after the delay
+	for _, c := range []struct{ endpoints, rejecting int }{{4, 1}, {16, 8}} {
+		var rejected, arrived int
 		for seed := range uint64(3) {
-			o := &overload{
-				entries: 23, endpoints: c.endpoints, refusing: c.refusing, load: 0.9,
-				noteDelay: 20 * time.Millisecond, seed: seed + 1,
+			o := &overloadSimulation{
+				entries: 23, endpoints: c.endpoints, rejecting: c.rejecting, load: 0.9,
+				eventDelay: 20 * time.Millisecond, seed: seed + 1,
 			}
-			r := o.play()
-			came += r.firstSecond
-			refused += r.refusedThen
-			if r.inDelay > 0 {
-				t.Errorf("seed %d: %d requests reach endpoints within a backoff", seed+1, r.inDelay)
+			r := o.run()
+			arrived += r.afterBackoff
+			rejected += r.rejectedAfterBackoff
+			if r.duringBackoff > 0 {
+				t.Errorf("seed %d: %d requests reach endpoints within a backoff", seed+1, r.duringBackoff)
 			}
-			if r.firstSecond == 0 {
-				t.Errorf("seed %d: no request comes in the first second after the delay", seed+1)
+			if r.afterBackoff == 0 {
+				t.Errorf("seed %d: no request arrives in the first second after the delay", seed+1)
 			}
 		}
-		t.Logf("%d of %d endpoints: %d of %d refused in the first second", c.refusing, c.endpoints, refused, came)
-		if share := float64(refused) / float64(came); share > mostRefused {
-			t.Errorf("%d of %d endpoints: %.3f are refused in the first second after the delay", c.refusing, c.endpoints, share)
+		t.Logf("%d of %d endpoints: %d of %d rejected in the first second", c.rejecting, c.endpoints, rejected, arrived)
+		if share := float64(rejected) / float64(arrived); share > maxRejectedShare {
+			t.Errorf("%d of %d endpoints: %.3f are rejected in the first second after the delay", c.rejecting, c.endpoints, share)
 		}
 	}
 }
