--- a/coord/eligibility/backoff.go
+++ b/coord/eligibility/backoff.go
@@ -1,70 +1,73 @@
-// When an entry sends nothing to an endpoint that has asked it to back off.
+// Backoff of one entry from an endpoint that has requested it.
 //
-// Rule: a 503 response with a Retry-After begins a backoff of this entry from the endpoint. It
-// runs from the receipt of the response, and of several the latest end counts. After the end
-// the entry has one request open there, and one more with each response that it gets, until
-// the endpoint's slots are reached: each round trip doubles what it sends (slow start).
-// Inputs: delays that responses ask for, requests and responses of this entry.
-// Units: times, requests open at once.
-// Never: a backoff binds another entry; a later response shortens it; an endpoint is shut by
-// a delay beyond MaxBackoff.
+// Rule: a 503 response with a Retry-After header starts a backoff of this entry from the
+// endpoint. The backoff starts at the receipt of the response; if there are several, the latest
+// end applies. After the end the entry may have one open request there, and one more with each
+// response, up to the endpoint's number of slots, so that the number doubles with each round
+// trip (slow start).
+// Inputs: delays requested by responses, requests and responses of this entry.
+// Units: times, concurrent requests.
+// Never: a backoff applies to another entry; a later response shortens it; a delay beyond
+// MaxBackoff makes an endpoint ineligible.
 
 package eligibility
 
 import "time"
 
 const (
-	// MaxBackoff is the longest delay that is valid.
+	// MaxBackoff is the longest valid delay.
 	MaxBackoff = time.Hour
-	// defaultSlots stands for the slots of an endpoint that names none.
+	// defaultSlots is the number of slots assumed for an endpoint that reports none.
 	defaultSlots = 16
 )
 
-// Backoff is that of one entry from one endpoint. The zero value is none.
+// Backoff is the backoff of one entry from one endpoint. The zero value is inactive.
 type Backoff struct {
-	asked  time.Time     // when the response came that set the end
-	delay  time.Duration // that it asked for
-	until  time.Time     // the end, jitter included
-	window int           // requests that may be open at once after the end, 0 for any number
+	receivedAt     time.Time     // receipt of the response that set the end
+	requestedDelay time.Duration // delay requested by that response
+	until          time.Time     // the end, jitter included
+	window         int           // maximum of open requests after the end, 0 for no maximum
 }
 
-// Apply records a response that asks for a delay. The entry comes back later by the jitter. It
-// returns whether a backoff began.
-func (b *Backoff) Apply(received time.Time, delay, jitter time.Duration) (began bool) {
+// Apply records a response that requests a delay. The jitter is added to the delay. It reports
+// whether a backoff started.
+func (b *Backoff) Apply(received time.Time, delay, jitter time.Duration) (started bool) {
 	if delay <= 0 || delay > MaxBackoff {
 		return false
 	}
-	began = !b.Active(received)
+	started = !b.Active(received)
 	b.window = 1
 	if until := received.Add(delay + jitter); until.After(b.until) {
-		b.asked, b.delay, b.until = received, delay, until
+		b.receivedAt, b.requestedDelay, b.until = received, delay, until
 	}
-	return began
+	return started
 }
 
-// Active tells whether nothing may be sent.
+// Active reports whether the backoff has not ended, so that no request may be sent.
 func (b *Backoff) Active(now time.Time) bool { return now.Before(b.until) }
 
-// Left returns how much longer nothing may be sent, 0 if something may.
+// Left returns the time until the end of the backoff, 0 if it is not active.
 func (b *Backoff) Left(now time.Time) time.Duration { return max(b.until.Sub(now), 0) }
 
-// Asked returns when the response came that set the end, and the delay that it asked for.
-func (b *Backoff) Asked() (received time.Time, delay time.Duration) { return b.asked, b.delay }
+// Asked returns when the response that set the end was received, and the delay it requested.
+func (b *Backoff) Asked() (received time.Time, delay time.Duration) {
+	return b.receivedAt, b.requestedDelay
+}
 
-// Ramping tells whether the number of open requests is bounded after the end.
+// Ramping reports whether the backoff has ended and slow start still bounds the open requests.
 func (b *Backoff) Ramping(now time.Time) bool { return b.window > 0 && !b.Active(now) }
 
-// Allows tells whether one more request may be sent, where so many are open that were sent
-// after the end.
+// Allows reports whether one more request may be sent. open is the number of open requests that
+// were sent after the end.
 func (b *Backoff) Allows(now time.Time, open int) bool {
 	return !b.Active(now) && (b.window == 0 || open < b.window)
 }
 
-// Since tells whether a request was sent after the end.
+// Since reports whether a request was sent at or after the end.
 func (b *Backoff) Since(sent time.Time) bool { return !sent.Before(b.until) }
 
-// Responded records a response to a request, from an endpoint that has so many slots, 0 for
-// unknown.
+// Responded records the response to a request that was sent at the given time. slots is the
+// endpoint's number of slots, 0 if unknown.
 func (b *Backoff) Responded(sent time.Time, slots int) {
 	if b.window == 0 || !b.Since(sent) {
 		return
--- a/coord/eligibility/drain.go
+++ b/coord/eligibility/drain.go
@@ -1,43 +1,45 @@
-// When an endpoint that has said that it drains gets nothing any more.
+// Draining of an endpoint.
 //
-// Rule: an endpoint that says in a response, or in its record, that it drains is the last resort
-// of new requests for a grace period, and gets none after it. The period runs from the
-// earliest sign that this entry had, its own or another entry's.
-// Inputs: signs of responses, of records, of other entries.
+// Rule: an endpoint that announces in a response, or in its record, that it drains receives new
+// requests only as a last resort during a grace period, and none after it. The period starts
+// at the earliest drain signal known to this entry, its own or another entry's.
+// Inputs: drain signals from responses, from records and from other entries.
 // Units: times.
-// Never: anything but another start of the endpoint ends the draining.
+// Never: anything but a restart of the endpoint ends the draining.
 
 package eligibility
 
 import "time"
 
-// Drain is that of one start of an endpoint. The zero value is none.
+// Drain is the drain state of one endpoint from one start to the next. The zero value is not
+// draining.
 type Drain struct {
-	since     time.Time // of the earliest sign
-	announced time.Time // when other entries were last told
+	since     time.Time // time of the earliest signal
+	announced time.Time // time of the last announcement to other entries
 }
 
-// Apply records a sign of draining. It returns whether it is the first one.
-func (d *Drain) Apply(at time.Time) (began bool) {
-	began = !d.Draining()
-	if began || at.Before(d.since) {
+// Apply records a drain signal. It reports whether it is the first one.
+func (d *Drain) Apply(at time.Time) (started bool) {
+	started = !d.Draining()
+	if started || at.Before(d.since) {
 		d.since = at
 	}
-	return began
+	return started
 }
 
-// Draining tells whether the endpoint drains.
+// Draining reports whether the endpoint drains.
 func (d *Drain) Draining() bool { return !d.since.IsZero() }
 
-// Since returns the time of the earliest sign.
+// Since returns the time of the earliest signal.
 func (d *Drain) Since() time.Time { return d.since }
 
-// Allows tells whether a request may be sent, with the grace period.
+// Allows reports whether a request may be sent, given the grace period.
 func (d *Drain) Allows(now time.Time, grace time.Duration) bool {
 	return !d.Draining() || now.Sub(d.since) < grace
 }
 
-// Announce tells whether other entries are to be told of a sign, and counts that as told.
+// Announce reports whether to announce a signal to other entries, and if so records the
+// announcement.
 func (d *Drain) Announce(now time.Time) bool {
 	if !d.announced.IsZero() && now.Sub(d.announced) < announceInterval {
 		return false
--- a/coord/eligibility/eligibility.go
+++ b/coord/eligibility/eligibility.go
@@ -1,42 +1,44 @@
-// Package eligibility decides whether an endpoint may take a request now. It is asked wherever
-// an endpoint is chosen: for a first attempt, a retry, a resumed stream, and as a source of
-// memory.
+// Package eligibility decides whether an endpoint may receive a request now. Every selection of
+// an endpoint applies it: for a first attempt, a retry, a resumed stream, and as a source of
+// cached memory.
 //
 // Rule: an endpoint is ineligible for a request
 //
-//   - outside the regions that the request's class and team are served in, each of which
-//     binds (regions.go);
+//   - outside the regions allowed for the request's class and for its team, both of which
+//     apply (regions.go);
 //   - in a data centre that operators have evacuated;
-//   - while it warms up and has been sent as much as it bears (warmup.go);
-//   - while its answers name a limit and it has been sent as much (limit.go);
-//   - while it has asked this entry to back off, or gets little after that (backoff.go);
+//   - while it warms up and has received its warm-up rate (warmup.go);
+//   - while it advertises a rate limit in its responses and has received that rate (limit.go);
+//   - while it has asked this entry to back off, and during the slow start after that
+//     when its open requests reach their bound (backoff.go);
 //   - once it has drained for longer than the grace period (drain.go).
 //
-// Warm-ups and limits count by one rule what all entries together send (pace.go).
+// Warm-up rates and advertised limits share one token bucket algorithm that counts the requests
+// of all entries (pace.go).
 //
-// Inputs: the request's regions, where the endpoint is, the attempts that all entries have
-// sent to it lately, the number of entries, the time.
-// Units: requests a second, times.
-// Never: an endpoint is preferred here; package placement chooses among the eligible ones.
+// Inputs: the request's regions, the endpoint's location, the recent attempts of all entries
+// at the endpoint, the number of entries, the time.
+// Units: requests per second, times.
+// Never: this package ranks endpoints; package placement chooses among the eligible ones.
 //
-// Nothing here does I/O or reads a clock.
+// This package does no I/O and reads no clock.
 package eligibility
 
-// Reason is why an endpoint may not take a request now.
+// Reason is why an endpoint may not receive a request now.
 type Reason uint8
 
-// The reasons, from the one that passes the soonest to the one that lasts longest.
+// The reasons, in order of their expected duration, the shortest first.
 const (
 	Eligible       Reason = iota
-	Limited               // it has been sent as much as it names as its limit
-	BackedOff             // it has asked this entry to back off
-	WarmingUp             // it has been sent as much as it bears while it warms up
-	Draining              // it drains, and the grace period is over
-	Evacuated             // its data centre is evacuated
-	OutsideRegions        // the request may not be served in its region
+	Limited               // the endpoint has received its advertised rate
+	BackedOff             // the endpoint has asked this entry to back off
+	WarmingUp             // the endpoint has received its warm-up rate
+	Draining              // the endpoint drains, and the grace period is over
+	Evacuated             // the endpoint's data centre is evacuated
+	OutsideRegions        // the request may not be served in the endpoint's region
 )
 
-// String returns the reason in words.
+// String returns a readable form of the reason.
 func (r Reason) String() string {
 	switch r {
 	case Eligible:
@@ -58,14 +60,14 @@
 	}
 }
 
-// Location is where an endpoint is.
+// Location is the location of an endpoint.
 type Location struct {
-	Region    string // empty if it is not known
-	Evacuated bool   // operators want nothing sent to its data centre
+	Region    string // empty if unknown
+	Evacuated bool   // operators have evacuated its data centre
 }
 
-// Check returns why nothing may be sent for a request to an endpoint at the location,
-// whatever the endpoint's state. Eligible if it may.
+// Check returns why an endpoint at the location may not receive a request, independent of the
+// endpoint's state. It returns Eligible if the endpoint may.
 func Check(allowed Regions, at Location) Reason {
 	switch {
 	case !allowed.Allow(at.Region):
--- a/coord/eligibility/limit.go
+++ b/coord/eligibility/limit.go
@@ -1,67 +1,70 @@
-// The rate limit that an endpoint advertises, for all entries together.
+// The rate limit that an endpoint advertises for all entries together.
 //
-// Rule: a response that advertises a limit sets it, unless a later request has shown that it is
-// over, or a later response has advertised another one. A success that advertises none ends the limit
-// if its request was sent after the last response that advertised one was received, since responses
-// come in another order than requests. What other entries announce goes by the same rule, so that
-// an announcement which comes late, or twice, changes nothing. While the limit stands all entries together send
-// at its rate (pace.go), so that the endpoint is asked and can say that it is over.
-// Inputs: updates from responses with the times of their requests, sends of all entries.
-// Units: requests a second, times.
-// Never: a limit of one start of an endpoint holds for another start; one that can't be
-// honoured, such as none at all, shuts an endpoint.
+// Rule: a response that advertises a limit sets it, unless the response to a later request has
+// ended the limit, or a later response has advertised another one. A successful response without
+// a limit ends the limit if its request was sent after the last response that advertised one was
+// received, since responses may arrive in another order than their requests were sent.
+// Announcements of other entries follow the same rule, so that a late or repeated announcement
+// has no effect. While the limit applies, all entries together send at its rate (pace.go), so
+// that a response can end it.
+// Inputs: updates from responses with the times of their requests, requests sent by all entries.
+// Units: requests per second, times.
+// Never: a limit applies beyond a restart of its endpoint; a limit below MinLimit, such as zero,
+// makes an endpoint ineligible for good.
 
 package eligibility
 
 import "time"
 
 const (
-	// MinLimit is the least limit that is honoured, in requests a second, so that the endpoint is
-	// asked at times.
+	// MinLimit is the minimum of a limit, in requests per second. It keeps some requests going
+	// to the endpoint, whose responses can end the limit.
 	MinLimit = 0.05
-	// MaxLimit is the largest one.
+	// MaxLimit is the maximum of a limit, in requests per second.
 	MaxLimit = 1e6
-	// orderSlack is how much later than a response that advertised a limit a request has to be sent
-	// whose response ends it. Above the error of times that other entries announce.
-	orderSlack = 50 * time.Millisecond
-	// announceInterval is how often a signal is announced again, for entries that missed it.
+	// reorderTolerance is how long after the receipt of the last advertisement a request has to be
+	// sent for its response to end the limit. It exceeds the error of the times that other
+	// entries announce.
+	reorderTolerance = 50 * time.Millisecond
+	// announceInterval is the interval at which a signal is announced again, for entries that
+	// missed it.
 	announceInterval = 250 * time.Millisecond
-	// announceEndFor is for how long the end of a limit is announced. As long as entries remember
-	// others that they have lost.
-	announceEndFor = time.Minute
+	// endAnnounceDuration is how long the end of a limit is announced. Entries keep the state of lost
+	// entries for the same time.
+	endAnnounceDuration = time.Minute
 )
 
-// Change is what an update has changed.
+// Change is the effect of an update.
 type Change uint8
 
 // The changes.
 const (
 	Unchanged Change = iota
-	Began            // the endpoint had no limit
-	Moved            // it had another one
-	Ended            // it has none any more
+	Began            // a limit was set where there was none
+	Moved            // the limit was replaced by another one
+	Ended            // the limit was removed
 )
 
-// LimitUpdate is what a response says of its endpoint's limit.
+// LimitUpdate is the limit, or the absence of one, that a response reports for its endpoint.
 type LimitUpdate struct {
-	PerSecond float64   // 0 for none
-	Sent      time.Time // when its request was sent
-	Received  time.Time // when its head was received
+	PerSecond float64   // requests per second, 0 for no limit
+	Sent      time.Time // when the request was sent
+	Received  time.Time // when the response header was received
 }
 
-// Limit is the limit of one endpoint. The zero value is none.
+// Limit is the rate limit of one endpoint. The zero value is no limit.
 type Limit struct {
-	perSecond  float64   // 0 for none
-	advertised time.Time // when the last response that advertised it was received
-	ended      time.Time // when the request was sent whose response ended the last limit
-	announced  time.Time // when it was last announced
+	perSecond  float64   // requests per second, 0 for no limit
+	advertised time.Time // receipt of the last response that advertised the limit
+	ended      time.Time // send time of the request whose response ended the last limit
+	announced  time.Time // time of the last announcement to other entries
 	pace       Pace
 }
 
-// Limited tells whether the endpoint has a limit.
+// Limited reports whether the endpoint has a limit.
 func (l *Limit) Limited() bool { return l.perSecond > 0 }
 
-// PerSecond returns the limit, 0 for none.
+// PerSecond returns the limit in requests per second, 0 for no limit.
 func (l *Limit) PerSecond() float64 { return l.perSecond }
 
 // AdvertisedAt returns when the last response that advertised the limit was received.
@@ -75,10 +78,10 @@
 	if u.Sent.Before(l.ended) || u.Received.Before(l.advertised) {
 		return Unchanged
 	}
-	before := l.perSecond
+	previous := l.perSecond
 	l.perSecond = min(max(u.PerSecond, MinLimit), MaxLimit)
 	l.advertised = u.Received
-	switch before {
+	switch previous {
 	case 0:
 		l.pace = Pace{}
 		return Began
@@ -89,9 +92,9 @@
 	}
 }
 
-// end ends the limit if the update is later than those that advertised it.
+// end removes the limit if the update's request was sent after the last advertisement.
 func (l *Limit) end(u LimitUpdate) Change {
-	if !l.Limited() || !u.Sent.After(l.advertised.Add(orderSlack)) {
+	if !l.Limited() || !u.Sent.After(l.advertised.Add(reorderTolerance)) {
 		return Unchanged
 	}
 	l.perSecond = 0
@@ -99,30 +102,31 @@
 	return Ended
 }
 
-// Announce tells whether an update is to be announced to other entries, and counts that as done.
+// Announce reports whether to announce an update to other entries, and if so records the
+// announcement.
 func (l *Limit) Announce(now time.Time, c Change) bool {
-	concerns := l.Limited() || !l.ended.IsZero() && now.Sub(l.ended) < announceEndFor
-	if c == Unchanged && (!concerns || now.Sub(l.announced) < announceInterval) {
+	relevant := l.Limited() || !l.ended.IsZero() && now.Sub(l.ended) < endAnnounceDuration
+	if c == Unchanged && (!relevant || now.Sub(l.announced) < announceInterval) {
 		return false
 	}
 	l.announced = now
 	return true
 }
 
-// Sent counts a request that was sent to the endpoint.
+// Sent counts a request sent to the endpoint by this entry, if own, or by another one.
 func (l *Limit) Sent(at time.Time, own bool, g Group) {
 	if l.Limited() {
 		l.pace.Sent(at, l.perSecond, own, g)
 	}
 }
 
-// Allows tells whether the entry may send the endpoint one more request.
+// Allows reports whether the entry may send one more request to the endpoint.
 func (l *Limit) Allows(now time.Time, g Group) bool {
 	return !l.Limited() || l.pace.Allows(now, l.perSecond, g)
 }
 
-// Chance returns the share of requests that the endpoint is shown to, where so many come to the
-// service each second, at all entries.
+// Chance returns the probability with which the endpoint is a candidate for a request.
+// arrivalsPerSecond is the rate of the service's requests at all entries.
 func (l *Limit) Chance(now time.Time, arrivalsPerSecond float64, g Group) float64 {
 	if !l.Limited() {
 		return 1
@@ -130,8 +134,8 @@
 	return l.pace.Chance(now, l.perSecond, arrivalsPerSecond, g)
 }
 
-// Wait returns how long it takes until the endpoint may be sent a request, as far as this entry
-// knows.
+// Wait estimates how long it takes until the endpoint may receive a request, from the requests
+// that this entry has counted.
 func (l *Limit) Wait(now time.Time, g Group) time.Duration {
 	if !l.Limited() {
 		return 0
--- a/coord/eligibility/need_test.go
+++ b/coord/eligibility/need_test.go
@@ -8,163 +8,165 @@
 	"foxcross.dev/coord/eligibility"
 )
 
-// limitedFleet is a fleet before one endpoint that names a limit for a time, in virtual time: entries
-// learn of it by the heads of answers and by what the others tell.
-type limitedFleet struct {
-	entries  int
-	rate     float64       // that the endpoint names
-	demand   float64       // requests a second that would go there
-	answers  time.Duration // mean time until the head of an answer
-	delay    time.Duration // of news, at the most
-	loss     float64       // share of the news that is lost
-	freezes  time.Duration // so long one entry after the other stands still, each second second
-	restarts bool          // one entry each two seconds forgets all, and is handed what another knows
-	// takesAny is a planted fault: an entry believes the update that came last.
-	takesAny bool
+// limitSimulation simulates, in virtual time, entries in front of one endpoint that advertises a
+// limit for a time. The entries learn of the limit from response headers and from the
+// announcements of other entries.
+type limitSimulation struct {
+	entries      int
+	rate         float64       // advertised limit, in requests per second
+	demand       float64       // requests per second without a limit
+	responseTime time.Duration // mean time until the header of a response
+	delay        time.Duration // maximum delay of an announcement
+	loss         float64       // fraction of the announcements that is lost
+	pauseTime    time.Duration // length of the pause of a random entry every 2 s
+	restarts     bool          // every 2 s one entry loses its state and receives that of another one
+	// ignoresOrder injects a fault: an entry applies the update that was received last.
+	ignoresOrder bool
 }
 
 const (
-	needBegins, needEnds = 2 * time.Second, 16 * time.Second
-	needPlay             = 24 * time.Second
-	// knownWithin is how long after the first answer that names a limit it is to be kept to, and
-	// toldBefore how long before a request its entry has to have passed one on for it to count.
-	knownWithin, toldBefore = 3 * time.Second, 500 * time.Millisecond
-	// backWithin is until when after the need all entries are to send as before, besides the time in
-	// which the endpoint is asked twice.
-	backWithin = 2 * time.Second
+	limitStart, limitEnd = 2 * time.Second, 16 * time.Second
+	simulatedTime        = 24 * time.Second
+	// complianceDelay is the time after the start of the limit from which the entries have to comply
+	// with it. A request counts if its entry received the limit at least noticeTime earlier.
+	complianceDelay, noticeTime = 3 * time.Second, 500 * time.Millisecond
+	// recoveryTime is the time after the end of the limit within which all entries have to send
+	// without it, in addition to the time of two requests at its rate.
+	recoveryTime = 2 * time.Second
 )
 
-// fleetEntry is one entry.
-type fleetEntry struct {
-	limit    eligibility.Limit
-	group    eligibility.Group
-	frozen   time.Time // until then
-	held     []func()  // that came meanwhile
-	passedOn time.Time // when it first passed on an answer that names the limit
+// simulatedEntry is the state of one entry in the simulation.
+type simulatedEntry struct {
+	limit       eligibility.Limit
+	group       eligibility.Group
+	pausedUntil time.Time // end of the pause
+	deferred    []func()  // events deferred to the end of the pause
+	notifiedAt  time.Time // receipt of the first response with the limit
 }
 
-// playedNeed is what came of a play.
-type playedNeed struct {
-	counted []time.Time // sends of entries that had passed a limit on, while it was to be kept to
-	late    int         // entries that run and still believe in the limit when all are to send as before
-	revived int         // times that an entry believed in it again later
+// limitResult is the result of a simulation.
+type limitResult struct {
+	counted      []time.Time // requests for which the entries had to comply with the limit
+	stillLimited int         // entries not paused that still apply the limit after recovery was due
+	reapplied    int         // times that an entry applied the limit again after that
 }
 
-func (s limitedFleet) play(seed uint64) playedNeed {
+func (s limitSimulation) run(seed uint64) limitResult {
 	random := rand.New(rand.NewPCG(seed, 4))
-	entries := make([]*fleetEntry, s.entries)
+	entries := make([]*simulatedEntry, s.entries)
 	for n := range entries {
-		entries[n] = &fleetEntry{group: eligibility.Group{Self: random.Uint64(), Entries: s.entries, Live: s.entries}}
+		entries[n] = &simulatedEntry{group: eligibility.Group{Self: random.Uint64(), Entries: s.entries, Live: s.entries}}
 	}
-	var later agenda[func()]
-	var played playedNeed
+	var events eventQueue[func()]
+	var result limitResult
 	now := origin
 	at := func() time.Duration { return now.Sub(origin) }
-	// do lets an entry do something at a time, or once it goes on.
-	do := func(e *fleetEntry, when time.Time, what func()) {
-		later.add(when, func() {
-			if now.Before(e.frozen) {
-				e.held = append(e.held, what)
+	// schedule adds an event of an entry. If the entry is paused at that time, the event is deferred
+	// to the end of the pause.
+	schedule := func(e *simulatedEntry, when time.Time, event func()) {
+		events.add(when, func() {
+			if now.Before(e.pausedUntil) {
+				e.deferred = append(e.deferred, event)
 				return
 			}
-			what()
+			event()
 		})
 	}
-	take := func(e *fleetEntry, w eligibility.LimitUpdate) eligibility.Change {
-		if s.takesAny {
-			w.Sent = now
+	apply := func(e *simulatedEntry, u eligibility.LimitUpdate) eligibility.Change {
+		if s.ignoresOrder {
+			u.Sent = now
 		}
-		c := e.limit.Apply(w)
-		if c == eligibility.Began && at() > s.backBy() {
-			played.revived++
+		c := e.limit.Apply(u)
+		if c == eligibility.Began && at() > s.recoveredBy() {
+			result.reapplied++
 		}
 		return c
 	}
-	tell := func(from *fleetEntry, w eligibility.LimitUpdate) {
+	announce := func(from *simulatedEntry, u eligibility.LimitUpdate) {
 		for _, e := range entries {
 			if e == from || random.Float64() < s.loss {
 				continue
 			}
-			do(e, now.Add(time.Duration(random.Float64()*float64(s.delay))), func() { e.limit.Announce(now, take(e, w)) })
+			schedule(e, now.Add(time.Duration(random.Float64()*float64(s.delay))), func() { e.limit.Announce(now, apply(e, u)) })
 		}
 	}
-	send := func(e *fleetEntry) {
+	send := func(e *simulatedEntry) {
 		sent := now
 		e.limit.Sent(now, true, e.group)
 		for _, other := range entries {
 			if other != e && random.Float64() >= s.loss {
-				do(other, now.Add(time.Duration(random.Float64()*float64(s.delay))), func() { other.limit.Sent(sent, false, other.group) })
+				schedule(other, now.Add(time.Duration(random.Float64()*float64(s.delay))), func() { other.limit.Sent(sent, false, other.group) })
 			}
 		}
-		told := !e.passedOn.IsZero() && now.Sub(e.passedOn) >= toldBefore
-		if told && at() >= needBegins+knownWithin && at() < needEnds {
-			played.counted = append(played.counted, now)
+		notified := !e.notifiedAt.IsZero() && now.Sub(e.notifiedAt) >= noticeTime
+		if notified && at() >= limitStart+complianceDelay && at() < limitEnd {
+			result.counted = append(result.counted, now)
 		}
-		head := now.Add(time.Duration(random.ExpFloat64() * float64(s.answers)))
-		begun := head.Sub(origin)
-		do(e, head, func() {
-			w := eligibility.LimitUpdate{Sent: sent, Received: now}
-			if begun >= needBegins && begun < needEnds {
-				w.PerSecond = s.rate
-				if e.passedOn.IsZero() {
-					e.passedOn = now
+		headerAt := now.Add(time.Duration(random.ExpFloat64() * float64(s.responseTime)))
+		responded := headerAt.Sub(origin)
+		schedule(e, headerAt, func() {
+			u := eligibility.LimitUpdate{Sent: sent, Received: now}
+			if responded >= limitStart && responded < limitEnd {
+				u.PerSecond = s.rate
+				if e.notifiedAt.IsZero() {
+					e.notifiedAt = now
 				}
 			}
-			if e.limit.Announce(now, take(e, w)) {
-				tell(e, w)
+			if e.limit.Announce(now, apply(e, u)) {
+				announce(e, u)
 			}
 		})
 	}
-	s.disturb(entries, &later, random)
-	later.add(origin.Add(s.backBy()), func() {
+	s.injectFaults(entries, &events, random)
+	events.add(origin.Add(s.recoveredBy()), func() {
 		for _, e := range entries {
-			if e.limit.Limited() && !now.Before(e.frozen) {
-				played.late++
+			if e.limit.Limited() && !now.Before(e.pausedUntil) {
+				result.stillLimited++
 			}
 		}
 	})
-	for now.Before(origin.Add(needPlay)) {
+	for now.Before(origin.Add(simulatedTime)) {
 		next := now.Add(time.Duration(random.ExpFloat64() / s.demand * float64(time.Second)))
-		for when, what := range later.until(next) {
+		for when, event := range events.popUntil(next) {
 			now = when
-			what()
+			event()
 		}
 		now = next
 		e := entries[random.IntN(s.entries)]
-		if now.Before(e.frozen) {
+		if now.Before(e.pausedUntil) {
 			continue
 		}
 		if random.Float64() < e.limit.Chance(now, s.demand, e.group) && e.limit.Allows(now, e.group) {
 			send(e)
 		}
 	}
-	return played
+	return result
 }
 
-// backBy returns when all entries are to send as before.
-func (s limitedFleet) backBy() time.Duration {
-	return needEnds + backWithin + time.Duration(2/s.rate*float64(time.Second))
+// recoveredBy returns the time after the origin by which all entries have to send without the limit.
+func (s limitSimulation) recoveredBy() time.Duration {
+	return limitEnd + recoveryTime + time.Duration(2/s.rate*float64(time.Second))
 }
 
-// disturb lets entries stand still, and start again.
-func (s limitedFleet) disturb(entries []*fleetEntry, later *agenda[func()], random *rand.Rand) {
-	for at := time.Second; at < needPlay; at += 2 * time.Second {
+// injectFaults pauses and restarts entries.
+func (s limitSimulation) injectFaults(entries []*simulatedEntry, events *eventQueue[func()], random *rand.Rand) {
+	for at := time.Second; at < simulatedTime; at += 2 * time.Second {
 		e, other := entries[random.IntN(len(entries))], entries[random.IntN(len(entries))]
 		begins := origin.Add(at)
-		if s.freezes > 0 {
-			later.add(begins, func() { e.frozen = begins.Add(s.freezes) })
-			later.add(begins.Add(s.freezes), func() {
-				held := e.held
-				e.held = nil
-				for _, what := range held {
-					what()
+		if s.pauseTime > 0 {
+			events.add(begins, func() { e.pausedUntil = begins.Add(s.pauseTime) })
+			events.add(begins.Add(s.pauseTime), func() {
+				deferred := e.deferred
+				e.deferred = nil
+				for _, event := range deferred {
+					event()
 				}
 			})
 		}
 		if s.restarts && e != other {
-			later.add(begins, func() {
+			events.add(begins, func() {
 				e.limit = eligibility.Limit{}
-				e.passedOn = time.Time{}
+				e.notifiedAt = time.Time{}
 				if other.limit.Limited() {
 					e.limit.Apply(eligibility.LimitUpdate{PerSecond: other.limit.PerSecond(), Sent: other.limit.AdvertisedAt(), Received: other.limit.AdvertisedAt()})
 				}
@@ -173,58 +175,59 @@
 	}
 }
 
-// TestLimitIsKeptToByAFleet guards against a fleet that overruns a limit or does not learn of its end.
-func TestLimitIsKeptToByAFleet(t *testing.T) {
-	calm := limitedFleet{entries: 5, rate: 2, demand: 30, answers: 100 * time.Millisecond, delay: 40 * time.Millisecond}
+// TestFleetCompliesWithLimit guards against entries that exceed a limit or miss its end.
+func TestFleetCompliesWithLimit(t *testing.T) {
+	base := limitSimulation{entries: 5, rate: 2, demand: 30, responseTime: 100 * time.Millisecond, delay: 40 * time.Millisecond}
 	for _, c := range []struct {
 		name   string
-		change func(*limitedFleet)
+		change func(*limitSimulation)
 	}{
-		{"calm", func(*limitedFleet) {}},
-		{"below one a second", func(s *limitedFleet) { s.rate = 0.3 }},
-		{"slow answers", func(s *limitedFleet) { s.answers = time.Second }},
-		{"late and lost news", func(s *limitedFleet) { s.delay, s.loss = 300*time.Millisecond, 0.2 }},
-		{"entries stand still", func(s *limitedFleet) { s.freezes = 1500 * time.Millisecond }},
-		{"entries start again", func(s *limitedFleet) { s.restarts = true }},
-		{"all together", func(s *limitedFleet) {
-			s.delay, s.loss, s.freezes, s.restarts = 200*time.Millisecond, 0.1, time.Second, true
+		{"no faults", func(*limitSimulation) {}},
+		{"below one request per second", func(s *limitSimulation) { s.rate = 0.3 }},
+		{"slow responses", func(s *limitSimulation) { s.responseTime = time.Second }},
+		{"late and lost announcements", func(s *limitSimulation) { s.delay, s.loss = 300*time.Millisecond, 0.2 }},
+		{"entries pause", func(s *limitSimulation) { s.pauseTime = 1500 * time.Millisecond }},
+		{"entries restart", func(s *limitSimulation) { s.restarts = true }},
+		{"all faults", func(s *limitSimulation) {
+			s.delay, s.loss, s.pauseTime, s.restarts = 200*time.Millisecond, 0.1, time.Second, true
 		}},
-		{"23 entries", func(s *limitedFleet) { s.entries, s.demand = 23, 100 }},
-		{"23 entries, all together", func(s *limitedFleet) {
-			s.entries, s.demand, s.loss, s.freezes, s.restarts = 23, 100, 0.1, time.Second, true
+		{"23 entries", func(s *limitSimulation) { s.entries, s.demand = 23, 100 }},
+		{"23 entries, all faults", func(s *limitSimulation) {
+			s.entries, s.demand, s.loss, s.pauseTime, s.restarts = 23, 100, 0.1, time.Second, true
 		}},
-		{"100 entries", func(s *limitedFleet) { s.entries, s.demand, s.rate = 100, 60, 3.4 }},
+		{"100 entries", func(s *limitSimulation) { s.entries, s.demand, s.rate = 100, 60, 3.4 }},
 	} {
-		s := calm
+		s := base
 		c.change(&s)
-		bears := limitOverrun*s.rate*limitWindow.Seconds() + limitSlack
+		bound := limitOverrun*s.rate*limitWindow.Seconds() + limitSlack
 		for seed := range uint64(5) {
-			p := s.play(seed)
-			most := mostWithin(p.counted, limitWindow)
-			t.Logf("%s, seed %d: at most %d of %.0f", c.name, seed, most, bears)
-			if float64(most) > bears {
-				t.Errorf("%s, seed %d: %d requests in %v, of %.0f", c.name, seed, most, limitWindow, bears)
+			r := s.run(seed)
+			most := mostWithin(r.counted, limitWindow)
+			t.Logf("%s, seed %d: at most %d requests in a window, limit %.0f", c.name, seed, most, bound)
+			if float64(most) > bound {
+				t.Errorf("%s, seed %d: %d requests in %v, want at most %.0f", c.name, seed, most, limitWindow, bound)
 			}
-			if p.late > 0 || p.revived > 0 {
-				t.Errorf("%s, seed %d: %d entries believe in a limit that is over, %d came back to it", c.name, seed, p.late, p.revived)
+			if r.stillLimited > 0 || r.reapplied > 0 {
+				t.Errorf("%s, seed %d: %d entries still apply an ended limit, %d applied it again", c.name, seed, r.stillLimited, r.reapplied)
 			}
 		}
 	}
 }
 
-// TestOlderWordsFaultIsSeen plants the fault that entries believe the update that came last.
-func TestOlderWordsFaultIsSeen(t *testing.T) {
-	s := limitedFleet{entries: 5, rate: 4, demand: 60, answers: 2 * time.Second, delay: 40 * time.Millisecond, freezes: 6 * time.Second}
-	revived := 0
+// TestFleetDetectsOlderUpdates checks that the simulation detects entries that apply the update
+// received last, whatever the time of its request.
+func TestFleetDetectsOlderUpdates(t *testing.T) {
+	s := limitSimulation{entries: 5, rate: 4, demand: 60, responseTime: 2 * time.Second, delay: 40 * time.Millisecond, pauseTime: 6 * time.Second}
+	reapplied := 0
 	for seed := range uint64(20) {
-		if p := s.play(seed); p.revived > 0 {
-			t.Errorf("seed %d: %d entries came back to a limit that is over", seed, p.revived)
+		if r := s.run(seed); r.reapplied > 0 {
+			t.Errorf("seed %d: %d entries applied an ended limit again", seed, r.reapplied)
 		}
 		faulty := s
-		faulty.takesAny = true
-		revived += faulty.play(seed).revived
+		faulty.ignoresOrder = true
+		reapplied += faulty.run(seed).reapplied
 	}
-	if revived == 0 {
-		t.Error("the fault is not seen")
+	if reapplied == 0 {
+		t.Error("the injected fault was not detected")
 	}
 }
--- a/coord/eligibility/pace.go
+++ b/coord/eligibility/pace.go
@@ -1,16 +1,18 @@
-// How much all entries together send one endpoint that bears a rate.
+// Distributed rate limiting of the requests that all entries together send to one endpoint.
 //
-// Rule: each entry counts what all entries send to the endpoint, as it hears, in a bucket that
-// the rate fills, scaled by the share of the entries that it hears of, itself included. It sends
-// while there is a token. What is sent before news of it has come is bounded by showing the
-// endpoint to a part of the requests only, so that about openRate are sent a second while there
-// is a token, whatever the demand. The demand is learned: each send raises it, a token that
-// nobody takes lowers it. An entry that hears of half of all or fewer sends once in a slot of its
-// own, and the slots of all entries follow each other at the rate. One that does not know yet how
-// many entries there are sends nothing.
-// Inputs: the rate, sends of all entries, the number of entries, the arrivals at the service.
-// Units: requests a second, tokens of one request, entries.
-// Never: a token is lent by one entry to another, or asked for, so that nobody waits for an answer.
+// Rule: each entry counts the requests of all entries to the endpoint, as they are reported to
+// it, in a token bucket. The bucket fills at the rate, scaled by the fraction of the entries that
+// are visible to this one, itself included. The entry sends while there is a token. To bound the
+// requests sent before reports of them arrive, the endpoint is a candidate for a fraction of the
+// requests only, so that about targetRate are sent per second while there is a token, whatever the
+// demand. The demand is estimated: each request sent raises it, an unused token lowers it. An
+// entry that sees half of all entries or fewer sends one request in its own time slot, and the
+// slots of all entries follow each other at the rate. An entry that does not yet know the number
+// of entries sends nothing.
+// Inputs: the rate, requests sent by all entries, the number of entries, the arrival rate at the
+// service.
+// Units: requests per second, tokens of one request, entries.
+// Never: entries lend each other tokens or ask for them, so that no request waits for a reply.
 
 package eligibility
 
@@ -22,87 +24,89 @@
 )
 
 const (
-	// burstTime is how long the rate goes on without a send before tokens are lost.
-	burstTime = 250 * time.Millisecond
-	// minBurst is the least size of a bucket, in tokens: one that is sent and one that follows.
+	// burstDuration is how long an idle bucket accumulates tokens beyond the first one.
+	burstDuration = 250 * time.Millisecond
+	// minBurst is the minimum size of a bucket, in tokens: one for a request and one for the next.
 	minBurst = 2.0
-	// maxDebt and minDebt are how far below zero tokens are counted: what the rate fills in a time,
-	// and some tokens besides.
-	maxDebt = 4 * time.Second
-	minDebt = 5.0
-	// openFactor and openExtra are how many times the rate, and how many requests a second more,
-	// all entries together send while there is a token. With less the rate is not used, with more
-	// too much is sent before others hear.
-	openFactor = 1.5
-	openExtra  = 0.75
-	// learningTime is in what time with a token, and without a send, the demand is taken for e times
-	// less: well above the time that news of a send takes.
-	learningTime = time.Second
-	// minEvidence is the least number of sends that the demand is learned from.
-	minEvidence = 2.0
-	// slotLength is how long the slot of an entry lasts that hears of few others.
-	slotLength = 500 * time.Millisecond
+	// debtDuration and extraDebtTokens bound the negative balance of a bucket: the tokens that the
+	// rate fills in debtDuration, plus extraDebtTokens.
+	debtDuration    = 4 * time.Second
+	extraDebtTokens = 5.0
+	// targetFactor and targetExtraPerSecond set targetRate: a multiple of the rate, plus requests per second.
+	// Lower values leave a part of the rate unused; with higher ones the entries send too many
+	// requests before reports of them arrive.
+	targetFactor         = 1.5
+	targetExtraPerSecond = 0.75
+	// demandTimeConstant is the time constant of the decay of the demand while a token is unused: after
+	// it the estimate has fallen by a factor of e. It is well above the delay of reports.
+	demandTimeConstant = time.Second
+	// minDemandSamples is the minimum number of requests that the estimate of the demand averages over.
+	minDemandSamples = 2.0
+	// slotDuration is the length of the time slot of an entry that sees half of all or fewer.
+	slotDuration = 500 * time.Millisecond
 )
 
-// Group is what an entry knows of the others.
+// Group is the view that an entry has of the group of entries.
 type Group struct {
 	Self    uint64 // incarnation of this entry
-	Entries int    // that there may be, lost ones and this one included, 0 for not yet known
-	Live    int    // of these, that are heard of, this one included
+	Entries int    // number of entries, lost ones and this one included, 0 if not yet known
+	Live    int    // number of these that are visible, this one included
 }
 
-// hearsMost tells whether the entry hears of more than half of all entries.
-func (g Group) hearsMost() bool { return 2*g.Live > g.Entries }
+// seesMajority reports whether more than half of all entries are visible.
+func (g Group) seesMajority() bool { return 2*g.Live > g.Entries }
 
-// Pace is how much all entries together send one endpoint. The zero value has counted nothing.
+// Pace limits the rate at which all entries together send to one endpoint. The zero value has
+// counted nothing.
 type Pace struct {
-	tokens float64
-	at     time.Time // as of which the tokens are
-	demand float64   // requests a second that would go there, 0 for not yet known
-	own    time.Time // when this entry last sent
+	tokens    float64
+	updatedAt time.Time // time of the last update of tokens
+	demand    float64   // estimated demand in requests per second, 0 if not yet known
+	lastOwn   time.Time // when this entry last sent a request
 }
 
-// Sent counts a request that was sent to the endpoint. What other entries tell may come out of
-// order.
+// Sent counts a request sent to the endpoint by this entry, if own, or by another one. Reports
+// of other entries may arrive out of order.
 func (p *Pace) Sent(at time.Time, perSecond float64, own bool, g Group) {
-	rate := g.share() * perSecond
+	rate := g.visibleFraction() * perSecond
 	p.advance(at, rate)
-	p.tokens = max(p.tokens-1, -rate*maxDebt.Seconds()-minDebt)
+	p.tokens = max(p.tokens-1, -rate*debtDuration.Seconds()-extraDebtTokens)
 	if own {
-		p.own = at
+		p.lastOwn = at
 	}
-	p.demand *= 1 + 1/evidence(rate)
+	p.demand *= 1 + 1/demandSamples(rate)
 }
 
-// Allows tells whether the entry may send the endpoint one more request.
+// Allows reports whether the entry may send one more request to the endpoint.
 func (p *Pace) Allows(now time.Time, perSecond float64, g Group) bool {
 	if g.Entries <= 0 {
 		return false
 	}
-	if !g.hearsMost() {
-		return p.inSlot(now, perSecond, g)
+	if !g.seesMajority() {
+		return p.inUnusedSlot(now, perSecond, g)
 	}
-	p.advance(now, g.share()*perSecond)
+	p.advance(now, g.visibleFraction()*perSecond)
 	return p.tokens >= 1
 }
 
-// Chance returns the share of requests that the endpoint is shown to, where so many requests
-// come to the service each second, at all entries.
+// Chance returns the probability with which the endpoint is a candidate for a request.
+// arrivalsPerSecond is the rate of the service's requests at all entries.
 func (p *Pace) Chance(now time.Time, perSecond, arrivalsPerSecond float64, g Group) float64 {
-	if !g.hearsMost() {
+	if !g.seesMajority() {
 		return 1
 	}
-	rate := g.share() * perSecond
+	rate := g.visibleFraction() * perSecond
 	if p.demand == 0 {
 		p.demand = arrivalsPerSecond
 	}
 	p.advance(now, rate)
-	return min(1, openRate(rate)/max(p.demand, 1))
+	return min(1, targetRate(rate)/max(p.demand, 1))
 }
 
-// Wait returns how long it takes until there is a token, as far as this entry knows.
+// Wait estimates how long it takes until there is a token, from the requests that this entry
+// has counted.
 func (p *Pace) Wait(now time.Time, perSecond float64, g Group) time.Duration {
-	rate := g.share() * perSecond
+	rate := g.visibleFraction() * perSecond
 	if rate <= 0 {
 		rate = perSecond
 	}
@@ -110,50 +114,51 @@
 	return time.Duration(max(1-p.tokens, 0) / rate * float64(time.Second))
 }
 
-// share returns the share of the entries that the entry hears of.
-func (g Group) share() float64 {
+// visibleFraction returns the fraction of the entries that are visible.
+func (g Group) visibleFraction() float64 {
 	if g.Entries <= 0 {
 		return 0
 	}
 	return min(float64(g.Live)/float64(g.Entries), 1)
 }
 
-// openRate returns how many requests all entries are to send a second while there is a token.
-func openRate(rate float64) float64 { return openFactor*rate + openExtra }
+// targetRate returns the target, in requests per second, for all entries together while there is
+// a token.
+func targetRate(rate float64) float64 { return targetFactor*rate + targetExtraPerSecond }
 
-// evidence returns how many sends the demand is learned from.
-func evidence(rate float64) float64 {
-	return max(openRate(rate)*learningTime.Seconds(), minEvidence)
+// demandSamples returns the number of requests that the estimate of the demand averages over.
+func demandSamples(rate float64) float64 {
+	return max(targetRate(rate)*demandTimeConstant.Seconds(), minDemandSamples)
 }
 
-// advance fills the bucket up to a time, and counts for how long there was a token that nobody
-// took: the longer, the smaller the demand.
+// advance fills the bucket up to now, and lowers the demand by the time in which a token was
+// unused.
 func (p *Pace) advance(now time.Time, rate float64) {
-	if p.at.IsZero() {
-		p.at = now
+	if p.updatedAt.IsZero() {
+		p.updatedAt = now
 	}
-	passed := now.Sub(p.at).Seconds()
-	if passed <= 0 || rate <= 0 {
+	elapsed := now.Sub(p.updatedAt).Seconds()
+	if elapsed <= 0 || rate <= 0 {
 		return
 	}
-	p.at = now
-	open := passed
-	if missing := 1 - p.tokens; missing > 0 {
-		open -= missing / rate
+	p.updatedAt = now
+	unused := elapsed
+	if deficit := 1 - p.tokens; deficit > 0 {
+		unused -= deficit / rate
 	}
-	p.tokens = min(p.tokens+rate*passed, max(minBurst, 1+rate*burstTime.Seconds()))
-	if open > 0 && p.demand > 0 {
-		p.demand = max(p.demand*math.Exp(-open*openRate(rate)/evidence(rate)), openRate(rate))
+	p.tokens = min(p.tokens+rate*elapsed, max(minBurst, 1+rate*burstDuration.Seconds()))
+	if unused > 0 && p.demand > 0 {
+		p.demand = max(p.demand*math.Exp(-unused*targetRate(rate)/demandSamples(rate)), targetRate(rate))
 	}
 }
 
-// inSlot tells whether the entry is in its slot and has not sent in it.
-func (p *Pace) inSlot(now time.Time, perSecond float64, g Group) bool {
+// inUnusedSlot reports whether the entry is in its time slot and has sent no request in it.
+func (p *Pace) inUnusedSlot(now time.Time, perSecond float64, g Group) bool {
 	period := time.Duration(float64(time.Second) * float64(g.Entries) / perSecond)
 	if period <= 0 {
 		return true
 	}
 	begin := time.Duration(float64(rendezvous.Rank(uint64(g.Entries), g.Self)) / math.MaxUint64 * float64(period))
 	since := (time.Duration(now.UnixNano())%period + period - begin) % period
-	return since < slotLength && now.Sub(p.own) > since
+	return since < slotDuration && now.Sub(p.lastOwn) > since
 }
--- a/coord/eligibility/pace_test.go
+++ b/coord/eligibility/pace_test.go
@@ -8,115 +8,115 @@
 	"foxcross.dev/coord/eligibility"
 )
 
-// What an endpoint that names a limit bears: so many times what the limit allows in any window, and
-// so many requests besides.
+// The bound on the requests to an endpoint with a limit, in any window of limitWindow: limitOverrun
+// times what the limit allows, plus limitSlack requests.
 const (
 	limitWindow  = 4 * time.Second
 	limitOverrun = 1.5
 	limitSlack   = 5
 )
 
-// shared is a rate of one endpoint that entries share, in virtual time.
-type shared struct {
-	entries int
-	rate    float64       // that the endpoint bears
-	demand  float64       // requests a second that would go there
-	service float64       // requests a second that come to the service, 0 for demand
-	later   float64       // demand from the middle on, 0 for no change
-	delay   time.Duration // until other entries hear of a request, at the most
-	varied  bool          // each takes a part of the delay
-	loss    float64       // share of the news that is lost
-	deaf    float64       // share of the entries that hear of none and are not heard
-	split   float64       // share of the entries that hear only of each other
-	restart time.Duration // each so often one entry forgets all, and knows of no others for a second
-	lasts   time.Duration
-	fault   func(entry int) (sends bool) // planted: the entry sends without asking
+// paceSimulation simulates, in virtual time, entries that share the rate of one endpoint.
+type paceSimulation struct {
+	entries       int
+	rate          float64       // shared rate, in requests per second
+	demand        float64       // requests per second without a limit
+	service       float64       // requests per second that arrive at the service, 0 for demand
+	laterDemand   float64       // demand in the second half, 0 for no change
+	delay         time.Duration // maximum delay of a report to other entries
+	variableDelay bool          // the delay is uniform between 0 and the maximum
+	loss          float64       // fraction of the reports that is lost
+	isolated      float64       // fraction of the entries that are isolated from all others
+	partitioned   float64       // fraction of the entries in a second network partition
+	restart       time.Duration // interval at which an entry loses its state, and its group for 1 s
+	duration      time.Duration
+	fault         func(entry int) (sends bool) // injected fault: the entry sends without a check
 }
 
-// heard is that an entry hears of a request.
-type heard struct {
+// requestReport is the report of a request to one entry.
+type requestReport struct {
 	to   int
 	sent time.Time
 }
 
-// side returns which entries hear of each other: 0 for most, 1 for the others, -1 for none.
-func (s shared) side(n int) int {
+// partition returns the network partition of an entry: 0 or 1, or -1 for an isolated entry.
+func (s paceSimulation) partition(n int) int {
 	switch share := (float64(n) + 0.5) / float64(s.entries); {
-	case share < s.deaf:
+	case share < s.isolated:
 		return -1
-	case share < s.deaf+s.split:
+	case share < s.isolated+s.partitioned:
 		return 1
 	default:
 		return 0
 	}
 }
 
-// groups returns what each entry knows of the others.
-func (s shared) groups(random *rand.Rand) []eligibility.Group {
+// groups returns the view that each entry has of the group.
+func (s paceSimulation) groups(random *rand.Rand) []eligibility.Group {
 	live := map[int]int{}
 	for n := range s.entries {
-		live[s.side(n)]++
+		live[s.partition(n)]++
 	}
 	live[-1] = 1
 	all := make([]eligibility.Group, s.entries)
 	for n := range all {
-		all[n] = eligibility.Group{Self: random.Uint64(), Entries: s.entries, Live: live[s.side(n)]}
+		all[n] = eligibility.Group{Self: random.Uint64(), Entries: s.entries, Live: live[s.partition(n)]}
 	}
 	return all
 }
 
-// play returns when requests were sent.
-func (s shared) play(seed uint64) []time.Time {
+// run runs the simulation and returns the times at which requests were sent.
+func (s paceSimulation) run(seed uint64) []time.Time {
 	random := rand.New(rand.NewPCG(seed, 2))
 	paces := make([]eligibility.Pace, s.entries)
 	groups := s.groups(random)
-	young := map[int]time.Time{}
-	arrivals := max(s.service, s.demand, s.later)
+	uninformed := map[int]time.Time{}
+	arrivals := max(s.service, s.demand, s.laterDemand)
 	restarted := origin
 	var sent []time.Time
-	var news agenda[heard]
-	for now := origin; now.Before(origin.Add(s.lasts)); {
+	var reports eventQueue[requestReport]
+	for now := origin; now.Before(origin.Add(s.duration)); {
 		demand := s.demand
-		if s.later > 0 && now.Sub(origin) > s.lasts/2 {
-			demand = s.later
+		if s.laterDemand > 0 && now.Sub(origin) > s.duration/2 {
+			demand = s.laterDemand
 		}
 		now = now.Add(time.Duration(random.ExpFloat64() / demand * float64(time.Second)))
-		for _, x := range news.until(now) {
-			paces[x.to].Sent(x.sent, s.rate, false, groups[x.to])
+		for _, r := range reports.popUntil(now) {
+			paces[r.to].Sent(r.sent, s.rate, false, groups[r.to])
 		}
 		if s.restart > 0 && now.Sub(restarted) > s.restart {
 			restarted = now
 			n := random.IntN(s.entries)
 			paces[n] = eligibility.Pace{}
-			young[n] = now.Add(time.Second)
+			uninformed[n] = now.Add(time.Second)
 		}
 		n := random.IntN(s.entries)
 		group := groups[n]
-		if now.Before(young[n]) {
+		if now.Before(uninformed[n]) {
 			group.Entries = 0
 		}
 		p := &paces[n]
-		asks := s.fault == nil || !s.fault(n)
-		if asks && (random.Float64() >= p.Chance(now, s.rate, arrivals, group) || !p.Allows(now, s.rate, group)) {
+		checks := s.fault == nil || !s.fault(n)
+		if checks && (random.Float64() >= p.Chance(now, s.rate, arrivals, group) || !p.Allows(now, s.rate, group)) {
 			continue
 		}
 		sent = append(sent, now)
 		p.Sent(now, s.rate, true, group)
 		for to := range paces {
-			if to == n || s.side(n) < 0 || s.side(to) != s.side(n) || random.Float64() < s.loss {
+			if to == n || s.partition(n) < 0 || s.partition(to) != s.partition(n) || random.Float64() < s.loss {
 				continue
 			}
 			delay := s.delay
-			if s.varied {
+			if s.variableDelay {
 				delay = time.Duration(random.Float64() * float64(delay))
 			}
-			news.add(now.Add(delay), heard{to: to, sent: now})
+			reports.add(now.Add(delay), requestReport{to: to, sent: now})
 		}
 	}
 	return sent
 }
 
-// mostWithin returns the most requests within any window.
+// mostWithin returns the maximum number of requests within any window.
 func mostWithin(sent []time.Time, window time.Duration) int {
 	most, first := 0, 0
 	for n, at := range sent {
@@ -128,74 +128,75 @@
 	return most
 }
 
-// used returns the share of the rate that was used.
-func (s shared) used(sent []time.Time) float64 {
-	return float64(len(sent)) / (s.rate * s.lasts.Seconds())
+// used returns the fraction of the rate that was used.
+func (s paceSimulation) used(sent []time.Time) float64 {
+	return float64(len(sent)) / (s.rate * s.duration.Seconds())
 }
 
-// allowed is the most that the endpoint bears within a window.
-func (s shared) allowed() float64 {
+// bound returns the maximum number of requests to the endpoint within a window.
+func (s paceSimulation) bound() float64 {
 	return limitOverrun*s.rate*limitWindow.Seconds() + limitSlack
 }
 
-// paceSeeds is how many plays each case has.
+// paceSeeds is the number of simulation runs of each case.
 const paceSeeds = 3
 
-// TestPaceHoldsTheBound guards against entries that together send more than an endpoint bears.
-func TestPaceHoldsTheBound(t *testing.T) {
-	const near, far, late = 20 * time.Millisecond, 50 * time.Millisecond, 500 * time.Millisecond
+// TestPaceBound guards against entries that together send more requests than the bound.
+func TestPaceBound(t *testing.T) {
+	const shortDelay, longDelay, lateDelay = 20 * time.Millisecond, 50 * time.Millisecond, 500 * time.Millisecond
 	for _, c := range []struct {
 		name string
-		play shared
+		sim  paceSimulation
 	}{
-		{"two entries", shared{entries: 2, rate: 2, demand: 200, delay: near}},
-		{"as much as it bears", shared{entries: 23, rate: 2, demand: 2, delay: near}},
-		{"fifteen times as much", shared{entries: 23, rate: 2, demand: 30, delay: near}},
-		{"a rate with decimals", shared{entries: 23, rate: 3.4, demand: 340, delay: far}},
-		{"below one a second", shared{entries: 23, rate: 0.3, demand: 30, delay: far}},
-		{"a high rate", shared{entries: 23, rate: 50, demand: 5000, delay: far}},
-		{"news of varied age", shared{entries: 23, rate: 2, demand: 200, delay: late, varied: true}},
-		{"a third of the news is lost", shared{entries: 23, rate: 2, demand: 200, delay: far, loss: 0.3}},
-		{"a fifth hears of none", shared{entries: 23, rate: 2, demand: 30, delay: near, deaf: 0.2}},
-		{"no entry hears of another", shared{entries: 23, rate: 2, demand: 30, delay: near, deaf: 1}},
-		{"cut in two", shared{entries: 23, rate: 2, demand: 200, delay: near, split: 0.4}},
-		{"entries start again", shared{entries: 23, rate: 2, demand: 100, delay: far, restart: 2 * time.Second}},
-		{"the demand jumps", shared{entries: 23, rate: 2, demand: 1, later: 50, delay: far}},
-		{"384 entries", shared{entries: 384, rate: 2, demand: 200, delay: far}},
-		{"384 entries, below one a second", shared{entries: 384, rate: 0.3, demand: 30, delay: far}},
-		{"384 entries, half hear of none", shared{entries: 384, rate: 2, demand: 30, delay: far, deaf: 0.5}},
-		{"384 entries, news of varied age", shared{entries: 384, rate: 3.4, demand: 340, delay: late, varied: true}},
-		{"620 entries, one of many endpoints", shared{entries: 620, rate: 2, demand: 30, service: 22_000, delay: far}},
-		{"620 entries, a high rate", shared{entries: 620, rate: 50, demand: 200, service: 22_000, delay: far}},
+		{"two entries", paceSimulation{entries: 2, rate: 2, demand: 200, delay: shortDelay}},
+		{"demand at the rate", paceSimulation{entries: 23, rate: 2, demand: 2, delay: shortDelay}},
+		{"demand at 15 times the rate", paceSimulation{entries: 23, rate: 2, demand: 30, delay: shortDelay}},
+		{"fractional rate", paceSimulation{entries: 23, rate: 3.4, demand: 340, delay: longDelay}},
+		{"below one request per second", paceSimulation{entries: 23, rate: 0.3, demand: 30, delay: longDelay}},
+		{"high rate", paceSimulation{entries: 23, rate: 50, demand: 5000, delay: longDelay}},
+		{"reports with varying delay", paceSimulation{entries: 23, rate: 2, demand: 200, delay: lateDelay, variableDelay: true}},
+		{"30% of the reports lost", paceSimulation{entries: 23, rate: 2, demand: 200, delay: longDelay, loss: 0.3}},
+		{"20% of the entries isolated", paceSimulation{entries: 23, rate: 2, demand: 30, delay: shortDelay, isolated: 0.2}},
+		{"all entries isolated", paceSimulation{entries: 23, rate: 2, demand: 30, delay: shortDelay, isolated: 1}},
+		{"network partition", paceSimulation{entries: 23, rate: 2, demand: 200, delay: shortDelay, partitioned: 0.4}},
+		{"entries restart", paceSimulation{entries: 23, rate: 2, demand: 100, delay: longDelay, restart: 2 * time.Second}},
+		{"sudden rise of the demand", paceSimulation{entries: 23, rate: 2, demand: 1, laterDemand: 50, delay: longDelay}},
+		{"384 entries", paceSimulation{entries: 384, rate: 2, demand: 200, delay: longDelay}},
+		{"384 entries, below one request per second", paceSimulation{entries: 384, rate: 0.3, demand: 30, delay: longDelay}},
+		{"384 entries, half of them isolated", paceSimulation{entries: 384, rate: 2, demand: 30, delay: longDelay, isolated: 0.5}},
+		{"384 entries, reports with varying delay", paceSimulation{entries: 384, rate: 3.4, demand: 340, delay: lateDelay, variableDelay: true}},
+		{"620 entries, one of many endpoints", paceSimulation{entries: 620, rate: 2, demand: 30, service: 22_000, delay: longDelay}},
+		{"620 entries, high rate", paceSimulation{entries: 620, rate: 50, demand: 200, service: 22_000, delay: longDelay}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			c.play.lasts = 16 * time.Second
+			c.sim.duration = 16 * time.Second
 			for seed := range uint64(paceSeeds) {
-				sent := c.play.play(seed)
+				sent := c.sim.run(seed)
 				most := mostWithin(sent, limitWindow)
-				t.Logf("seed %d: at most %d of %.0f in %v, %.2f of the rate used", seed, most, c.play.allowed(), limitWindow, c.play.used(sent))
-				if float64(most) > c.play.allowed() {
-					t.Errorf("seed %d: %d requests in %v, of %.1f", seed, most, limitWindow, c.play.allowed())
+				t.Logf("seed %d: at most %d requests, bound %.0f, in %v; %.2f of the rate used", seed, most, c.sim.bound(), limitWindow, c.sim.used(sent))
+				if float64(most) > c.sim.bound() {
+					t.Errorf("seed %d: %d requests in %v, want at most %.1f", seed, most, limitWindow, c.sim.bound())
 				}
 			}
 		})
 	}
 }
 
-// TestPaceWithLateNews has all news come half a second late, under a hundred times the rate.
-func TestPaceWithLateNews(t *testing.T) {
-	s := shared{entries: 384, rate: 2, demand: 200, delay: 500 * time.Millisecond, lasts: 40 * time.Second}
+// TestPaceWithLateReports checks the bound with reports that are half a second late and a demand
+// of 100 times the rate.
+func TestPaceWithLateReports(t *testing.T) {
+	s := paceSimulation{entries: 384, rate: 2, demand: 200, delay: 500 * time.Millisecond, duration: 40 * time.Second}
 	for seed := range uint64(20) {
-		if most := mostWithin(s.play(seed), limitWindow); float64(most) > s.allowed() {
-			t.Errorf("seed %d: %d requests in %v, of %.1f", seed, most, limitWindow, s.allowed())
+		if most := mostWithin(s.run(seed), limitWindow); float64(most) > s.bound() {
+			t.Errorf("seed %d: %d requests in %v, want at most %.1f", seed, most, limitWindow, s.bound())
 		}
 	}
 }
 
-// TestPaceUsesTheRate guards against a rate that is left unused where entries hear of each other.
+// TestPaceUsesTheRate guards against a rate that is partly unused though the entries see each other.
 func TestPaceUsesTheRate(t *testing.T) {
 	const leastUsed = 0.8
-	for _, s := range []shared{
+	for _, s := range []paceSimulation{
 		{entries: 5, rate: 2, demand: 30, delay: 20 * time.Millisecond},
 		{entries: 23, rate: 2, demand: 30, delay: 20 * time.Millisecond},
 		{entries: 23, rate: 0.3, demand: 30, delay: 20 * time.Millisecond},
@@ -204,31 +205,31 @@
 		{entries: 384, rate: 50, demand: 100, delay: 50 * time.Millisecond},
 		{entries: 620, rate: 2, demand: 30, service: 300, delay: 50 * time.Millisecond},
 	} {
-		s.lasts = 40 * time.Second
+		s.duration = 40 * time.Second
 		used := 0.0
 		for seed := range uint64(paceSeeds) {
-			used += s.used(s.play(seed)) / paceSeeds
+			used += s.used(s.run(seed)) / paceSeeds
 		}
-		t.Logf("%d entries, %g a second: %.2f used", s.entries, s.rate, used)
+		t.Logf("%d entries, %g requests/s: %.2f of the rate used", s.entries, s.rate, used)
 		if used < leastUsed {
-			t.Errorf("%d entries, %g a second: %.2f of the rate is used, want %.1f", s.entries, s.rate, used, leastUsed)
+			t.Errorf("%d entries, %g requests/s: %.2f of the rate used, want at least %.1f", s.entries, s.rate, used, leastUsed)
 		}
 	}
 }
 
-// TestPaceFaultsAreSeen plants faults that the bound has to show.
-func TestPaceFaultsAreSeen(t *testing.T) {
+// TestPaceBoundDetectsFaults checks that injected faults exceed the bound.
+func TestPaceBoundDetectsFaults(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		play shared
+		sim  paceSimulation
 	}{
-		{"one entry in five does not ask", shared{entries: 5, rate: 2, demand: 60, delay: 20 * time.Millisecond,
+		{"one entry in five sends without a check", paceSimulation{entries: 5, rate: 2, demand: 60, delay: 20 * time.Millisecond,
 			fault: func(entry int) bool { return entry == 0 }}},
-		{"no news comes, and all count as heard", shared{entries: 23, rate: 2, demand: 200, delay: 20 * time.Millisecond, loss: 1}},
+		{"all reports lost, all entries considered visible", paceSimulation{entries: 23, rate: 2, demand: 200, delay: 20 * time.Millisecond, loss: 1}},
 	} {
-		c.play.lasts = 12 * time.Second
-		if most := mostWithin(c.play.play(1), limitWindow); float64(most) <= c.play.allowed() {
-			t.Errorf("%s: %d requests in %v pass the check", c.name, most, limitWindow)
+		c.sim.duration = 12 * time.Second
+		if most := mostWithin(c.sim.run(1), limitWindow); float64(most) <= c.sim.bound() {
+			t.Errorf("%s: %d requests in %v do not exceed the bound", c.name, most, limitWindow)
 		}
 	}
 }
--- a/coord/eligibility/regions.go
+++ b/coord/eligibility/regions.go
@@ -2,14 +2,13 @@
 
 import "slices"
 
-// Regions are the regions in which a request may be served. The zero value allows all.
-// Regions are immutable.
+// Regions restricts the regions in which a request may be served. The zero value allows all.
+// Regions is immutable.
 type Regions struct {
-	limits [][]string // each binds
+	limits [][]string // a region has to be in each list
 }
 
-// With returns the regions that are also allowed by a further list. An empty list sets no
-// limit.
+// With returns the regions restricted further to a list. An empty list adds no restriction.
 func (r Regions) With(allowed []string) Regions {
 	if len(allowed) == 0 {
 		return r
@@ -17,8 +16,8 @@
 	return Regions{limits: append(slices.Clip(r.limits), allowed)}
 }
 
-// Allow tells whether a request may be served in a region. Where there is a limit, a region
-// that is not known is not allowed.
+// Allow reports whether a request may be served in a region. An unknown region is allowed only
+// if there is no restriction.
 func (r Regions) Allow(region string) bool {
 	for _, limit := range r.limits {
 		if !slices.Contains(limit, region) {
--- a/coord/eligibility/regions_test.go
+++ b/coord/eligibility/regions_test.go
@@ -7,7 +7,7 @@
 	"foxcross.dev/coord/eligibility"
 )
 
-// A request of a class that is served in two regions, by a team that is served in one.
+// A request is restricted to the regions of its class and to those of its team.
 func ExampleRegions() {
 	class := eligibility.Regions{}.With([]string{"north", "south"})
 	both := class.With([]string{"south", "west"})
@@ -30,12 +30,12 @@
 		at      eligibility.Location
 		want    eligibility.Reason
 	}{
-		{"no limit", eligibility.Regions{}, eligibility.Location{}, eligibility.Eligible},
-		{"an empty list is no limit", eligibility.Regions{}.With(nil), eligibility.Location{Region: "west"}, eligibility.Eligible},
+		{"no restriction", eligibility.Regions{}, eligibility.Location{}, eligibility.Eligible},
+		{"an empty list adds no restriction", eligibility.Regions{}.With(nil), eligibility.Location{Region: "west"}, eligibility.Eligible},
 		{"in the region", north, eligibility.Location{Region: "north"}, eligibility.Eligible},
 		{"in another region", north, eligibility.Location{Region: "south"}, eligibility.OutsideRegions},
-		{"in a region that is not known", north, eligibility.Location{}, eligibility.OutsideRegions},
-		{"two limits without a common region", nowhere, eligibility.Location{Region: "north"}, eligibility.OutsideRegions},
+		{"in an unknown region", north, eligibility.Location{}, eligibility.OutsideRegions},
+		{"two restrictions without a common region", nowhere, eligibility.Location{Region: "north"}, eligibility.OutsideRegions},
 		{"evacuated", eligibility.Regions{}, eligibility.Location{Region: "north", Evacuated: true}, eligibility.Evacuated},
 		{"evacuated and in another region", north, eligibility.Location{Region: "south", Evacuated: true}, eligibility.OutsideRegions},
 	} {
@@ -45,7 +45,7 @@
 	}
 }
 
-// TestRegionsAreImmutable adds two lists to the same regions.
+// TestRegionsAreImmutable derives two restrictions from the same value.
 func TestRegionsAreImmutable(t *testing.T) {
 	common := eligibility.Regions{}.With([]string{"a", "b"}).With([]string{"a", "b", "c"})
 	first, second := common.With([]string{"a"}), common.With([]string{"b"})
--- a/coord/eligibility/warmup.go
+++ b/coord/eligibility/warmup.go
@@ -1,62 +1,63 @@
-// How much an endpoint is sent while it warms up.
+// Rate limit of an endpoint during its warm-up.
 //
-// Rule: while an endpoint warms up, all entries together send it what it bears (pace.go).
-// Inputs: what the endpoint said of its warm-up, sends of all entries, the number of entries, the
-// arrivals at the service.
-// Units: requests a second.
-// Never: an endpoint that is warm is held back; a refusal here says nothing of its health.
+// Rule: while an endpoint warms up, all entries together send it requests at most at the warm-up
+// rate of its service (pace.go).
+// Inputs: the warm-up time reported by the endpoint, requests sent by all entries, the number of
+// entries, the arrival rate at the service.
+// Units: requests per second.
+// Never: the limit applies to a warm endpoint; a refusal here counts against the endpoint's health.
 
 package eligibility
 
 import "time"
 
-// WarmupLimit is what endpoints of a service bear while they warm up. The zero value sets
+// WarmupLimit is the rate limit of a service's endpoints while they warm up. The zero value sets
 // no limit.
 type WarmupLimit struct {
-	PerSecond float64       // requests that one endpoint bears, 0 for no limit
-	Duration  time.Duration // from a start until the endpoint is warm
+	PerSecond float64       // requests per second to one endpoint, 0 for no limit
+	Duration  time.Duration // from the start of an endpoint until it is warm
 }
 
-// Limits tells whether there is a limit.
+// Limits reports whether there is a limit.
 func (l WarmupLimit) Limits() bool { return l.PerSecond > 0 }
 
 // Warmup is the warm-up of one endpoint. The zero value is warm.
 type Warmup struct {
-	until time.Time // when it is warm
+	until time.Time // end of the warm-up
 	pace  Pace
 }
 
-// Cold records that the endpoint warms up for so long from now. One that is expected to last
-// longer stays.
+// Cold records that the endpoint warms up for the time left from now. It never shortens a
+// warm-up that ends later.
 func (w *Warmup) Cold(now time.Time, left time.Duration) {
 	if !w.Warming(now) {
-		w.pace = Pace{tokens: 1} // it bears a request at once
+		w.pace = Pace{tokens: 1} // allows the first request immediately
 	}
 	if until := now.Add(left); until.After(w.until) {
 		w.until = until
 	}
 }
 
-// Warming tells whether the endpoint warms up.
+// Warming reports whether the endpoint warms up.
 func (w *Warmup) Warming(now time.Time) bool { return now.Before(w.until) }
 
-// Left returns how much longer the endpoint warms up, 0 if it is warm.
+// Left returns the time until the endpoint is warm, 0 if it is warm.
 func (w *Warmup) Left(now time.Time) time.Duration { return max(w.until.Sub(now), 0) }
 
-// Sent counts a request that was sent to the endpoint.
+// Sent counts a request sent to the endpoint by this entry, if own, or by another one.
 func (w *Warmup) Sent(at time.Time, l WarmupLimit, own bool, g Group) {
 	if w.limits(at, l) {
 		w.pace.Sent(at, l.PerSecond, own, g)
 	}
 }
 
-// Allows tells whether the entry may send the endpoint one more request.
+// Allows reports whether the entry may send one more request to the endpoint.
 func (w *Warmup) Allows(now time.Time, l WarmupLimit, g Group) bool {
 	return !w.limits(now, l) || w.pace.Allows(now, l.PerSecond, g)
 }
 
-// Chance returns the share of requests that the endpoint is shown to, where so many come to the
-// service each second, at all entries.
+// Chance returns the probability with which the endpoint is a candidate for a request.
+// arrivalsPerSecond is the rate of the service's requests at all entries.
 func (w *Warmup) Chance(now time.Time, l WarmupLimit, arrivalsPerSecond float64, g Group) float64 {
 	if !w.limits(now, l) {
 		return 1
