--- a/coord/quarantine/bench_test.go
+++ b/coord/quarantine/bench_test.go
@@ -9,8 +9,8 @@
 	"foxcross.dev/coord/quarantine"
 )
 
-// BenchmarkFullTable measures the memory and the decisions of a table that is full: 256 crashes
-// under 128 contents each. Before, nothing was remembered.
+// BenchmarkFullTable measures the memory of a full table, and the time of a decision in it: 256
+// crashes with 128 contents each. The baseline is an empty table.
 func BenchmarkFullTable(b *testing.B) {
 	var before, after runtime.MemStats
 	runtime.GC()
--- a/coord/quarantine/burst_test.go
+++ b/coord/quarantine/burst_test.go
@@ -6,29 +6,29 @@
 	"time"
 )
 
-// burst lets so many callers ask for a content at once, at random entries, now and after each
-// gap until a time.
+// burst schedules bursts of concurrent requests for a content, at random entries: the first one
+// now, the others at intervals of gap until a time.
 func (m *model) burst(content string, callers int, gap, until time.Duration) {
 	const within = 20 * time.Millisecond
 	for at := time.Duration(0); at < until; at += gap {
 		for range callers {
 			m.after(at+time.Duration(m.random.Int64N(int64(within))), func() {
-				m.ask(m.random.IntN(len(m.tables)), content, 1)
+				m.request(m.random.IntN(len(m.tables)), content, 1)
 			})
 		}
 	}
 }
 
-// TestModelBoundsBursts holds the same bound where a content is asked for by many callers in the
-// same moment, again and again.
+// TestModelBoundsBursts checks the bound of TestModelBoundsSends for repeated bursts of
+// concurrent requests for the same content.
 //
-// What users would see: six callers ask for the same at once, six endpoints crash within a tenth
-// of a second, and the same again some seconds later. The order of events: endpoints that crash
-// together count once, so that after the first six a content has one crash or two against it;
-// the next six are sent before any of them has crashed. The cause: crashes that come together
-// counted as a rack's failure for good, though no run of the content ever succeeded.
-// Evidence: of 70 plays of this test 10 sent 6 or 12 requests too late, all after crashes of which
-// at most two counted.
+// It guards against repeated crashes of many endpoints: six callers send the same content at
+// once and crash six endpoints within a tenth of a second, and do so again some seconds later.
+// Endpoints that crash together count once, so the content has one or two counted crashes after
+// the first burst, and all requests of the next one are sent before any of them crashes an
+// endpoint. Crashes that happened together then never counted as more than one event, though no
+// run of the content had succeeded: 10 of 70 runs of this test sent 6 or 12 requests too late,
+// all with at most two counted crashes.
 func TestModelBoundsBursts(t *testing.T) {
 	const (
 		endpoints = 18
@@ -47,21 +47,21 @@
 		{28, 12, 4 * time.Second, 8},
 		{103, 40, 5 * time.Second, 2},
 	} {
-		t.Run(fmt.Sprintf("%d callers at %d entries each %v", c.callers, c.entries, c.gap), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d callers at %d entries every %v", c.callers, c.entries, c.gap), func(t *testing.T) {
 			worst, refused := 0, 0.0
 			for seed := range c.seeds {
 				m := newModel(seed, c.entries, endpoints, 15*time.Millisecond, 0)
 				m.load(0.01, length)
 				m.burst("bad-1", c.callers, c.gap, length)
 				m.run(length)
-				late := m.sentLate("bad-1")
+				late := m.lateSends("bad-1")
 				worst = max(worst, late)
 				if late > maxLate {
-					t.Errorf("seed %d: sent %d times after it had to be known, %d crashes", seed, late, len(m.crashed["bad-1"]))
+					t.Errorf("seed %d: sent %d times after all entries had to hold it, %d crashes", seed, late, len(m.crashed["bad-1"]))
 				}
-				refused += m.refusedShare() / float64(c.seeds)
+				refused += m.refusedFraction() / float64(c.seeds)
 			}
-			t.Logf("sent late at most %d times, others refused %.5f", worst, refused)
+			t.Logf("sent late at most %d times, fraction of other requests refused %.5f", worst, refused)
 		})
 	}
 }
--- a/coord/quarantine/key.go
+++ b/coord/quarantine/key.go
@@ -6,16 +6,16 @@
 	"encoding/hex"
 )
 
-// keyBytes is the length of a key. With 16 bytes of SHA-256 nobody finds a request
-// of another content with the same key, so that nobody has another caller's request refused.
+// keyBytes is the length of a key. At 16 bytes of SHA-256 nobody can construct a request with the
+// key of another content, and so have another caller's request refused.
 const keyBytes = 16
 
-// Key names the content of a request: who asks, and what. Two requests with the same key do
-// the same to an endpoint, whichever entry takes them and however often they come.
+// Key identifies the content of a request, which includes its caller. Requests with the same key
+// have the same effect on an endpoint, whichever entry receives them and however often.
 type Key [keyBytes]byte
 
-// KeyOf returns the key of a request of a caller. Each part is hashed with its length, so
-// that no two different requests run together into the same bytes.
+// KeyOf returns the key of a request of a caller. Each part is hashed with its length as a
+// prefix, so that different requests never have the same input to the hash.
 func KeyOf(caller, method, target string, body []byte) Key {
 	h := sha256.New()
 	var length [8]byte
@@ -32,13 +32,13 @@
 	return Key(h.Sum(sum[:0])[:keyBytes])
 }
 
-// String returns the key as logs and operators name it.
+// String returns the key in hexadecimal, the form used in logs and by operators.
 func (k Key) String() string { return hex.EncodeToString(k[:]) }
 
 // MarshalText implements encoding.TextMarshaler.
 func (k Key) MarshalText() ([]byte, error) { return []byte(k.String()), nil }
 
-// ParseKey returns the key that String wrote; false if the text is none.
+// ParseKey parses the form returned by String. It returns false if the text is not a key.
 func ParseKey(text string) (Key, bool) {
 	data, err := hex.DecodeString(text)
 	if err != nil || len(data) != keyBytes {
--- a/coord/quarantine/key_test.go
+++ b/coord/quarantine/key_test.go
@@ -15,14 +15,14 @@
 	// Output: true false
 }
 
-func TestPartsDoNotRunTogether(t *testing.T) {
+func TestKeySeparatesParts(t *testing.T) {
 	seen := map[quarantine.Key]string{}
 	for _, parts := range [][4]string{
 		{"ab", "GET", "/x", ""}, {"a", "bGET", "/x", ""}, {"ab", "GET", "/", "x"}, {"", "abGET", "/x", ""}, {"ab", "GET/x", "", ""},
 	} {
 		k := quarantine.KeyOf(parts[0], parts[1], parts[2], []byte(parts[3]))
 		if former, ok := seen[k]; ok {
-			t.Errorf("%q has the key of %s", parts, former)
+			t.Errorf("%q has the same key as %s", parts, former)
 		}
 		seen[k] = fmt.Sprintf("%q", parts)
 	}
@@ -31,17 +31,17 @@
 func TestParseKey(t *testing.T) {
 	k := quarantine.KeyOf("studio-1", "GET", "/x", nil)
 	if parsed, ok := quarantine.ParseKey(k.String()); !ok || parsed != k {
-		t.Errorf("%s was read as %s, %t", k, parsed, ok)
+		t.Errorf("%s was parsed as %s, %t", k, parsed, ok)
 	}
 	for _, text := range []string{"", "xyz", k.String() + "00", k.String()[2:]} {
 		if _, ok := quarantine.ParseKey(text); ok {
-			t.Errorf("%q was read as a key", text)
+			t.Errorf("%q was parsed as a key", text)
 		}
 	}
 }
 
-// BenchmarkKeyOf measures what a request costs while any content is remembered: before, no
-// request was hashed. 4 KB is a long prompt's body, 64 KB a large one.
+// BenchmarkKeyOf measures the cost of a request while the table has any content. 4 KB is the body
+// of a long prompt, 64 KB a large one.
 func BenchmarkKeyOf(b *testing.B) {
 	for _, size := range []int{0, 4 << 10, 64 << 10} {
 		b.Run(fmt.Sprintf("%dKB", size>>10), func(b *testing.B) {
--- a/coord/quarantine/model_test.go
+++ b/coord/quarantine/model_test.go
@@ -12,34 +12,33 @@
 	"foxcross.dev/coord/quarantine"
 )
 
-// model is a fleet in virtual time: entries with a table each, endpoints that crash under some
-// contents or for no reason, callers that come back, and reports that take time and may be
-// lost.
+// model simulates a fleet in virtual time: entries with a table each, endpoints that crash when
+// they run some contents or at random, callers that retry, and reports that are delayed and may
+// be lost.
 type model struct {
 	random    *rand.Rand
 	now       time.Duration
 	queue     steps
-	steps     int // that were planned
+	steps     int // number of scheduled steps
 	tables    []quarantine.Table
-	delay     time.Duration // of a report, half of it to twice as much
-	loss      float64       // of a report
+	delay     time.Duration // of a report; the actual delay is 0.5 to 2 times as long
+	loss      float64       // probability that a report is lost
 	endpoints []*modelEndpoint
-	sent      map[string][]time.Duration // sends that reached an endpoint, by content
-	crashed   map[string][]time.Duration // crashes under a content that brings endpoints down
-	refused   map[string]int
-	asked     map[string]int
-	heldTill  map[string]time.Duration // by content, since its last trial
+	sent      map[string][]time.Duration // times at which a content was sent to an endpoint
+	crashed   map[string][]time.Duration // times of the crashes caused by a content
+	refused   map[string]int             // number of refused requests, by content
+	requested map[string]int             // number of requests, by content
+	nextTrial map[string]time.Duration   // earliest time of the next trial, by content
 }
 
-// step is something that happens at a time; those of the same time in the order in which
-// they were planned.
+// step is an event. Steps at the same time run in the order in which they were scheduled.
 type step struct {
 	at     time.Duration
 	number int
-	do     func()
+	action func()
 }
 
-// steps is a heap of what is to happen.
+// steps is a heap of scheduled steps.
 type steps []step
 
 func (s steps) Len() int { return len(s) }
@@ -58,12 +57,12 @@
 	return last
 }
 
-// modelEndpoint is an endpoint. It is down while backAt is to come.
+// modelEndpoint is an endpoint. It is down until restartAt.
 type modelEndpoint struct {
-	number  int
-	starts  int
-	backAt  time.Duration
-	running map[*modelRun]bool
+	number    int
+	starts    int
+	restartAt time.Duration
+	running   map[*modelRun]bool
 }
 
 // modelRun is a run of a content at an endpoint.
@@ -71,22 +70,22 @@
 	content string
 	entry   int
 	began   time.Duration
-	known   int // crashes that its entry counted against the content
+	known   int // crashes that its entry counted against the content at the start
 	retries int
 }
 
 const (
-	modelBackAfter  = 4 * time.Second        // an endpoint that crashed is back
-	modelCrashAfter = 90 * time.Millisecond  // a content brings its endpoint down
-	modelRunFor     = 900 * time.Millisecond // of others, on average
-	modelContact    = 3 * time.Second        // within which all entries in touch are to know
+	modelRestartTime = 4 * time.Second        // from a crash of an endpoint to its restart
+	modelCrashDelay  = 90 * time.Millisecond  // from the start of a run to the crash it causes
+	modelRunTime     = 900 * time.Millisecond // mean duration of the other runs
+	modelReportTime  = 3 * time.Second        // time in which reports have to reach all connected entries
 )
 
 func newModel(seed uint64, entries, endpoints int, delay time.Duration, loss float64) *model {
 	m := &model{
 		random: rand.New(rand.NewPCG(seed, 1)), tables: make([]quarantine.Table, entries), delay: delay, loss: loss,
-		sent: map[string][]time.Duration{}, crashed: map[string][]time.Duration{}, refused: map[string]int{}, asked: map[string]int{},
-		heldTill: map[string]time.Duration{},
+		sent: map[string][]time.Duration{}, crashed: map[string][]time.Duration{}, refused: map[string]int{}, requested: map[string]int{},
+		nextTrial: map[string]time.Duration{},
 	}
 	for n := range endpoints {
 		m.endpoints = append(m.endpoints, &modelEndpoint{number: n, running: map[*modelRun]bool{}})
@@ -96,31 +95,31 @@
 
 func (m *model) clock() time.Time { return start.Add(m.now) }
 
-func (m *model) after(d time.Duration, do func()) {
+func (m *model) after(d time.Duration, action func()) {
 	m.steps++
-	heap.Push(&m.queue, step{m.now + d, m.steps, do})
+	heap.Push(&m.queue, step{m.now + d, m.steps, action})
 }
 
-// run does all steps until a time.
+// run runs all steps up to a time.
 func (m *model) run(until time.Duration) {
 	for len(m.queue) > 0 && m.queue[0].at <= until {
 		next := heap.Pop(&m.queue).(step)
 		m.now = next.at
-		next.do()
+		next.action()
 	}
 }
 
-// ask lets a caller ask for a content at an entry.
-func (m *model) ask(entry int, content string, retries int) {
-	m.asked[content]++
+// request sends a request for a content to an entry.
+func (m *model) request(entry int, content string, retries int) {
+	m.requested[content]++
 	var up []*modelEndpoint
 	for _, e := range m.endpoints {
-		if e.backAt <= m.now {
+		if e.restartAt <= m.now {
 			up = append(up, e)
 		}
 	}
 	v := m.tables[entry].Verdict(m.clock(), key(content))
-	if v.Held && (v.For > 0 || len(up) == 0 || !m.mayTry(entry, content)) {
+	if v.Held && (v.For > 0 || len(up) == 0 || !m.startTrial(entry, content)) {
 		m.refused[content]++
 		return
 	}
@@ -133,7 +132,7 @@
 	m.sent[content] = append(m.sent[content], m.now)
 	starts := e.starts
 	if isBad(content) {
-		m.after(modelCrashAfter, func() {
+		m.after(modelCrashDelay, func() {
 			if e.starts == starts && e.running[r] {
 				m.crashed[content] = append(m.crashed[content], m.now)
 				m.crash(e)
@@ -141,7 +140,7 @@
 		})
 		return
 	}
-	m.after(time.Duration(m.random.ExpFloat64()*float64(modelRunFor)), func() {
+	m.after(time.Duration(m.random.ExpFloat64()*float64(modelRunTime)), func() {
 		if e.running[r] {
 			delete(e.running, r)
 			m.succeed(entry, content)
@@ -149,24 +148,24 @@
 	})
 }
 
-// succeed lets an entry take in that a run of a content succeeded. It tells the others only if
-// anything was counted against it.
+// succeed records a successful run of a content at an entry. The entry reports it to the others
+// only if the content had crashes or a hold.
 func (m *model) succeed(entry int, content string) {
 	if !m.tables[entry].Succeeded(key(content)) {
 		return
 	}
-	m.tell(entry, func(*quarantine.Table) {}, func(t *quarantine.Table, _ time.Duration) { t.Succeeded(key(content)) })
+	m.report(entry, func(*quarantine.Table) {}, func(t *quarantine.Table, _ time.Duration) { t.Succeeded(key(content)) })
 }
 
-// mayTry tells whether a request is a trial: the store knows until when a content is held
-// since its last one.
-func (m *model) mayTry(entry int, content string) bool {
-	if m.heldTill[content] > m.now {
+// startTrial starts a trial of a content and reports whether it did: no other trial may be in
+// progress. It stands in for the key-value store, which has the earliest time of the next trial.
+func (m *model) startTrial(entry int, content string) bool {
+	if m.nextTrial[content] > m.now {
 		return false
 	}
 	trials := m.tables[entry].Verdict(m.clock(), key(content)).Trials + 1
 	until := m.now + quarantine.TrialTime
-	m.heldTill[content] = until
+	m.nextTrial[content] = until
 	for n := range m.tables {
 		m.tables[n].Try(key(content), trials, start.Add(until))
 	}
@@ -175,13 +174,13 @@
 
 func isBad(content string) bool { return slices.Contains(badContents, content) }
 
-// crash brings an endpoint down. All entries with a run there see it, tell the others, and
-// send what may be repeated again.
+// crash stops an endpoint. All entries with a run there detect it, report it to the others, and
+// retry their requests.
 func (m *model) crash(e *modelEndpoint) {
 	name := fmt.Sprint(e.number, "@", e.starts)
 	at := m.clock()
 	e.starts++
-	e.backAt = m.now + modelBackAfter
+	e.restartAt = m.now + modelRestartTime
 	running := e.running
 	e.running = map[*modelRun]bool{}
 	var all []*modelRun
@@ -193,21 +192,21 @@
 	})
 	for _, r := range all {
 		run := quarantine.Run{Content: key(r.content), Began: start.Add(r.began), Known: r.known}
-		m.tell(r.entry, func(t *quarantine.Table) { t.Crashed(name, at, 0, run) }, func(t *quarantine.Table, age time.Duration) {
+		m.report(r.entry, func(t *quarantine.Table) { t.Crashed(name, at, 0, run) }, func(t *quarantine.Table, age time.Duration) {
 			t.TakeCrash(m.clock(), quarantine.CrashReport{
 				Endpoint: name, AgeMS: age.Milliseconds(), From: uint64(r.entry) + 1, Runs: []quarantine.RunReport{quarantine.ReportOf(run, at)},
 			})
 		})
 		if r.retries > 0 {
-			m.after(2*time.Millisecond, func() { m.ask(r.entry, r.content, r.retries-1) })
+			m.after(2*time.Millisecond, func() { m.request(r.entry, r.content, r.retries-1) })
 		}
 	}
 }
 
-// tell lets an entry take something in at once, and the others later, if they hear of it. It is
-// told three times; how old it is does not count the way.
-func (m *model) tell(entry int, seen func(t *quarantine.Table), told func(t *quarantine.Table, age time.Duration)) {
-	seen(&m.tables[entry])
+// report applies an observation at an entry at once, and reports it to the others. Each report is
+// sent three times and may be lost. Its age does not include its transit.
+func (m *model) report(entry int, local func(t *quarantine.Table), reported func(t *quarantine.Table, age time.Duration)) {
+	local(&m.tables[entry])
 	for other := range m.tables {
 		if other == entry {
 			continue
@@ -216,73 +215,73 @@
 			if m.random.Float64() < m.loss {
 				continue
 			}
-			way := time.Duration((0.5 + 1.5*m.random.Float64()) * float64(m.delay))
-			m.after(age+way, func() { told(&m.tables[other], age) })
+			transit := time.Duration((0.5 + 1.5*m.random.Float64()) * float64(m.delay))
+			m.after(age+transit, func() { reported(&m.tables[other], age) })
 		}
 	}
 }
 
-// every asks for contents at random entries so many times a second, until a time.
+// every sends requests to random entries at a mean rate, until a time.
 func (m *model) every(perSecond float64, until time.Duration, content func() string) {
 	var next func()
 	next = func() {
 		if m.now >= until {
 			return
 		}
-		m.ask(m.random.IntN(len(m.tables)), content(), 1)
+		m.request(m.random.IntN(len(m.tables)), content(), 1)
 		m.after(time.Duration(m.random.ExpFloat64()/perSecond*float64(time.Second)), next)
 	}
 	m.after(0, next)
 }
 
-// sentLate counts the sends of a content later than modelContact after the third crash
-// under it.
-func (m *model) sentLate(content string) int {
+// lateSends returns how often a content was sent later than modelReportTime after the third
+// crash that it caused.
+func (m *model) lateSends(content string) int {
 	crashes := m.crashed[content]
 	if len(crashes) < 3 {
 		return 0
 	}
 	n := 0
 	for _, at := range m.sent[content] {
-		if at > crashes[2]+modelContact {
+		if at > crashes[2]+modelReportTime {
 			n++
 		}
 	}
 	return n
 }
 
-// modelCases are fleets and rates at which contents that bring endpoints down are asked for.
+// modelCases are fleets, and request rates of the contents that crash endpoints.
 var modelCases = []struct {
 	name    string
 	entries int
 	delay   time.Duration
 	loss    float64
-	bad     float64 // requests a second, for each of three such contents
-	refused float64 // the largest mean share of the other requests
+	bad     float64 // requests per second for each of three such contents
+	refused float64 // maximum mean fraction of the other requests that is refused
 }{
-	{"as reported", 5, 15 * time.Millisecond, 0, 1, 0.0005},
-	{"asked for seldom", 5, 15 * time.Millisecond, 0, 0.15, 0.0005},
-	{"asked for all the time", 5, 15 * time.Millisecond, 0, 20, 0.01},
+	{"one request per second", 5, 15 * time.Millisecond, 0, 1, 0.0005},
+	{"rare requests", 5, 15 * time.Millisecond, 0, 0.15, 0.0005},
+	{"frequent requests", 5, 15 * time.Millisecond, 0, 20, 0.01},
 	{"many entries", 28, 25 * time.Millisecond, 0, 5, 0.0015},
-	{"reports late", 5, 800 * time.Millisecond, 0, 2, 0.0015},
-	{"reports lost", 5, 15 * time.Millisecond, 0.3, 2, 0.001},
+	{"late reports", 5, 800 * time.Millisecond, 0, 2, 0.0015},
+	{"lost reports", 5, 15 * time.Millisecond, 0.3, 2, 0.001},
 }
 
-// TestModelBoundsSends holds that of a content which brings down what runs it at most three
-// sends follow once entries in touch are to know it, in each of 20 runs of a minute; without
-// the quarantine there are 4 to 28 where it is asked for seldom, 63 to 424 else, and up to 109
-// crashes. Two popular contents are asked for beside it, at endpoints that also crash for no
-// reason, and one content after the other that is asked for once: the mean share of these that
-// is refused is bounded, and the share in each run. The worst case is 60 requests a second that
-// bring all endpoints down within 0.2 s: what is popular was under way at most of them, and is
-// tried when the first ones are back.
+// TestModelBoundsSends checks that a content that crashes its endpoints is sent at most three
+// times after the reports of its third crash had to arrive, in each of 20 runs of a minute.
+// Without the quarantine it is sent 4 to 28 times with rare requests and 63 to 424 times
+// otherwise, with up to 109 crashes. The other requests are for two popular contents, and for
+// contents requested only once, at endpoints that also crash at random: both the mean fraction of
+// them that is refused, and the fraction in each run, are bounded. The worst case is 60 requests
+// per second that crash all endpoints within 0.2 s: the popular contents were in progress at most
+// of them, and are tried when the first endpoints have restarted.
 func TestModelBoundsSends(t *testing.T) {
 	const (
 		seeds      = 20
 		endpoints  = 18
 		length     = time.Minute
 		maxLate    = 3
-		maxRefused = 0.04 // in any run; 0.034 was the worst of 720
+		maxRefused = 0.04 // in any run; the maximum of 720 runs is 0.034
 	)
 	for _, c := range modelCases {
 		t.Run(c.name, func(t *testing.T) {
@@ -292,29 +291,30 @@
 				m.load(c.bad, length)
 				m.run(length)
 				for _, bad := range badContents {
-					if late := m.sentLate(bad); late > maxLate {
-						t.Errorf("seed %d: %s was sent %d times after it had to be known", seed, bad, late)
+					if late := m.lateSends(bad); late > maxLate {
+						t.Errorf("seed %d: %s was sent %d times after all entries had to hold it", seed, bad, late)
 					}
 					crashes = max(crashes, len(m.crashed[bad]))
 				}
-				share := m.refusedShare()
-				if share > maxRefused {
-					t.Errorf("seed %d: %.4f of the other requests are refused", seed, share)
+				fraction := m.refusedFraction()
+				if fraction > maxRefused {
+					t.Errorf("seed %d: %.4f of the other requests were refused", seed, fraction)
 				}
-				sum += share
+				sum += fraction
 			}
-			t.Logf("crashes under one content: at most %d; others refused: %.5f", crashes, sum/seeds)
+			t.Logf("crashes caused by one content: at most %d; fraction of other requests refused: %.5f", crashes, sum/seeds)
 			if sum/seeds > c.refused {
-				t.Errorf("%.5f of the other requests are refused", sum/seeds)
+				t.Errorf("%.5f of the other requests were refused", sum/seeds)
 			}
 		})
 	}
 }
 
-// badContents bring down what runs them.
+// badContents crash the endpoints that run them.
 var badContents = []string{"bad-1", "bad-2", "bad-3"}
 
-// load lets callers ask for contents, each bad one so many times a second, until a time.
+// load schedules requests and random crashes until a time. bad is the rate of the requests for
+// each bad content, per second.
 func (m *model) load(bad float64, until time.Duration) {
 	for _, content := range badContents {
 		m.every(bad, until, func() string { return content })
@@ -323,34 +323,35 @@
 	m.every(60, until, func() string { once++; return fmt.Sprint("once-", once) })
 	m.every(10, until, func() string { return "popular-1" })
 	m.every(4, until, func() string { return "popular-2" })
-	m.flap(2*time.Second, until)
+	m.crashRandomly(2*time.Second, until)
 }
 
-// refusedShare returns the share of the requests for other contents that were refused.
-func (m *model) refusedShare() float64 {
-	refused, asked := 0, 0
-	for content, n := range m.asked {
+// refusedFraction returns the fraction of the requests for other contents that was refused.
+func (m *model) refusedFraction() float64 {
+	refused, requested := 0, 0
+	for content, n := range m.requested {
 		if !isBad(content) {
-			asked += n
+			requested += n
 			refused += m.refused[content]
 		}
 	}
-	return float64(refused) / float64(asked)
+	return float64(refused) / float64(requested)
 }
 
-// flap lets endpoints crash for no reason, and now and then a third of them at once.
-func (m *model) flap(interval, until time.Duration) {
+// crashRandomly crashes a random endpoint at each interval, and on average at every eighth a third of all
+// endpoints.
+func (m *model) crashRandomly(interval, until time.Duration) {
 	var next func()
 	next = func() {
 		if m.now >= until {
 			return
 		}
-		some := 1
+		count := 1
 		if m.random.IntN(8) == 0 {
-			some = len(m.endpoints) / 3
+			count = len(m.endpoints) / 3
 		}
-		for _, n := range m.random.Perm(len(m.endpoints))[:some] {
-			if e := m.endpoints[n]; e.backAt <= m.now {
+		for _, n := range m.random.Perm(len(m.endpoints))[:count] {
+			if e := m.endpoints[n]; e.restartAt <= m.now {
 				m.crash(e)
 			}
 		}
--- a/coord/quarantine/quarantine.go
+++ b/coord/quarantine/quarantine.go
@@ -1,57 +1,58 @@
-// Package quarantine decides which contents of requests are kept from endpoints, because
-// endpoints that ran them have crashed.
+// Package quarantine decides which request contents are not sent to endpoints because endpoints
+// that ran them have crashed.
 //
-// Rule: a crash of an endpoint counts against each content that was under way there. It does
-// not count where the last crash that counted was less than togetherFor before and the run had
-// begun by then: what is under way at many endpoints that crash together has met one
-// misfortune, not many. If no run of it succeeds within togetherFor after the last of
-// maxCrashes or more, the next request is a trial all the same. What the sender of a run knew to
-// count when it began counts, whatever the times that were told.
+// Rule: a crash of an endpoint counts against each content with a run in progress there. It does
+// not count if the last counted crash was less than correlationWindow earlier and the run had
+// started by then: endpoints that crash together with the same content count as one event. If no
+// run of the content succeeds within correlationWindow after the last of maxCrashes or more
+// crashes, the next request is a trial even if they do not count. The number of crashes that the
+// sender of a run counted when the run started counts, whatever the reported times.
 //
-// A content with maxCrashes of them is held: it is sent to no endpoint for minHold after the
-// last one. Then one request at a time is a trial; if its endpoint crashes, the content is held
-// for holdFactor times as long as before. Where another content with as many crashes was under
-// way as well, so that it is not clear which of them is to blame, minUnclearHold to
-// maxUnclearHold take the place of minHold. A run that succeeded clears its content of all that
-// was counted against it.
+// A content with maxCrashes counted crashes is held: it is sent to no endpoint for minHold after
+// the last one. Then one request at a time is a trial; if its endpoint crashes, the content is
+// held for holdFactor times as long as before. If another content with as many crashes was in
+// progress too, so that either may have caused the crashes, minAmbiguousHold to maxAmbiguousHold
+// replace minHold. A successful run clears all crashes counted against its content.
 //
-// Inputs: which contents were under way where an endpoint crashed, when these runs began,
-// runs that succeeded, the time. Entries tell each other of both; it does not matter in
-// which order, or how often, a crash is told.
-// Units: crashes of endpoints; each start of an endpoint is one of its own.
-// Never: a content is judged by a connection that broke, by silence, by an endpoint's own
-// failure or by the end of one that was leaving. Whoever asks for something can't have
-// another caller's request held: the caller is part of the content.
+// Inputs: the contents in progress at a crashed endpoint, the start times of their runs,
+// successful runs, the time. Entries exchange reports of crashes and successes; the order and
+// the number of the reports of a crash do not matter.
+// Units: crashes of endpoints; each start of an endpoint counts as an endpoint of its own.
+// Never: a broken connection, a missing response, a failure that the endpoint reports, or the
+// exit of a draining endpoint counts against a content. A caller can't cause another caller's
+// request to be held: the caller is part of the content.
 //
-// This file decides; table.go holds what is known, report.go what processes tell each other
-// and operators, key.go names contents.
+// This file holds the decisions; table.go holds the state, report.go the reports to other
+// processes and operators, key.go the keys of contents.
 package quarantine
 
 import "time"
 
 const (
-	// maxCrashes is how many crashes a content may have against it before it is held: what
-	// the operators bear. Fewer would hold what was twice beside misfortune.
+	// maxCrashes is the number of counted crashes from which a content is held: the number that
+	// operators accept. A lower one would hold contents that ran twice at endpoints which crashed
+	// for other reasons.
 	maxCrashes = 3
-	// togetherFor is the time within which endpoints that crash have crashed together. A rack
-	// that loses power takes its endpoints along within a second, and a popular content
-	// succeeds elsewhere within as long.
-	togetherFor = time.Second
-	// minHold is how long a content is held first. Operators accept three sends of a request that
-	// is known to crash endpoints, so that trials have to be rare; and a caller that comes back
-	// within its deadline, 15 s, is refused once.
+	// correlationWindow is the time within which crashes of endpoints count as one event. A power
+	// failure of a rack stops its endpoints within a second, and a popular content succeeds at
+	// other endpoints within the same time.
+	correlationWindow = time.Second
+	// minHold is the length of the first hold. Operators accept three sends of a request that is
+	// known to crash endpoints, so trials have to be rare; a caller that retries within its
+	// deadline, 15 s, is refused once.
 	minHold = time.Minute
-	// unclearHold is the same for a content that may only have run beside others, from the
-	// first to the last, by the content: trials at the same time meet at the few endpoints
-	// that are left, and show nothing. No longer than entries have to hear of a crash, 3 s, so
-	// that the trial of one that is to blame is none of the three sends.
-	minUnclearHold = time.Second
-	maxUnclearHold = 3 * time.Second
-	// TrialTime is how long a trial is waited for before another one may begin. An endpoint
-	// that a content brings down crashes within a tenth of a second.
+	// minAmbiguousHold and maxAmbiguousHold bound the first hold of a content that may not have
+	// caused the crashes. Its length depends on the key: concurrent trials of several contents
+	// would run at the same few remaining endpoints and show nothing. It is at most the 3 s that
+	// crash reports may take to reach all entries, so that the trial of a content that causes
+	// crashes is not one of the three sends.
+	minAmbiguousHold = time.Second
+	maxAmbiguousHold = 3 * time.Second
+	// TrialTime is the time from the start of a trial until another one may start. A content that
+	// crashes its endpoint does so within a tenth of a second.
 	TrialTime = 5 * time.Second
-	// holdFactor makes each further hold longer, up to maxHold. Trials a minute, 5 and 21
-	// minutes after the crash by which a content is held, then one an hour.
+	// holdFactor multiplies the length of each further hold, up to maxHold. Trials start 1, 5 and
+	// 21 minutes after the crash that started the first hold, then once an hour.
 	holdFactor = 4
 	maxHold    = time.Hour
 )
@@ -60,43 +61,43 @@
 type Run struct {
 	Content Key
 	Began   time.Time
-	// Known is how many crashes counted against the content, as far as its sender knew when it
-	// began. It tells what came after what without a clock: a retry begins within a ms of the
-	// crash before it, and a crash is told in ms, by datagrams that take some.
+	// Known is the number of crashes that the sender counted against the content when the run
+	// began. It orders runs and crashes without a clock: a retry begins within 1 ms of the crash
+	// before it, while reports of crashes have a resolution of 1 ms and take some ms to arrive.
 	Known int
 }
 
-// Verdict is what is decided of a content.
+// Verdict is the decision on a content.
 type Verdict struct {
-	Crashes int           // of endpoints that count against it
-	Trials  int           // of it since it is held
-	Last    time.Time     // when the last crash was
-	Held    bool          // it is sent to no endpoint, but for a trial
-	For     time.Duration // for so long, if held; 0 for that a trial is due
-	// Doubtful is set if its crashes came together, so that it may only have met one
-	// misfortune.
+	Crashes int           // counted against the content
+	Trials  int           // of the content since it is held
+	Last    time.Time     // time of the last crash
+	Held    bool          // it is sent to no endpoint, except for a trial
+	For     time.Duration // time until the next trial, if held; 0 if a trial is due
+	// Doubtful is set if the crashes happened together, so that they may be one event that the
+	// content did not cause.
 	Doubtful bool
 }
 
-// Verdict decides of a content.
+// Verdict returns the decision on a content.
 func (t *Table) Verdict(now time.Time, k Key) Verdict {
 	c := t.contents[k]
 	if c == nil {
 		return Verdict{}
 	}
-	v := Verdict{Crashes: max(c.counted, c.toldCrashes)}
+	v := Verdict{Crashes: max(c.counted, c.reportedCrashes)}
 	if len(c.crashes) > 0 {
 		v.Last = c.crashes[len(c.crashes)-1].at
 	}
-	var next time.Time // trial, by what is known here
+	var next time.Time // next trial, by the crashes known to this process
 	switch {
 	case v.Crashes >= maxCrashes:
 		hold := minHold
-		if t.unclear(c) {
-			hold = unclearHold(k)
+		if t.ambiguous(c) {
+			hold = ambiguousHold(k)
 		}
 		failed := min(c.trials, v.Crashes-maxCrashes)
-		next = v.Last.Add(afterTrials(hold, failed))
+		next = v.Last.Add(holdAfterTrials(hold, failed))
 	case c.neverSucceeded(now):
 		v.Crashes = maxCrashes
 		v.Doubtful = true
@@ -109,21 +110,22 @@
 	return v
 }
 
-// neverSucceeded tells whether a content was under way at maxCrashes crashes, together or not, and
-// no run of it has succeeded though there was time for one. Many callers who ask for the same
-// in the same moment bring down endpoints that crash together; what is popular runs elsewhere
-// too, and has succeeded by then. Held without it: 12 sends too late (TestModelBoundsBursts).
+// neverSucceeded reports whether a content was in progress at maxCrashes crashes, together or
+// not, and no run of it has succeeded within correlationWindow. Many callers that send the same
+// content at once crash endpoints together; a popular content also runs elsewhere, and has
+// succeeded by then. Without this check a content was sent 12 times too often
+// (TestModelBoundsBursts).
 func (c *content) neverSucceeded(now time.Time) bool {
-	return len(c.crashes) >= maxCrashes && now.Sub(c.crashes[len(c.crashes)-1].at) >= togetherFor
+	return len(c.crashes) >= maxCrashes && now.Sub(c.crashes[len(c.crashes)-1].at) >= correlationWindow
 }
 
-// unclear tells whether a content that is held may only have run beside another one that is to
-// blame: one was under way at all but a few of its crashes. A trial makes it clear, if no other
-// one was under way.
-func (t *Table) unclear(c *content) bool {
+// ambiguous reports whether other contents may have caused the crashes of a held content: fewer
+// than maxCrashes of them happened without another content with maxCrashes in progress. A trial
+// without such a content in progress resolves this.
+func (t *Table) ambiguous(c *content) bool {
 	clear, lastClear := 0, false
 	for _, x := range c.crashes {
-		lastClear = !t.blamedBeside(x, c.key)
+		lastClear = !t.hasOtherSuspect(x, c.key)
 		if lastClear {
 			clear++
 		}
@@ -134,15 +136,14 @@
 	return clear < maxCrashes
 }
 
-// unclearHold returns for how long a content is held that may only have run beside others.
-func unclearHold(k Key) time.Duration {
-	const values = 256 // of a byte of the key
-	return minUnclearHold + (maxUnclearHold-minUnclearHold)*time.Duration(k[0])/values
+// ambiguousHold returns the length of the first hold of an ambiguous content.
+func ambiguousHold(k Key) time.Duration {
+	const values = 256 // number of values of a byte of the key
+	return minAmbiguousHold + (maxAmbiguousHold-minAmbiguousHold)*time.Duration(k[0])/values
 }
 
-// blamedBeside tells whether another content with maxCrashes against it was under way at a
-// crash.
-func (t *Table) blamedBeside(x *crash, k Key) bool {
+// hasOtherSuspect reports whether another content with maxCrashes was in progress at a crash.
+func (t *Table) hasOtherSuspect(x *crash, k Key) bool {
 	for other, r := range x.runs {
 		if other == k || r.cleared {
 			continue
@@ -154,24 +155,25 @@
 	return false
 }
 
-// count counts the crashes against the content: those that did not come together, and one more
-// than the sender of any run knew of, but for what was cleared meanwhile.
-func (c *content) count() {
-	apart, known := 0, 0
+// recount updates the number of crashes counted against the content: those that did not happen
+// together, or one more than the sender of any run had counted if that is more. Cleared crashes
+// do not count.
+func (c *content) recount() {
+	separate, known := 0, 0
 	var last time.Time
 	for _, x := range c.crashes {
 		r := x.runs[c.key]
 		known = max(known, r.known)
-		if x.at.Sub(last) >= togetherFor || r.began.After(last) {
-			apart++
+		if x.at.Sub(last) >= correlationWindow || r.began.After(last) {
+			separate++
 			last = x.at
 		}
 	}
-	c.counted = min(max(apart, known+1), len(c.crashes))
+	c.counted = min(max(separate, known+1), len(c.crashes))
 }
 
-// afterTrials returns how long a content is held of which so many trials failed.
-func afterTrials(hold time.Duration, failed int) time.Duration {
+// holdAfterTrials returns the length of the hold after a number of failed trials.
+func holdAfterTrials(hold time.Duration, failed int) time.Duration {
 	for range failed {
 		hold *= holdFactor
 		if hold >= maxHold {
--- a/coord/quarantine/quarantine_test.go
+++ b/coord/quarantine/quarantine_test.go
@@ -10,14 +10,14 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// at returns a time so many seconds after the start.
+// at returns the time so many seconds after the start.
 func at(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
 
-// key returns the key of a content by its name.
+// key returns the key of the content with a name.
 func key(name string) quarantine.Key { return quarantine.KeyOf("studio-1", "POST", name, nil) }
 
-// crash takes in that an endpoint crashed at a time, under contents that had begun a tenth of a
-// second before.
+// crash records a crash of an endpoint that had started to run the contents a tenth of a second
+// earlier.
 func crash(t *quarantine.Table, endpoint string, seconds float64, contents ...string) []quarantine.Key {
 	var runs []quarantine.Run
 	for _, c := range contents {
@@ -46,26 +46,26 @@
 	// false
 }
 
-func TestHeldFromTheThirdCrashOn(t *testing.T) {
+func TestHeldAfterThreeCrashes(t *testing.T) {
 	var x quarantine.Table
 	crash(&x, "i-1", 0, "bad")
 	crash(&x, "i-2", 0.2, "bad")
 	if held(&x, 0.2, "bad") {
 		t.Error("held after two crashes")
 	}
-	if now := crash(&x, "i-3", 0.4, "bad"); len(now) != 1 || now[0] != key("bad") {
-		t.Errorf("the third crash tells %v as held", now)
+	if newlyHeld := crash(&x, "i-3", 0.4, "bad"); len(newlyHeld) != 1 || newlyHeld[0] != key("bad") {
+		t.Errorf("the third crash reports %v as newly held", newlyHeld)
 	}
 	if again := crash(&x, "i-4", 0.6, "bad"); len(again) != 0 {
-		t.Errorf("the fourth crash tells %v as held anew", again)
+		t.Errorf("the fourth crash reports %v as newly held", again)
 	}
 	if held(&x, 0.6, "good") {
 		t.Error("another content is held")
 	}
 }
 
-// TestHoldsGrow holds how long a content is kept from endpoints: a minute, then four times
-// as long after each trial at which an endpoint crashed, an hour at the most.
+// TestHoldsGrow checks the lengths of holds: a minute, then four times as long after each failed
+// trial, at most an hour.
 func TestHoldsGrow(t *testing.T) {
 	var x quarantine.Table
 	for n := range 2 {
@@ -76,16 +76,16 @@
 		crash(&x, fmt.Sprint("trial-", trials), seconds, "bad")
 		v := x.Verdict(at(seconds), key("bad"))
 		if v.For != want {
-			t.Errorf("after %d trials: held for %v, not %v", trials, v.For, want)
+			t.Errorf("after %d trials: held for %v, want %v", trials, v.For, want)
 		}
 		seconds += v.For.Seconds()
 		x.Hold(key("bad"), v.Crashes, trials+1, at(seconds).Add(quarantine.TrialTime))
 	}
 }
 
-// TestUnclearHold holds that a content which was beside another one at each of its crashes
-// is tried soon, once, and that one with three of its own is not.
-func TestUnclearHold(t *testing.T) {
+// TestAmbiguousHold checks that a content has one short hold if another content was in progress
+// at each of its crashes, and a full hold if it has three crashes of its own.
+func TestAmbiguousHold(t *testing.T) {
 	var x quarantine.Table
 	for n := range 3 {
 		crash(&x, fmt.Sprint("i-", n), 2*float64(n), "one", "other")
@@ -97,7 +97,7 @@
 	}
 	x.Succeeded(key("one"))
 	if v := x.Verdict(at(4), key("other")); !v.Held || v.For != time.Minute {
-		t.Errorf("the one that is left: %+v", v)
+		t.Errorf("after the other content succeeded: %+v", v)
 	}
 	for n, beside := range []string{"one", "one", "one", "one"} {
 		crash(&x, fmt.Sprint("j-", n), 10+2*float64(n), beside)
@@ -105,22 +105,22 @@
 	crash(&x, "trial", 20, "one", "other")
 	x.Hold(key("other"), 4, 1, at(20))
 	if v := x.Verdict(at(20), key("other")); v.For != 4*time.Minute {
-		t.Errorf("after a trial beside another one: %+v", v)
+		t.Errorf("after a trial with the other content in progress: %+v", v)
 	}
 }
 
-// TestHoldOutlastsTheFirstCrash holds that what others told is not lost when the first crash is
-// seen.
-func TestHoldOutlastsTheFirstCrash(t *testing.T) {
+// TestCrashKeepsReportedHold guards against a hold reported by another process that is lost when
+// this process records its first crash.
+func TestCrashKeepsReportedHold(t *testing.T) {
 	var x quarantine.Table
 	x.Hold(key("told"), 3, 0, at(60))
 	crash(&x, "i-1", 1, "another")
 	if !held(&x, 2, "told") {
-		t.Error("what others held is forgotten")
+		t.Error("the reported hold is lost")
 	}
 }
 
-func TestTrialIsDueWhenTheHoldIsOver(t *testing.T) {
+func TestTrialIsDueAfterHold(t *testing.T) {
 	var x quarantine.Table
 	for n := range 3 {
 		crash(&x, fmt.Sprint("i-", n), float64(n), "bad")
@@ -130,13 +130,13 @@
 	}
 	x.Hold(key("bad"), 3, 1, at(62).Add(quarantine.TrialTime))
 	if v := x.Verdict(at(63), key("bad")); !v.Held || v.For != 4*time.Second {
-		t.Errorf("while a trial is under way: %+v", v)
+		t.Errorf("during a trial: %+v", v)
 	}
 }
 
-// TestCrashesTogetherAreOne holds that a content which many ask for is not held since a rack
-// went down with all endpoints that ran it.
-func TestCrashesTogetherAreOne(t *testing.T) {
+// TestCorrelatedCrashesCountOnce guards against a popular content that is held after a rack failed
+// with all endpoints that ran it.
+func TestCorrelatedCrashesCountOnce(t *testing.T) {
 	var x quarantine.Table
 	for n := range 20 {
 		x.Crashed(fmt.Sprint("i-", n), at(10+float64(n)*0.04), 0, quarantine.Run{Content: key("popular"), Began: at(9)})
@@ -146,10 +146,10 @@
 	}
 }
 
-// TestToldAgainIsNoOtherCrash holds that crashes which came together count once also where each is
-// told again and again: what is told late seems to have happened later, and a run that had just
-// begun seemed to have begun after the crash before.
-func TestToldAgainIsNoOtherCrash(t *testing.T) {
+// TestRepeatedReportsCountOnce checks that crashes that happened together count once even if their
+// reports are repeated. A late report gives a later crash time; without a correction a run that
+// had just begun appears to have begun after the crash before.
+func TestRepeatedReportsCountOnce(t *testing.T) {
 	var x quarantine.Table
 	for _, delay := range []float64{0, 0.01, 0.05} {
 		for n := range 3 {
@@ -160,21 +160,22 @@
 		}
 	}
 	if v := x.Verdict(at(10.1), key("popular")); v.Crashes != 1 {
-		t.Errorf("three endpoints that crashed in the same moment: %+v", v)
+		t.Errorf("three endpoints that crashed at the same time: %+v", v)
 	}
 }
 
-// TestNoSuccessSince holds that a content under which endpoints crashed together is tried by one
-// request, if no run of it has succeeded within a second; and that it is free until then.
-func TestNoSuccessSince(t *testing.T) {
-	together := func(endpoints int) *quarantine.Table {
+// TestNoSuccessAfterCorrelatedCrashes checks that a content is tried with one request if endpoints
+// that ran it crashed together and no run of it has succeeded within a second. It is not held
+// until then.
+func TestNoSuccessAfterCorrelatedCrashes(t *testing.T) {
+	crashTogether := func(endpoints int) *quarantine.Table {
 		x := &quarantine.Table{}
 		for n := range endpoints {
 			x.Crashed(fmt.Sprint("i-", n), at(10+float64(n)*0.01), 0, quarantine.Run{Content: key("doubtful"), Began: at(9.9)})
 		}
 		return x
 	}
-	x := together(3)
+	x := crashTogether(3)
 	if held(x, 11, "doubtful") {
 		t.Error("held within a second")
 	}
@@ -183,25 +184,25 @@
 	}
 	x.Try(key("doubtful"), 1, at(11.02).Add(quarantine.TrialTime))
 	if v := x.Verdict(at(12.02), key("doubtful")); !v.Held || v.For != 4*time.Second {
-		t.Errorf("while it is tried: %+v", v)
+		t.Errorf("during the trial: %+v", v)
 	}
 	x.Crashed("trial", at(12.1), 0, quarantine.Run{Content: key("doubtful"), Began: at(12), Known: 3})
 	if v := x.Verdict(at(12.1), key("doubtful")); v.Doubtful || v.Crashes != 4 || v.For < time.Minute {
-		t.Errorf("after a trial that failed: %+v", v)
+		t.Errorf("after a failed trial: %+v", v)
 	}
-	if held(together(2), 60, "doubtful") {
+	if held(crashTogether(2), 60, "doubtful") {
 		t.Error("held after two crashes")
 	}
-	x = together(3)
+	x = crashTogether(3)
 	x.Succeeded(key("doubtful"))
 	if held(x, 60, "doubtful") {
-		t.Error("held though it has succeeded")
+		t.Error("held after a success")
 	}
 }
 
-// TestLongRunsCountOneByOne holds that a content which crashes its endpoints after seconds
-// is known by its third crash, though its runs began before the first.
-func TestLongRunsCountOneByOne(t *testing.T) {
+// TestLongRunsCountSeparately checks that a content is held after its third crash if the crashes
+// are more than a second apart, though its runs began before the first one.
+func TestLongRunsCountSeparately(t *testing.T) {
 	var x quarantine.Table
 	for n := range 3 {
 		x.Crashed(fmt.Sprint("i-", n), at(5+1.2*float64(n)), 0, quarantine.Run{Content: key("slow"), Began: at(float64(n) * 0.1)})
@@ -211,22 +212,22 @@
 	}
 }
 
-// TestBystanders holds for how long what ran beside others is kept from endpoints.
-func TestBystanders(t *testing.T) {
+// TestConcurrentContents checks the holds of contents that were in progress at the same crashes.
+func TestConcurrentContents(t *testing.T) {
 	const clear = time.Minute
-	unclear := func(content string) time.Duration { // the same wherever it is worked out
+	ambiguous := func(content string) time.Duration { // the same in every process
 		return time.Second + 2*time.Second*time.Duration(key(content)[0])/256
 	}
 	for _, c := range []struct {
 		name    string
-		crashes [][]string               // contents under way at one crash after the other
-		held    map[string]time.Duration // by content, since the last crash
+		crashes [][]string               // contents in progress at each crash
+		held    map[string]time.Duration // length of the hold from the last crash on, by content
 	}{
-		{"beside it twice", [][]string{{"bad", "a"}, {"bad", "a"}, {"bad"}}, map[string]time.Duration{"bad": clear, "a": 0}},
-		{"beside it each time", [][]string{{"bad", "a"}, {"bad", "a"}, {"bad", "a"}}, map[string]time.Duration{"bad": unclear("bad"), "a": unclear("a")}},
-		{"beside it each time, until it has three without", [][]string{{"bad", "a"}, {"bad", "a"}, {"bad", "a"}, {"bad"}, {"bad"}, {"bad"}}, map[string]time.Duration{"bad": clear, "a": 0}},
-		{"beside two of them", [][]string{{"bad", "a"}, {"worse", "a"}, {"bad"}, {"worse"}, {"bad"}, {"worse"}}, map[string]time.Duration{"a": 0, "worse": clear}},
-		{"many at each of three crashes", [][]string{{"a", "b", "c", "bad"}, {"d", "e", "f", "bad"}, {"g", "h", "i", "bad"}}, map[string]time.Duration{"bad": clear, "a": 0, "e": 0, "i": 0}},
+		{"in progress at two of three crashes", [][]string{{"bad", "a"}, {"bad", "a"}, {"bad"}}, map[string]time.Duration{"bad": clear, "a": 0}},
+		{"in progress at each crash", [][]string{{"bad", "a"}, {"bad", "a"}, {"bad", "a"}}, map[string]time.Duration{"bad": ambiguous("bad"), "a": ambiguous("a")}},
+		{"in progress at three crashes, then three crashes without it", [][]string{{"bad", "a"}, {"bad", "a"}, {"bad", "a"}, {"bad"}, {"bad"}, {"bad"}}, map[string]time.Duration{"bad": clear, "a": 0}},
+		{"in progress at crashes of two bad contents", [][]string{{"bad", "a"}, {"worse", "a"}, {"bad"}, {"worse"}, {"bad"}, {"worse"}}, map[string]time.Duration{"a": 0, "worse": clear}},
+		{"several others at each of three crashes", [][]string{{"a", "b", "c", "bad"}, {"d", "e", "f", "bad"}, {"g", "h", "i", "bad"}}, map[string]time.Duration{"bad": clear, "a": 0, "e": 0, "i": 0}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var x quarantine.Table
@@ -235,49 +236,50 @@
 			}
 			for content, want := range c.held {
 				if got := x.Verdict(at(float64(len(c.crashes)-1)), key(content)).For; got != want {
-					t.Errorf("%s: held for %v, not %v", content, got, want)
+					t.Errorf("%s: held for %v, want %v", content, got, want)
 				}
 			}
 		})
 	}
 }
 
-// TestSuccessClears holds that what succeeded is innocent of the crashes before, also where
-// these are told again or late.
+// TestSuccessClears checks that a success clears the crashes before it, even if they are reported
+// again or late.
 func TestSuccessClears(t *testing.T) {
 	var x quarantine.Table
-	tell := func() {
+	reportAll := func() {
 		for n := range 3 {
 			crash(&x, fmt.Sprint("i-", n), float64(n), "popular")
 		}
 	}
-	tell()
+	reportAll()
 	if !x.Succeeded(key("popular")) || held(&x, 3, "popular") || !x.Empty() {
 		t.Error("not cleared")
 	}
-	tell()
+	reportAll()
 	if held(&x, 3, "popular") || !x.Empty() {
-		t.Error("held by crashes that were told again")
+		t.Error("held after repeated reports of cleared crashes")
 	}
 	if x.Succeeded(key("popular")) {
-		t.Error("something was held against it")
+		t.Error("a second success clears something")
 	}
 	for n := range 3 {
 		crash(&x, fmt.Sprint("j-", n), 4+float64(n), "popular")
 	}
 	if !held(&x, 7, "popular") {
-		t.Error("not held by three crashes since")
+		t.Error("not held after three crashes since the success")
 	}
 }
 
-// TestSameCrashFromManyEntries holds that an endpoint crashes once, whoever tells of it.
+// TestSameCrashFromManyEntries checks that a crash counts once, whatever the number of entries
+// that report it.
 func TestSameCrashFromManyEntries(t *testing.T) {
 	var x quarantine.Table
 	for n := range 10 {
 		x.Crashed("i-1", at(1+float64(n)*0.01), uint64(n), quarantine.Run{Content: key("bad"), Began: at(0.9)})
 	}
 	if v := x.Verdict(at(2), key("bad")); v.Crashes != 1 {
-		t.Errorf("one endpoint crashed %d times", v.Crashes)
+		t.Errorf("one crash of an endpoint counts %d times", v.Crashes)
 	}
 }
 
@@ -288,33 +290,32 @@
 	x.Unanswered(at(5), "i-1", run("left"))
 	x.Unanswered(at(5), "i-2", run("elsewhere"))
 	if got := x.UnansweredAt(at(6)); len(got) != 2 {
-		t.Errorf("waiting at %v", got)
+		t.Errorf("runs without a response at %v", got)
 	}
 	got := x.TakeUnanswered(at(10), "i-1")
 	if len(got) != 1 || got[0].Content != key("left") {
-		t.Errorf("under way at the crash: %v", got)
+		t.Errorf("in progress at the crash: %v", got)
 	}
 	if again := x.TakeUnanswered(at(10), "i-1"); len(again) != 0 {
-		t.Errorf("under way at a second crash: %v", again)
+		t.Errorf("in progress at a second crash: %v", again)
 	}
 }
 
-func TestWhatIsOldIsForgotten(t *testing.T) {
+func TestExpire(t *testing.T) {
 	var x quarantine.Table
 	crash(&x, "i-1", 0, "bad")
 	x.Hold(key("told"), 3, 0, at(60))
 	x.Expire(at(7000))
 	if x.Empty() {
-		t.Error("forgotten within two hours")
+		t.Error("removed before two hours have passed")
 	}
 	x.Expire(at(7300))
 	if !x.Empty() {
-		t.Error("remembered after two hours")
+		t.Error("not removed after two hours")
 	}
 }
 
-// TestMemoryIsBounded lets far more endpoints crash, under far more contents, than are
-// remembered.
+// TestMemoryIsBounded records more crashes, with more contents each, than a table stores.
 func TestMemoryIsBounded(t *testing.T) {
 	const crashes, contents, maxCrashes, maxRuns = 300, 150, 256, 128
 	var x quarantine.Table
@@ -327,9 +328,9 @@
 	}
 	s := x.Snapshot(at(crashes), 1)
 	if len(s.Crashes) != maxCrashes || len(s.Crashes[0].Runs) != maxRuns {
-		t.Errorf("%d crashes of %d contents are remembered", len(s.Crashes), len(s.Crashes[0].Runs))
+		t.Errorf("%d crashes of %d contents are stored", len(s.Crashes), len(s.Crashes[0].Runs))
 	}
 	if known, held := x.Counts(at(crashes)); known != maxCrashes*maxRuns || held != 0 {
-		t.Errorf("%d contents are remembered, %d held", known, held)
+		t.Errorf("%d contents are stored, %d held", known, held)
 	}
 }
--- a/coord/quarantine/report.go
+++ b/coord/quarantine/report.go
@@ -7,37 +7,37 @@
 	"time"
 )
 
-// State is what is counted against one content, for operators.
+// State is the state of one content, for operators.
 type State struct {
 	Content   Key      `json:"content"`
-	Crashes   int      `json:"crashes"`           // that count against it
-	LastMS    int64    `json:"last_ms_ago"`       // since the last of these
-	Held      bool     `json:"held"`              // it is sent to no endpoint
-	ForMS     int64    `json:"held_for_ms"`       // until the next trial
-	Endpoints []string `json:"crashed_endpoints"` // at which it was under way
-	ToldBy    []uint64 `json:"told_by"`           // incarnations of the entries that saw these crashes, 0 for this one
+	Crashes   int      `json:"crashes"`           // counted against the content
+	LastMS    int64    `json:"last_ms_ago"`       // ms since the last of the crashes, 0 if none
+	Held      bool     `json:"held"`              // it is sent to no endpoint, except for a trial
+	ForMS     int64    `json:"held_for_ms"`       // ms until the next trial
+	Endpoints []string `json:"crashed_endpoints"` // endpoints of the crashes
+	ToldBy    []uint64 `json:"told_by"`           // incarnations of the entries that reported the crashes, 0 for this one
 }
 
-// maxStates bounds the contents that operators are shown.
+// maxStates bounds the contents that States returns.
 const maxStates = 100
 
-// Counts returns how many contents have something against them, and how many are held.
+// Counts returns the number of contents with crashes or a hold, and the number of held ones.
 func (t *Table) Counts(now time.Time) (known, held int) {
 	for k, c := range t.contents {
-		if (len(c.crashes) >= maxCrashes || c.toldCrashes > 0) && t.Verdict(now, k).Held {
+		if (len(c.crashes) >= maxCrashes || c.reportedCrashes > 0) && t.Verdict(now, k).Held {
 			held++
 		}
 	}
 	return len(t.contents), held
 }
 
-// States returns what is counted against contents, those with the most crashes first. Where
-// there are many, those that were under way at one crash only are left out: after a large
-// failure they are all that ran beside it.
+// States returns the states of contents, those with the most crashes first. If there are more
+// than maxStates, it omits contents with at most one counted crash: after a large failure these
+// include every content that was in progress.
 func (t *Table) States(now time.Time) []State {
 	all := []State{}
 	for k, c := range t.contents {
-		if len(t.contents) > maxStates && c.counted <= 1 && c.toldCrashes == 0 {
+		if len(t.contents) > maxStates && c.counted <= 1 && c.reportedCrashes == 0 {
 			continue
 		}
 		all = append(all, t.state(now, k, c))
@@ -48,7 +48,7 @@
 	return all[:min(len(all), maxStates)]
 }
 
-// State returns what is counted against one content.
+// State returns the state of one content.
 func (t *Table) State(now time.Time, k Key) State {
 	c := t.contents[k]
 	if c == nil {
@@ -70,65 +70,66 @@
 	return s
 }
 
-// Snapshot is what a table hands to that of a process which has just started, or some of it that
-// is news. The forms of it and of its parts are on the wire.
+// Snapshot is the transferable state of a table, for a process that has just started, or a part
+// of it, for one that lacks this part. It and its parts are encoded on the wire.
 type Snapshot struct {
 	Crashes []CrashReport `cbor:"1,keyasint,omitempty"`
 	Holds   []HoldReport  `cbor:"2,keyasint,omitempty"`
 	Cleared [][]byte      `cbor:"3,keyasint,omitempty"` // keys of contents that have succeeded since
 }
 
-// Empty tells whether it holds nothing.
+// Empty reports whether the snapshot has no crash, hold or cleared content.
 func (s Snapshot) Empty() bool { return len(s.Crashes)+len(s.Holds)+len(s.Cleared) == 0 }
 
-// CrashReport tells of a crash of an endpoint.
+// CrashReport is the report of a crash of an endpoint.
 type CrashReport struct {
 	_        struct{} `cbor:",toarray"`
 	Endpoint string
-	AgeMS    int64
-	From     uint64 // incarnation of the process that saw it
+	AgeMS    int64  // ms since the crash
+	From     uint64 // incarnation of the process that detected it
 	Runs     []RunReport
 }
 
-// RunReport tells of a run that was under way when its endpoint crashed.
+// RunReport is the report of a run in progress when its endpoint crashed.
 type RunReport struct {
 	_       struct{} `cbor:",toarray"`
-	Content []byte   // a key
-	RanMS   int64    // until the crash
-	Known   int      // crashes that counted against the content when it began
+	Content []byte   // key of the content
+	RanMS   int64    // ms from the start of the run to the crash
+	Known   int      // crashes that the sender counted against the content when the run began
 }
 
-// HoldReport tells of a content that is held.
+// HoldReport is the report of a held content.
 type HoldReport struct {
 	_       struct{} `cbor:",toarray"`
-	Content []byte   // a key
-	Crashes int
-	Trials  int
-	ForMS   int64 // until the next trial
+	Content []byte   // key of the content
+	Crashes int      // counted against the content
+	Trials  int      // since it is held
+	ForMS   int64    // ms until the next trial
 }
 
-// until returns when the next trial is, bounded, so that it does not overflow a time.
+// until returns the time of the next trial. ForMS is clamped to maxAgeMS to avoid an overflow.
 func (r HoldReport) until(now time.Time) time.Time {
 	return now.Add(time.Duration(max(min(r.ForMS, maxAgeMS), -maxAgeMS)) * time.Millisecond)
 }
 
-// ReportOf returns what is told of a run at an endpoint that crashed at a time.
+// ReportOf returns the report of a run at an endpoint that crashed at a time.
 func ReportOf(r Run, at time.Time) RunReport {
 	return RunReport{Content: r.Content[:], RanMS: at.Sub(r.Began).Milliseconds(), Known: r.Known}
 }
 
-// KeyFrom returns the key that a report holds; false if it holds none.
-func KeyFrom(told []byte) (Key, bool) {
-	if len(told) != keyBytes {
+// KeyFrom returns the key in a report. It returns false if its length is wrong.
+func KeyFrom(data []byte) (Key, bool) {
+	if len(data) != keyBytes {
 		return Key{}, false
 	}
-	return Key(told), true
+	return Key(data), true
 }
 
-// TakeCrash is Crashed for what another process told. What can't be right is left out.
+// TakeCrash applies another process's report of a crash like Crashed. It ignores invalid and
+// expired data.
 func (t *Table) TakeCrash(now time.Time, r CrashReport) []Key {
 	at := ago(now, r.AgeMS)
-	if r.AgeMS < 0 || now.Sub(at) >= keepFor {
+	if r.AgeMS < 0 || now.Sub(at) >= retention {
 		return nil
 	}
 	var runs []Run
@@ -143,7 +144,7 @@
 	return t.Crashed(r.Endpoint, at, r.From, runs...)
 }
 
-// TakeHold is Hold for what another process told. What can't be right is left out.
+// TakeHold applies another process's report of a hold like Hold. It ignores invalid reports.
 func (t *Table) TakeHold(now time.Time, r HoldReport) {
 	k, ok := KeyFrom(r.Content)
 	if ok && r.Crashes >= maxCrashes && r.ForMS <= maxHold.Milliseconds() {
@@ -151,7 +152,8 @@
 	}
 }
 
-// Snapshot returns what is counted against contents. self is the incarnation of this process.
+// Snapshot returns the state to transfer to another process. self is the incarnation of this
+// process.
 func (t *Table) Snapshot(now time.Time, self uint64) Snapshot {
 	var s Snapshot
 	for _, name := range t.order {
@@ -167,41 +169,41 @@
 		}
 	}
 	for k, c := range t.contents {
-		if crashes := max(c.toldCrashes, c.counted); crashes >= maxCrashes && !c.until.IsZero() {
+		if crashes := max(c.reportedCrashes, c.counted); crashes >= maxCrashes && !c.until.IsZero() {
 			s.Holds = append(s.Holds, HoldReport{Content: k[:], Crashes: crashes, Trials: c.trials, ForMS: c.until.Sub(now).Milliseconds()})
 		}
 	}
 	return s
 }
 
-// Learn takes in what another process told. It returns the contents that are held since by the
-// crashes in it, and what of it was news, to be told on: what is known already, and what can't be
-// right, is none, so that telling on comes to an end.
-func (t *Table) Learn(now time.Time, s Snapshot) (held []Key, news Snapshot) {
+// Learn merges a snapshot of another process. It returns the contents that are held as a result
+// of its crashes, and the part of the snapshot that was new, for forwarding. That part excludes
+// known and invalid data, so that forwarding between processes ends.
+func (t *Table) Learn(now time.Time, s Snapshot) (held []Key, added Snapshot) {
 	for _, r := range s.Crashes[:min(len(s.Crashes), maxKnownCrashes)] {
-		known := t.knowsCrash(r)
+		known := t.hasCrash(r)
 		held = append(held, t.TakeCrash(now, r)...)
-		if !known && t.knowsCrash(r) {
-			news.Crashes = append(news.Crashes, r)
+		if !known && t.hasCrash(r) {
+			added.Crashes = append(added.Crashes, r)
 		}
 	}
 	for _, h := range s.Holds[:min(len(s.Holds), maxKnownCrashes)] {
-		known := t.knowsHold(now, h)
+		known := t.hasHold(now, h)
 		t.TakeHold(now, h)
-		if !known && t.knowsHold(now, h) {
-			news.Holds = append(news.Holds, h)
+		if !known && t.hasHold(now, h) {
+			added.Holds = append(added.Holds, h)
 		}
 	}
-	for _, told := range s.Cleared[:min(len(s.Cleared), maxKnownCrashes)] {
-		if k, ok := KeyFrom(told); ok && t.Succeeded(k) {
-			news.Cleared = append(news.Cleared, told)
+	for _, data := range s.Cleared[:min(len(s.Cleared), maxKnownCrashes)] {
+		if k, ok := KeyFrom(data); ok && t.Succeeded(k) {
+			added.Cleared = append(added.Cleared, data)
 		}
 	}
-	return held, news
+	return held, added
 }
 
-// knowsCrash tells whether all runs of a crash that was told are known, counted or cleared.
-func (t *Table) knowsCrash(r CrashReport) bool {
+// hasCrash reports whether all runs of a reported crash are stored, counted or cleared.
+func (t *Table) hasCrash(r CrashReport) bool {
 	x := t.crashes[r.Endpoint]
 	if x == nil {
 		return false
@@ -216,21 +218,22 @@
 	return true
 }
 
-// sameHold is by how much the ends of two holds differ at the most that are one, told on
-// several ways. Above the time that a message takes, below TrialTime.
-const sameHold = time.Second
+// holdTolerance is the maximum difference between the ends of two reports of the same hold that
+// arrive on different paths. It is longer than the transit of a message and shorter than
+// TrialTime.
+const holdTolerance = time.Second
 
-// knowsHold tells whether a hold that was told ends when the known one does.
-func (t *Table) knowsHold(now time.Time, h HoldReport) bool {
+// hasHold reports whether a reported hold ends at the same time as the stored one.
+func (t *Table) hasHold(now time.Time, h HoldReport) bool {
 	k, ok := KeyFrom(h.Content)
 	c := t.contents[k]
-	return ok && c != nil && h.until(now).Sub(c.until).Abs() < sameHold
+	return ok && c != nil && h.until(now).Sub(c.until).Abs() < holdTolerance
 }
 
-// maxAgeMS bounds an age, so that it does not overflow a time. Above keepFor.
+// maxAgeMS bounds reported durations, in ms, to avoid an overflow. It exceeds retention.
 const maxAgeMS = int64(24 * time.Hour / time.Millisecond)
 
-// ago returns the time so many ms before.
+// ago returns the time ms milliseconds before now. ms is clamped to maxAgeMS.
 func ago(now time.Time, ms int64) time.Time {
 	return now.Add(-time.Duration(max(min(ms, maxAgeMS), -maxAgeMS)) * time.Millisecond)
 }
--- a/coord/quarantine/report_test.go
+++ b/coord/quarantine/report_test.go
@@ -27,65 +27,65 @@
 	}
 	for _, s := range to.States(at(10)) {
 		if s.Content == key("bad") && !slices.Equal(s.ToldBy, []uint64{7, 7, 7}) {
-			t.Errorf("the crashes were seen by %v", s.ToldBy)
+			t.Errorf("the crashes were reported by %v", s.ToldBy)
 		}
 	}
 }
 
-// TestRetriesAreToldInMilliseconds lets an entry send a content again within a ms of a crash,
-// and tells others of it in ms, over datagrams that take from 1 to 40: they count as it does.
-// By times alone they counted two crashes in place of three.
-func TestRetriesAreToldInMilliseconds(t *testing.T) {
+// TestRetriesWithMillisecondReports checks that all entries count the same crashes if an entry
+// retries within 1 ms of a crash. The reports have a resolution of 1 ms and take 1 to 40 ms to
+// arrive; by their times alone the others would count two crashes instead of three.
+func TestRetriesWithMillisecondReports(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var own, other quarantine.Table
 		now := start
 		for n := range 3 {
 			began := now.Add(time.Duration(rapid.IntRange(50, 900).Draw(t, "us after the crash")) * time.Microsecond)
-			now = began.Add(time.Duration(rapid.IntRange(20, 200).Draw(t, "ms that it runs")) * time.Millisecond)
+			now = began.Add(time.Duration(rapid.IntRange(20, 200).Draw(t, "ms from start to crash")) * time.Millisecond)
 			r := quarantine.Run{Content: key("bad"), Began: began, Known: own.Verdict(began, key("bad")).Crashes}
 			own.Crashed(fmt.Sprint("i-", n), now, 0, r)
-			way := time.Duration(rapid.IntRange(1, 40).Draw(t, "ms on the way")) * time.Millisecond
-			other.TakeCrash(now.Add(way), quarantine.CrashReport{
+			transit := time.Duration(rapid.IntRange(1, 40).Draw(t, "ms of transit")) * time.Millisecond
+			other.TakeCrash(now.Add(transit), quarantine.CrashReport{
 				Endpoint: fmt.Sprint("i-", n), Runs: []quarantine.RunReport{quarantine.ReportOf(r, now)},
 			})
 		}
-		var started quarantine.Table
-		started.Learn(now, own.Snapshot(now, 1))
-		for name, x := range map[string]*quarantine.Table{"seen": &own, "told": &other, "handed on": &started} {
+		var fromSnapshot quarantine.Table
+		fromSnapshot.Learn(now, own.Snapshot(now, 1))
+		for name, x := range map[string]*quarantine.Table{"own": &own, "other": &other, "snapshot": &fromSnapshot} {
 			if n := x.Verdict(now, key("bad")).Crashes; n != 3 {
-				t.Errorf("%s: %d crashes count", name, n)
+				t.Errorf("%s: %d crashes are counted", name, n)
 			}
 		}
 	})
 }
 
-// TestOrderOfReportsDoesNotMatter tells crashes in any order, and some again: all tables come
-// to the same verdicts, as entries do that hear of them over different ways.
+// TestOrderOfReportsDoesNotMatter checks that tables return the same verdicts whatever the order of
+// the reports, and if some are repeated. Reports reach entries on different paths.
 func TestOrderOfReportsDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		type told struct {
+		type crashReport struct {
 			endpoint int
 			content  int
 		}
 		const endpoints = 8
-		reports := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) told {
-			return told{rapid.IntRange(0, endpoints-1).Draw(t, "endpoint"), rapid.IntRange(0, 4).Draw(t, "content")}
+		reports := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) crashReport {
+			return crashReport{rapid.IntRange(0, endpoints-1).Draw(t, "endpoint"), rapid.IntRange(0, 4).Draw(t, "content")}
 		}), 1, 40).Draw(t, "reports")
 		gaps := rapid.SliceOfN(rapid.IntRange(1, 3000), endpoints, endpoints).Draw(t, "gaps")
 		crashed := make([]float64, endpoints)
 		for n := 1; n < endpoints; n++ {
 			crashed[n] = crashed[n-1] + float64(gaps[n])/1000
 		}
-		tell := func(all []told) *quarantine.Table {
+		apply := func(all []crashReport) *quarantine.Table {
 			var x quarantine.Table
 			for _, r := range all {
 				crash(&x, fmt.Sprint("i-", r.endpoint), crashed[r.endpoint], fmt.Sprint(r.content))
 			}
 			return &x
 		}
-		first := tell(reports)
+		first := apply(reports)
 		again := append(rapid.Permutation(reports).Draw(t, "order"), reports[:len(reports)/2]...)
-		second := tell(again)
+		second := apply(again)
 		now := crashed[endpoints-1]
 		for c := range 5 {
 			if a, b := first.Verdict(at(now), key(fmt.Sprint(c))), second.Verdict(at(now), key(fmt.Sprint(c))); a != b {
@@ -95,50 +95,50 @@
 	})
 }
 
-// TestNewsIsToldOnce holds that a table tells on what it did not know, and nothing else: processes
-// that tell each other of news would never come to an end.
-func TestNewsIsToldOnce(t *testing.T) {
+// TestLearnReturnsNewDataOnce checks that Learn returns exactly the data that was new. Otherwise
+// processes would forward the same data to each other without end.
+func TestLearnReturnsNewDataOnce(t *testing.T) {
 	var from, to quarantine.Table
 	crash(&from, "i-1", 1, "bad")
 	from.Hold(key("told"), 3, 1, at(100))
-	told := from.Snapshot(at(2), 7)
-	if _, news := to.Learn(at(2), told); len(news.Crashes) != 1 || len(news.Holds) != 1 {
-		t.Errorf("news: %+v", news)
+	snapshot := from.Snapshot(at(2), 7)
+	if _, added := to.Learn(at(2), snapshot); len(added.Crashes) != 1 || len(added.Holds) != 1 {
+		t.Errorf("new data: %+v", added)
 	}
-	if _, news := to.Learn(at(2.1), told); !news.Empty() {
-		t.Errorf("news again: %+v", news)
+	if _, added := to.Learn(at(2.1), snapshot); !added.Empty() {
+		t.Errorf("known data returned as new: %+v", added)
 	}
 	crash(&from, "i-1", 1, "beside")
-	if _, news := to.Learn(at(3), from.Snapshot(at(3), 7)); len(news.Crashes) != 1 {
-		t.Errorf("another run at a known crash: %+v", news)
+	if _, added := to.Learn(at(3), from.Snapshot(at(3), 7)); len(added.Crashes) != 1 {
+		t.Errorf("new run at a known crash: %+v", added)
 	}
 	k := key("bad")
 	cleared := quarantine.Snapshot{Cleared: [][]byte{k[:], []byte("no key")}}
-	if _, news := to.Learn(at(4), cleared); len(news.Cleared) != 1 {
-		t.Errorf("a content is cleared: %+v", news)
+	if _, added := to.Learn(at(4), cleared); len(added.Cleared) != 1 {
+		t.Errorf("cleared content: %+v", added)
 	}
-	if _, news := to.Learn(at(4), cleared); !news.Empty() {
-		t.Errorf("a content is cleared again: %+v", news)
+	if _, added := to.Learn(at(4), cleared); !added.Empty() {
+		t.Errorf("content cleared again: %+v", added)
 	}
-	if _, news := to.Learn(at(5), from.Snapshot(at(5), 7)); len(news.Crashes) != 0 || held(&to, 5, "bad") {
-		t.Errorf("what was cleared is told again: %+v", news)
+	if _, added := to.Learn(at(5), from.Snapshot(at(5), 7)); len(added.Crashes) != 0 || held(&to, 5, "bad") {
+		t.Errorf("crashes of a cleared content returned as new: %+v", added)
 	}
 }
 
-// FuzzReports takes in reports that no sound process sends.
+// FuzzReports merges invalid reports.
 func FuzzReports(f *testing.F) {
 	f.Add([]byte("0123456789abcdef"), int64(5), int64(-5), 3)
 	f.Add([]byte("short"), int64(1<<62), int64(1<<62), -1)
 	f.Add([]byte(nil), int64(-1<<63), int64(-1<<63), 1<<30)
 	f.Fuzz(func(t *testing.T, content []byte, age, ran int64, crashes int) {
 		var x quarantine.Table
-		told := quarantine.Snapshot{
+		snapshot := quarantine.Snapshot{
 			Crashes: []quarantine.CrashReport{{Endpoint: "i-1", AgeMS: age, Runs: []quarantine.RunReport{{Content: content, RanMS: ran}}}},
 			Holds:   []quarantine.HoldReport{{Content: content, Crashes: crashes, ForMS: age}},
 		}
-		x.Learn(at(0), told)
-		if _, again := x.Learn(at(0), told); !again.Empty() {
-			t.Errorf("what was told before is news: %+v", again)
+		x.Learn(at(0), snapshot)
+		if _, again := x.Learn(at(0), snapshot); !again.Empty() {
+			t.Errorf("known data returned as new: %+v", again)
 		}
 		for _, s := range x.States(at(0)) {
 			if s.ForMS > time.Hour.Milliseconds() || s.ForMS < 0 {
--- a/coord/quarantine/table.go
+++ b/coord/quarantine/table.go
@@ -6,70 +6,70 @@
 )
 
 const (
-	// maxKnownCrashes bounds the crashes that are remembered, the oldest go first. Of a fleet
-	// that loses 17 endpoints a day, two weeks'.
+	// maxKnownCrashes bounds the stored crashes; the oldest are removed first. A fleet that loses
+	// 17 endpoints a day has as many in two weeks.
 	maxKnownCrashes = 256
-	// maxRuns bounds the runs that are remembered of one crash. Above the 48 to 64 requests
-	// that an engine runs at once and those that it lets wait. TestMemoryIsBounded holds both:
-	// 32,768 contents, 9.6 MB (BenchmarkFullTable).
+	// maxRuns bounds the stored runs of one crash. It is above the 48 to 64 requests that an
+	// engine runs concurrently plus those that it queues. Both bounds together allow
+	// 32,768 contents, 9.6 MB (TestMemoryIsBounded, BenchmarkFullTable).
 	maxRuns = 128
-	// keepFor is how long a crash counts. Beyond maxHold, so that what crashes an endpoint at
-	// each trial is not forgotten between two of them.
-	keepFor = 2 * maxHold
-	// maxUnanswered bounds the runs without an answer that are remembered.
+	// retention is how long a crash counts. It is longer than maxHold, so that the crashes of a
+	// content that crashes an endpoint at each trial still count at the next one.
+	retention = 2 * maxHold
+	// maxUnanswered bounds the stored runs without a response.
 	maxUnanswered = 1024
-	// unansweredFor is how long a run that brought no answer, or whose caller left, may still
-	// turn out to have been under way when its endpoint crashed. Until an endpoint that starts
-	// again has told of it.
-	unansweredFor = 8 * time.Second
+	// unansweredRetention is how long a run without a response, or one whose caller
+	// disconnected, may still turn out to have been in progress at a crash of its endpoint. A
+	// restarted endpoint has reported the crash within this time.
+	unansweredRetention = 8 * time.Second
 )
 
-// Table is what one process knows of contents and crashes. The zero value knows nothing. It
+// Table is the state that one process has of contents and crashes. The zero value is empty. It
 // is not safe for concurrent use.
 type Table struct {
 	crashes    map[string]*crash // by endpoint
-	order      []string          // of crashes, as they were told
+	order      []string          // keys of crashes, in the order of their first reports
 	contents   map[Key]*content
-	unanswered []unanswered // the oldest first
+	unanswered []unanswered // oldest first
 }
 
 // crash is one crash of an endpoint.
 type crash struct {
 	endpoint string
 	at       time.Time
-	from     uint64 // incarnation of the process that told of it first, 0 for this one
+	from     uint64 // incarnation of the process that reported it first, 0 for this one
 	runs     map[Key]run
 }
 
-// run is what is known of a content at a crash.
+// run combines the runs of a content in progress at a crash.
 type run struct {
-	began   time.Time // of the last one, if the content was under way several times
-	known   int       // crashes that counted when one began, the most if there were several
+	began   time.Time // latest start, if the content had several runs
+	known   int       // highest Known of the runs
 	cleared bool      // the content has succeeded since
 }
 
-// content is a content against which something is counted.
+// content is the state of a content with crashes or a hold.
 type content struct {
-	key         Key
-	crashes     []*crash  // by time, cleared ones left out
-	counted     int       // how many of them count
-	toldCrashes int       // that others counted, and wrote down or told
-	trials      int       // of it since it is held
-	until       time.Time // held until then, by others' word or since a trial is under way
+	key             Key
+	crashes         []*crash  // by time, without cleared ones
+	counted         int       // number of crashes that count
+	reportedCrashes int       // crashes counted by other processes, as stored or reported by them
+	trials          int       // since it is held
+	until           time.Time // end of a hold reported by another process, or of a trial
 }
 
-// unanswered is a run that brought no answer.
+// unanswered is a run without a response.
 type unanswered struct {
 	Run
 	endpoint string
-	left     time.Time
+	endedAt  time.Time
 }
 
-// Empty tells whether nothing is counted against any content.
+// Empty reports whether there is no crash or hold of any content.
 func (t *Table) Empty() bool { return len(t.contents) == 0 }
 
-// Crashed takes in that an endpoint crashed at a time with runs under way, as this process saw
-// (from 0) or another one told. It returns the contents that are held since.
+// Crashed records a crash of an endpoint with runs in progress. from is the incarnation of the
+// process that reported it, 0 for this one. It returns the contents that are held as a result.
 func (t *Table) Crashed(endpoint string, at time.Time, from uint64, runs ...Run) []Key {
 	x := t.crashes[endpoint]
 	if x == nil {
@@ -77,9 +77,9 @@
 	}
 	var held []Key
 	for _, r := range runs {
-		r.Began = r.Began.Add(x.at.Sub(at)) // a crash that is told again is told later, not its runs begun later
+		r.Began = r.Began.Add(x.at.Sub(at)) // a repeated report has a later crash time, so its runs are shifted by the difference
 		before := t.Verdict(at, r.Content).Held
-		t.blame(x, r)
+		t.addRun(x, r)
 		if !before && t.Verdict(at, r.Content).Held {
 			held = append(held, r.Content)
 		}
@@ -87,13 +87,13 @@
 	return held
 }
 
-// addCrash remembers a crash.
+// addCrash stores a crash.
 func (t *Table) addCrash(endpoint string, at time.Time, from uint64) *crash {
 	if t.crashes == nil {
 		t.crashes = map[string]*crash{}
 	}
 	if len(t.order) >= maxKnownCrashes {
-		t.forgetCrash(t.order[0])
+		t.removeCrash(t.order[0])
 	}
 	x := &crash{endpoint: endpoint, at: at, from: from, runs: map[Key]run{}}
 	t.crashes[endpoint] = x
@@ -101,9 +101,9 @@
 	return x
 }
 
-// blame counts a crash against a content, unless it does already or the content has succeeded
-// since.
-func (t *Table) blame(x *crash, r Run) {
+// addRun counts a crash against the content of a run, unless it is counted already or the content
+// has succeeded since.
+func (t *Table) addRun(x *crash, r Run) {
 	former, ok := x.runs[r.Content]
 	switch {
 	case !ok && len(x.runs) >= maxRuns:
@@ -120,10 +120,10 @@
 		at, _ := slices.BinarySearchFunc(c.crashes, x.at, func(x *crash, t time.Time) int { return x.at.Compare(t) })
 		c.crashes = slices.Insert(c.crashes, at, x)
 	}
-	c.count()
+	c.recount()
 }
 
-// content returns that of a key.
+// content returns the state of a content. It creates the state if there is none.
 func (t *Table) content(k Key) *content {
 	if t.contents == nil {
 		t.contents = map[Key]*content{}
@@ -136,8 +136,8 @@
 	return c
 }
 
-// Succeeded takes in that a run of a content succeeded, and clears it. It returns whether
-// anything was held against it.
+// Succeeded records a successful run of a content, and clears its crashes and hold. It reports
+// whether there were any.
 func (t *Table) Succeeded(k Key) bool {
 	c := t.contents[k]
 	if c == nil {
@@ -150,47 +150,46 @@
 	return true
 }
 
-// Hold takes in that a content is held, after so many crashes and trials, until a time: the last
-// word counts.
+// Hold records that another process holds a content until a time, after so many crashes and
+// trials. The last call sets the end and the trials.
 func (t *Table) Hold(k Key, crashes, trials int, until time.Time) {
 	c := t.content(k)
-	c.toldCrashes = max(c.toldCrashes, crashes)
+	c.reportedCrashes = max(c.reportedCrashes, crashes)
 	c.trials = trials
 	c.until = until
 }
 
-// Try takes in that a content which is held is being tried, for the so-many-th time, until a
-// time at which another trial may begin.
+// Try records a trial of a held content. trials is the number of its trials, this one included;
+// another trial may start at the time until.
 func (t *Table) Try(k Key, trials int, until time.Time) {
 	c := t.content(k)
 	c.trials = trials
 	c.until = until
 }
 
-// Unanswered takes in that a run brought no answer, or that its caller left: should the
-// endpoint turn out to have crashed, the run was under way there.
+// Unanswered records a run that ended without a response, or whose caller disconnected. If the
+// endpoint turns out to have crashed, the run was in progress there.
 func (t *Table) Unanswered(now time.Time, endpoint string, r Run) {
-	t.unanswered = t.unanswered[t.lapsed(now):]
+	t.unanswered = t.unanswered[t.expired(now):]
 	if len(t.unanswered) >= maxUnanswered {
 		t.unanswered = t.unanswered[1:]
 	}
 	t.unanswered = append(t.unanswered, unanswered{r, endpoint, now})
 }
 
-// lapsed returns how many of the runs without an answer are too old to count.
-func (t *Table) lapsed(now time.Time) int {
+// expired returns the number of runs without a response that are too old to count.
+func (t *Table) expired(now time.Time) int {
 	n := 0
-	for n < len(t.unanswered) && now.Sub(t.unanswered[n].left) >= unansweredFor {
+	for n < len(t.unanswered) && now.Sub(t.unanswered[n].endedAt) >= unansweredRetention {
 		n++
 	}
 	return n
 }
 
-// TakeUnanswered returns the runs at an endpoint that brought no answer lately, and
-// forgets them.
+// TakeUnanswered removes and returns the recent runs without a response at an endpoint.
 func (t *Table) TakeUnanswered(now time.Time, endpoint string) []Run {
 	var runs []Run
-	t.unanswered = slices.DeleteFunc(t.unanswered[t.lapsed(now):], func(u unanswered) bool {
+	t.unanswered = slices.DeleteFunc(t.unanswered[t.expired(now):], func(u unanswered) bool {
 		if u.endpoint != endpoint {
 			return false
 		}
@@ -200,10 +199,10 @@
 	return runs
 }
 
-// UnansweredAt returns the endpoints at which runs brought no answer lately.
+// UnansweredAt returns the endpoints with recent runs without a response.
 func (t *Table) UnansweredAt(now time.Time) []string {
 	var all []string
-	for _, u := range t.unanswered[t.lapsed(now):] {
+	for _, u := range t.unanswered[t.expired(now):] {
 		if !slices.Contains(all, u.endpoint) {
 			all = append(all, u.endpoint)
 		}
@@ -211,31 +210,31 @@
 	return all
 }
 
-// Expire forgets what is too old to count.
+// Expire removes crashes and holds that are too old to count.
 func (t *Table) Expire(now time.Time) {
-	for len(t.order) > 0 && now.Sub(t.crashes[t.order[0]].at) >= keepFor {
-		t.forgetCrash(t.order[0])
+	for len(t.order) > 0 && now.Sub(t.crashes[t.order[0]].at) >= retention {
+		t.removeCrash(t.order[0])
 	}
 	for k, c := range t.contents {
-		if len(c.crashes) == 0 && now.Sub(c.until) >= keepFor {
+		if len(c.crashes) == 0 && now.Sub(c.until) >= retention {
 			delete(t.contents, k)
 		}
 	}
 }
 
-// forgetCrash forgets the crash that was told first.
-func (t *Table) forgetCrash(endpoint string) {
-	gone := t.crashes[endpoint]
+// removeCrash removes a crash, which has to be the first in order.
+func (t *Table) removeCrash(endpoint string) {
+	removed := t.crashes[endpoint]
 	delete(t.crashes, endpoint)
 	t.order = t.order[1:]
-	for k := range gone.runs {
+	for k := range removed.runs {
 		c := t.contents[k]
 		if c == nil {
 			continue
 		}
-		c.crashes = slices.DeleteFunc(c.crashes, func(x *crash) bool { return x == gone })
-		c.count()
-		if len(c.crashes) == 0 && c.toldCrashes == 0 {
+		c.crashes = slices.DeleteFunc(c.crashes, func(x *crash) bool { return x == removed })
+		c.recount()
+		if len(c.crashes) == 0 && c.reportedCrashes == 0 {
 			delete(t.contents, k)
 		}
 	}
