--- a/coord/budget/budget_test.go
+++ b/coord/budget/budget_test.go
@@ -25,8 +25,8 @@
 	// Output: 4 of 20 retries
 }
 
-// TestSumStaysBelow lets several entries retry whatever they may, some of them
-// started anew, and counts over every window.
+// TestSumStaysBelow checks that the retries of all entries stay within the rules in every window
+// if each entry retries as often as allowed and one of them restarts.
 func TestSumStaysBelow(t *testing.T) {
 	rules := budget.Rules{Ratio: 0.2, Window: 10 * time.Second, Slack: 50}
 	rapid.Check(t, func(r *rapid.T) {
--- a/coord/health/example_test.go
+++ b/coord/health/example_test.go
@@ -7,7 +7,7 @@
 	"foxcross.dev/coord/health"
 )
 
-// An endpoint is ejected after three failures in a row, and tried with one request
+// An endpoint is ejected after three consecutive failures, and probed with one request
 // after a second.
 func ExampleCircuit() {
 	var c health.Circuit
--- a/coord/health/health.go
+++ b/coord/health/health.go
@@ -1,5 +1,5 @@
-// Package health decides when an endpoint or an agent gets no new work because
-// it fails, and when it may try again.
+// Package health implements a circuit breaker for an endpoint or an agent: it decides when one
+// receives no new requests because it fails, and when it is probed again.
 package health
 
 import (
@@ -9,96 +9,97 @@
 	"github.com/qmuntal/stateless"
 )
 
-// State is how much an endpoint is trusted.
+// State is the state of a circuit.
 type State string
 
 // The states.
 const (
 	Healthy State = "healthy"
-	Suspect State = "suspect" // failed lately, still used
-	Ejected State = "ejected" // gets nothing for a time
-	Probing State = "probing" // gets one piece of work to show itself
+	Suspect State = "suspect" // failed recently, still receives requests
+	Ejected State = "ejected" // receives no requests for a time
+	Probing State = "probing" // receives one request at a time as a probe
 )
 
 type trigger string
 
 const (
-	succeeded trigger = "succeeded"
-	failed    trigger = "failed"
-	waited    trigger = "waited"
+	succeeded   trigger = "succeeded"
+	failed      trigger = "failed"
+	waitElapsed trigger = "waited"
 )
 
 const (
-	// ejectAfter is after how many failures in a row an endpoint is ejected.
+	// ejectAfter is the number of consecutive failures after which an endpoint is ejected.
 	ejectAfter = 3
-	// firstWait is how long the first ejection lasts; each further one in a row lasts twice as
-	// long.
-	firstWait = time.Second
-	// maxWait bounds an ejection.
-	maxWait = 30 * time.Second
-	// maxShift is how often the wait is doubled: firstWait << maxShift is about maxWait.
-	maxShift = 5
+	// firstEjection is the length of the first ejection. Each further one without a success in
+	// between is twice as long.
+	firstEjection = time.Second
+	// maxEjection is the maximum length of an ejection.
+	maxEjection = 30 * time.Second
+	// maxDoublings is the maximum number of doublings: firstEjection << maxDoublings is about
+	// maxEjection.
+	maxDoublings = 5
 )
 
-// Circuit is the health of one endpoint. The zero value is healthy.
+// Circuit is the circuit breaker of one endpoint. The zero value is healthy.
 type Circuit struct {
 	state    State
-	failures int // in a row
-	ejected  int // in a row, without a success between
-	until    time.Time
+	failures int       // consecutive failures
+	ejected  int       // ejections without a success in between
+	until    time.Time // end of the last ejection
 }
 
-// machine is shared by all circuits: the state is read from and written to the
-// circuit in the context.
+// machine is the state machine of all circuits. It reads and writes the state of the circuit in
+// the context.
 var machine = configure()
 
-type circuitKey struct{}
+type transitionKey struct{}
 
-type change struct {
-	circuit *Circuit
-	now     time.Time
-	mayGo   bool // the bound on ejected endpoints leaves room
+type transition struct {
+	circuit  *Circuit
+	now      time.Time
+	mayEject bool // the bound on ejected endpoints allows one more
 }
 
 func configure() *stateless.StateMachine {
 	m := stateless.NewStateMachineWithExternalStorage(
-		func(ctx context.Context) (stateless.State, error) { return changeOf(ctx).circuit.State(), nil },
+		func(ctx context.Context) (stateless.State, error) { return transitionOf(ctx).circuit.State(), nil },
 		func(ctx context.Context, s stateless.State) error {
-			changeOf(ctx).circuit.state = s.(State)
+			transitionOf(ctx).circuit.state = s.(State)
 			return nil
 		},
 		stateless.FiringImmediate,
 	)
-	m.Configure(Healthy).PermitReentry(succeeded).Permit(failed, Suspect).Ignore(waited)
+	m.Configure(Healthy).PermitReentry(succeeded).Permit(failed, Suspect).Ignore(waitElapsed)
 	m.Configure(Suspect).
 		Permit(succeeded, Healthy).
 		Permit(failed, Ejected, shouldEject).
-		PermitReentry(failed, stays).
-		Ignore(waited)
+		PermitReentry(failed, staysSuspect).
+		Ignore(waitElapsed)
 	m.Configure(Ejected).
-		OnEntry(startWait).
+		OnEntry(startEjection).
 		Ignore(succeeded).
 		Ignore(failed).
-		Permit(waited, Probing)
+		Permit(waitElapsed, Probing)
 	m.Configure(Probing).
 		Permit(succeeded, Healthy).
 		Permit(failed, Ejected).
-		Ignore(waited)
+		Ignore(waitElapsed)
 	return m
 }
 
-func changeOf(ctx context.Context) change { return ctx.Value(circuitKey{}).(change) }
+func transitionOf(ctx context.Context) transition { return ctx.Value(transitionKey{}).(transition) }
 
 func shouldEject(ctx context.Context, _ ...any) bool {
-	c := changeOf(ctx)
-	return c.circuit.failures >= ejectAfter && c.mayGo
+	c := transitionOf(ctx)
+	return c.circuit.failures >= ejectAfter && c.mayEject
 }
 
-func stays(ctx context.Context, args ...any) bool { return !shouldEject(ctx, args...) }
+func staysSuspect(ctx context.Context, args ...any) bool { return !shouldEject(ctx, args...) }
 
-func startWait(ctx context.Context, _ ...any) error {
-	c := changeOf(ctx)
-	wait := min(maxWait, firstWait<<min(c.circuit.ejected, maxShift))
+func startEjection(ctx context.Context, _ ...any) error {
+	c := transitionOf(ctx)
+	wait := min(maxEjection, firstEjection<<min(c.circuit.ejected, maxDoublings))
 	c.circuit.ejected++
 	c.circuit.until = c.now.Add(wait)
 	return nil
@@ -112,29 +113,30 @@
 	return c.state
 }
 
-// Succeeded takes in work that ended well.
+// Succeeded records a successful request.
 func (c *Circuit) Succeeded(now time.Time) {
 	if c.state == "" || c.state == Healthy {
 		return
 	}
 	c.failures = 0
-	c.fire(succeeded, change{circuit: c, now: now})
+	c.fire(succeeded, transition{circuit: c, now: now})
 	if c.state == Healthy {
 		c.ejected = 0
 	}
 }
 
-// Failed takes in work that failed. The endpoint is ejected only if mayEject is
-// set: the caller bounds the share that may be out at once.
+// Failed records a failed request. The endpoint is ejected only if mayEject is set, so that the
+// caller can bound the fraction of ejected endpoints.
 func (c *Circuit) Failed(now time.Time, mayEject bool) {
 	c.failures++
-	c.fire(failed, change{circuit: c, now: now, mayGo: mayEject})
+	c.fire(failed, transition{circuit: c, now: now, mayEject: mayEject})
 }
 
-// Allows tells whether the endpoint may get work now, given how much it runs.
+// Allows reports whether the endpoint may receive a request. running is the number of its
+// requests in progress.
 func (c *Circuit) Allows(now time.Time, running int) bool {
 	if c.state == Ejected && !now.Before(c.until) {
-		c.fire(waited, change{circuit: c, now: now})
+		c.fire(waitElapsed, transition{circuit: c, now: now})
 	}
 	switch c.state {
 	case Ejected:
@@ -146,16 +148,16 @@
 	}
 }
 
-// Until returns when an ejected endpoint may be tried again.
+// Until returns when an ejected endpoint may be probed.
 func (c *Circuit) Until() time.Time { return c.until }
 
-func (c *Circuit) fire(t trigger, ch change) {
-	ctx := context.WithValue(context.Background(), circuitKey{}, ch)
+func (c *Circuit) fire(t trigger, tr transition) {
+	ctx := context.WithValue(context.Background(), transitionKey{}, tr)
 	if err := machine.FireCtx(ctx, t); err != nil {
 		panic("health: " + err.Error()) // every state handles every trigger
 	}
 }
 
-// MayEject tells whether one more of so many may be ejected: never more than
-// half, and never the last.
+// MayEject reports whether one more of all endpoints may be ejected: at most half of them, and
+// never the only one.
 func MayEject(ejected, all int) bool { return 2*(ejected+1) <= all }
--- a/coord/health/health_test.go
+++ b/coord/health/health_test.go
@@ -12,7 +12,7 @@
 var _ = Describe("Circuit", func() {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-	It("ejects after failures in a row, then probes with one piece of work", func() {
+	It("ejects after consecutive failures, then probes with one request", func() {
 		var c health.Circuit
 		for range 3 {
 			Expect(c.Allows(now, 0)).To(BeTrue())
@@ -27,7 +27,7 @@
 		Expect(c.State()).To(Equal(health.Healthy))
 	})
 
-	It("waits longer each time it fails again", func() {
+	It("extends the ejection after each failed probe", func() {
 		var c health.Circuit
 		for range 3 {
 			c.Failed(now, true)
@@ -39,7 +39,7 @@
 		Expect(c.Until().Sub(later)).To(BeNumerically(">", first))
 	})
 
-	It("does not eject beyond the bound", func() {
+	It("does not eject more than the bound allows", func() {
 		var c health.Circuit
 		for range 10 {
 			c.Failed(now, false)
--- a/coord/limit/example_test.go
+++ b/coord/limit/example_test.go
@@ -7,8 +7,8 @@
 	"foxcross.dev/coord/limit"
 )
 
-// Tokens take 10 ms and 1 ms more for each request that runs; a looser target allows
-// more of them.
+// A token takes 10 ms, plus 1 ms for each concurrent request. A longer target allows more
+// requests.
 func ExampleLearned() {
 	var l limit.Learned
 	for n := range 200 {
@@ -19,18 +19,18 @@
 	// Output: true
 }
 
-// Two entries share a team's ten requests a second.
+// Two entries share a team's limit of 10 requests per second.
 func ExampleTeams() {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	var t limit.Teams
 	share := limit.Allowance{Rate: 10}.Share(2)
-	taken := 0
+	acquired := 0
 	for range 10 {
 		if ok, _ := t.Acquire(now, "gent", share); ok {
-			taken++
+			acquired++
 		}
 	}
 	_, retry := t.Acquire(now, "gent", share)
-	fmt.Println(taken, retry)
+	fmt.Println(acquired, retry)
 	// Output: 5 200ms
 }
--- a/coord/limit/learned.go
+++ b/coord/limit/learned.go
@@ -1,5 +1,5 @@
-// Package limit holds the limits on concurrent work: those learned from what
-// an endpoint is seen to do, and those an operator sets for a team.
+// Package limit implements limits on concurrent requests: those estimated from the measured
+// latency of an endpoint, and those that an operator sets for a team.
 package limit
 
 import (
@@ -8,86 +8,85 @@
 )
 
 const (
-	// FirstLimit is the limit of an endpoint of which nothing is known.
+	// FirstLimit is the limit of an endpoint with too few samples.
 	FirstLimit = 4
-	// MaxLimit is never exceeded.
+	// MaxLimit is the maximum of a limit.
 	MaxLimit = 1024
 )
 
 const (
-	// memory is after how many samples an old one counts a third.
-	memory = 512.0
-	// minSamples is how many samples are needed before the line is used.
+	// decaySamples is the number of samples after which the weight of an old one has fallen to
+	// about a third.
+	decaySamples = 512.0
+	// minSamples is the minimum number of samples for a regression.
 	minSamples = 16
-	// minSpread is the variance of the running work below which no slope is seen.
-	minSpread = 0.5
-	// margin is the share of the target that is used.
-	margin = 0.95
-	// tail is how many standard deviations 95 in 100 samples lie below, by the normal
-	// distribution.
-	tail = 1.65
-	// flattest bounds the slope from below, as a part of the mean sample for each piece of
-	// work.
-	flattest = 8.0
-	// growth and headroom are how far the limit goes beyond the most work seen lately: so many
-	// times, and so many pieces more.
+	// minVariance is the variance of the number of running requests below which the slope can't
+	// be estimated.
+	minVariance = 0.5
+	// targetFraction is the fraction of the target that the limit uses.
+	targetFraction = 0.95
+	// zScore95 is the number of standard deviations above the mean below which 95 in 100 samples of
+	// a normal distribution lie.
+	zScore95 = 1.65
+	// slopeRange is the ratio between the maximum and the minimum slope.
+	slopeRange = 8.0
+	// growth and headroom bound the limit by the recent maximum of running requests: a multiple
+	// of it, plus a number of requests.
 	growth   = 1.5
 	headroom = 4
-	// peakFade is what the most work seen is multiplied by with each sample.
-	peakFade = 0.999
+	// peakDecay is the factor by which the recent maximum decays with each sample.
+	peakDecay = 0.999
 )
 
-// Learned finds how much work an endpoint may run at once so that 95 in 100
-// samples stay within a target. A sample is the time between tokens of a model
-// or of a whole answer of a plain service. It fits a line through the samples
-// against the work that ran, newer samples counting more. The zero value allows
-// FirstLimit.
+// Learned estimates how many concurrent requests an endpoint may run so that 95 in 100 samples
+// stay within a target. A sample is the time between two tokens of a model, or of a complete
+// response of a plain service. It uses a linear regression of the samples on the number of running
+// requests, with exponentially decaying weights. The zero value allows FirstLimit.
 type Learned struct {
-	count   float64
-	work    float64 // mean of the running work
-	took    float64 // mean sample, in seconds
-	spread  float64 // variance of the running work
-	scatter float64 // variance of the samples
-	joint   float64 // covariance
-	peak    float64 // most work seen, fading
+	count       float64 // number of samples, up to decaySamples
+	meanRunning float64
+	meanSample  float64 // in seconds
+	varRunning  float64 // variance of the number of running requests
+	varSample   float64 // variance of the samples
+	covariance  float64 // of the samples and the number of running requests
+	peak        float64 // recent maximum of running requests, decaying
 }
 
-// Observe takes a sample: the time one unit of work needed while so many ran.
-func (l *Learned) Observe(running int, took time.Duration) {
-	l.count = min(l.count+1, memory)
+// Observe records a sample: the time that one token or response took while so many requests ran.
+func (l *Learned) Observe(running int, sample time.Duration) {
+	l.count = min(l.count+1, decaySamples)
 	weight := 1 / l.count
-	byWork := float64(running) - l.work
-	byTook := took.Seconds() - l.took
-	l.work += weight * byWork
-	l.took += weight * byTook
-	l.spread += weight * ((1-weight)*byWork*byWork - l.spread)
-	l.scatter += weight * ((1-weight)*byTook*byTook - l.scatter)
-	l.joint += weight * ((1-weight)*byWork*byTook - l.joint)
-	l.peak = max(float64(running), l.peak*peakFade)
+	deltaRunning := float64(running) - l.meanRunning
+	deltaSample := sample.Seconds() - l.meanSample
+	l.meanRunning += weight * deltaRunning
+	l.meanSample += weight * deltaSample
+	l.varRunning += weight * ((1-weight)*deltaRunning*deltaRunning - l.varRunning)
+	l.varSample += weight * ((1-weight)*deltaSample*deltaSample - l.varSample)
+	l.covariance += weight * ((1-weight)*deltaRunning*deltaSample - l.covariance)
+	l.peak = max(float64(running), l.peak*peakDecay)
 }
 
-// For returns the limit for a target; a target of 0 is no bound on the time.
+// For returns the limit for a target. A target of 0 does not bound the latency.
 func (l *Learned) For(target time.Duration) int {
 	if l.count < minSamples {
 		return FirstLimit
 	}
-	most := min(MaxLimit, l.peak*growth+headroom)
+	maximum := min(MaxLimit, l.peak*growth+headroom)
 	if target <= 0 {
-		return int(most)
+		return int(maximum)
 	}
 	slope := l.slope()
-	noise := tail * math.Sqrt(max(0, l.scatter-slope*l.joint))
-	fits := l.work + (margin*target.Seconds()-noise-l.took)/slope
-	return int(max(1, min(most, fits)))
+	margin := zScore95 * math.Sqrt(max(0, l.varSample-slope*l.covariance))
+	fitted := l.meanRunning + (targetFraction*target.Seconds()-margin-l.meanSample)/slope
+	return int(max(1, min(maximum, fitted)))
 }
 
-// slope is the seconds that one more piece of work adds to a sample. It is
-// bounded: a sample can't grow faster than the work, and some growth is assumed
-// where none is seen.
+// slope returns the seconds that one more running request adds to a sample. It is bounded: a sample
+// can't grow faster than in proportion to the number of requests, and the minimum slope is positive.
 func (l *Learned) slope() float64 {
-	steepest := l.took / max(1, l.work)
-	if l.spread < minSpread {
-		return steepest / 2
+	maxSlope := l.meanSample / max(1, l.meanRunning)
+	if l.varRunning < minVariance {
+		return maxSlope / 2
 	}
-	return max(steepest/flattest, min(steepest, l.joint/l.spread))
+	return max(maxSlope/slopeRange, min(maxSlope, l.covariance/l.varRunning))
 }
--- a/coord/limit/limit_test.go
+++ b/coord/limit/limit_test.go
@@ -10,10 +10,10 @@
 	. "github.com/onsi/gomega"
 )
 
-// engine is a step time that grows with what runs.
+// engine returns the step time of an engine by the number of running requests.
 type engine func(running int) time.Duration
 
-// settle runs an engine at its limit and returns where the limit comes to rest.
+// settle runs an engine at its limit until the limit is stable, and returns that limit.
 func settle(l *limit.Learned, e engine, target time.Duration, noise float64) int {
 	random := rand.New(rand.NewPCG(1, 1))
 	running := 1
@@ -30,7 +30,8 @@
 	return func(n int) time.Duration { return step + step*time.Duration(n-1)/time.Duration(batch) }
 }
 
-// knee is flat up to a number and steep beyond.
+// knee returns an engine with a constant step time up to a number of running requests, and a
+// quadratic one beyond it.
 func knee(step time.Duration, flat int) engine {
 	return func(n int) time.Duration {
 		over := max(0, n-flat)
@@ -41,17 +42,17 @@
 var _ = Describe("Learned", func() {
 	const target = 30 * time.Millisecond
 
-	DescribeTable("comes to rest below the target and near it",
+	DescribeTable("converges below the target and near it",
 		func(e engine, noise float64, least int) {
 			var l limit.Learned
 			n := settle(&l, e, target, noise)
 			Expect(e(n)).To(BeNumerically("<=", target))
 			Expect(n).To(BeNumerically(">=", least))
 		},
-		Entry("new card", linear(10*time.Millisecond, 16), 0.0, 28),
-		Entry("old card", linear(25*time.Millisecond, 16), 0.0, 2),
+		Entry("fast engine", linear(10*time.Millisecond, 16), 0.0, 28),
+		Entry("slow engine", linear(25*time.Millisecond, 16), 0.0, 2),
 		Entry("with noise", linear(10*time.Millisecond, 16), 0.1, 18),
-		Entry("flat, then steep", knee(20*time.Millisecond, 32), 0.05, 24),
+		Entry("constant, then quadratic", knee(20*time.Millisecond, 32), 0.05, 24),
 	)
 
 	It("follows an engine that slows down and recovers", func() {
@@ -65,7 +66,7 @@
 		Expect(after).To(BeNumerically(">=", before*8/10))
 	})
 
-	It("allows more for a looser target", func() {
+	It("allows more requests for a longer target", func() {
 		var l limit.Learned
 		settle(&l, linear(10*time.Millisecond, 16), target, 0.02)
 		Expect(l.For(60 * time.Millisecond)).To(BeNumerically(">", l.For(target)))
@@ -75,7 +76,7 @@
 var _ = Describe("Teams", func() {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-	It("holds the rate over time", func() {
+	It("enforces the rate over time", func() {
 		var t limit.Teams
 		granted := 0
 		for n := range 1000 {
@@ -88,7 +89,7 @@
 		Expect(granted).To(BeNumerically("~", 220, 2)) // 10 s at 20/s and a burst of 20
 	})
 
-	It("tells when to ask again", func() {
+	It("returns when to retry", func() {
 		var t limit.Teams
 		a := limit.Allowance{Rate: 0.5}
 		ok, _ := t.Acquire(now, "a", a)
@@ -99,7 +100,7 @@
 		Expect(ok).To(BeTrue())
 	})
 
-	It("holds the concurrency and gives places back", func() {
+	It("enforces the concurrency and allows requests again after a release", func() {
 		var t limit.Teams
 		a := limit.Allowance{Concurrency: 4}.Share(2)
 		for range 2 {
--- a/coord/limit/team.go
+++ b/coord/limit/team.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// maxTeams bounds the teams with a limit in use that are remembered. Above the 40,000 of
+// maxTeams bounds the stored teams with a limit in use. It exceeds the 40,000 teams of
 // docs/CAPACITY.md.
 const maxTeams = 1 << 16
 
-// Allowance is what a team may use at this entry.
+// Allowance is the limit of a team at this entry.
 type Allowance struct {
-	Rate        float64 // requests a second, 0 for no limit
-	Concurrency int     // requests at once, 0 for no limit
+	Rate        float64 // requests per second, 0 for no limit
+	Concurrency int     // concurrent requests, 0 for no limit
 }
 
-// Share returns the part of a team's allowance that one of so many entries may
-// give out. At least one request at once is left.
+// Share returns the share of a team's allowance for one of so many entries. A concurrency limit
+// is at least one request at each entry.
 func (a Allowance) Share(entries int) Allowance {
 	entries = max(1, entries)
 	shared := Allowance{Rate: a.Rate / float64(entries)}
@@ -26,22 +26,23 @@
 	return shared
 }
 
-// fullRetryAfter is when a team whose requests all run may ask again.
+// fullRetryAfter is the time after which a team at its concurrency limit may retry.
 const fullRetryAfter = time.Second
 
-// Teams counts what each team uses. The zero value is empty.
+// Teams tracks the usage of each team. The zero value is empty.
 type Teams struct {
 	teams map[string]*usage
 }
 
-// usage is a token bucket and a count of requests at once.
+// usage is a token bucket and a count of concurrent requests.
 type usage struct {
-	tokens  float64
-	filled  time.Time
-	current int
+	tokens   float64
+	filledAt time.Time // time of the last update of tokens
+	current  int       // concurrent requests
 }
 
-// Acquire takes one request of the team, or tells after what time to ask again.
+// Acquire counts one request of the team if its allowance permits it. Otherwise it returns the
+// time after which to retry.
 func (t *Teams) Acquire(now time.Time, team string, a Allowance) (ok bool, retry time.Duration) {
 	if a.Rate <= 0 && a.Concurrency <= 0 {
 		return true, 0
@@ -68,35 +69,36 @@
 	if t.teams == nil {
 		t.teams = map[string]*usage{}
 	}
-	t.forgetIdle(now)
-	u := &usage{tokens: burst(a.Rate), filled: now}
+	t.removeIdle(now)
+	u := &usage{tokens: burst(a.Rate), filledAt: now}
 	t.teams[team] = u
 	return u
 }
 
-// burst is how many requests may come at once: a second's worth, at least one.
+// burst returns the size of a token bucket: the tokens of one second, at least one.
 func burst(rate float64) float64 { return max(1, rate) }
 
 func (u *usage) fill(now time.Time, rate float64) {
-	u.tokens = min(burst(rate), u.tokens+rate*now.Sub(u.filled).Seconds())
-	u.filled = now
+	u.tokens = min(burst(rate), u.tokens+rate*now.Sub(u.filledAt).Seconds())
+	u.filledAt = now
 }
 
-// idleAfter is when a team without requests is forgotten; its bucket is full by then.
+// idleAfter is the time after which a team without requests may be removed. Its bucket is full by
+// then.
 const idleAfter = time.Minute
 
-func (t *Teams) forgetIdle(now time.Time) {
+func (t *Teams) removeIdle(now time.Time) {
 	if len(t.teams) < maxTeams {
 		return
 	}
 	for n, u := range t.teams {
-		if u.current == 0 && now.Sub(u.filled) > idleAfter {
+		if u.current == 0 && now.Sub(u.filledAt) > idleAfter {
 			delete(t.teams, n)
 		}
 	}
 }
 
-// Release gives back a request that Acquire took.
+// Release ends a request counted by Acquire.
 func (t *Teams) Release(team string) {
 	if u, ok := t.teams[team]; ok && u.current > 0 {
 		u.current--
