--- a/coord/claim/claim.go
+++ b/coord/claim/claim.go
@@ -1,8 +1,8 @@
-// Package claim decides who owns an idempotency key. The keys of a partition
-// stand in one value of a key-value service, the head. A claim is in force once
-// a compare-and-swap has put it there; that swap alone is the fence. When a
-// period is over or the head is full, its claims move to a segment that never
-// changes, and the head names it. All steps are pure; the caller does the I/O.
+// Package claim decides which request owns an idempotency key. The keys of a partition are stored
+// in one value of a key-value service, the head. A claim is in force once a compare-and-swap has
+// stored it there; that operation is the only fence. When a period ends or the head is full, its
+// claims move to an immutable segment whose name is added to the head. The functions are pure; the
+// caller does the I/O.
 package claim
 
 import (
@@ -12,14 +12,14 @@
 	"time"
 )
 
-// MaxClaims is how many claims a head holds before they move to a segment, so
-// that a value stays far below a megabyte.
+// MaxClaims is the number of claims from which a head's claims move to a segment, so that a value
+// stays far below a megabyte.
 const MaxClaims = 8192
 
 // Key is the hash of an idempotency key.
 type Key [16]byte
 
-// Nonce tells one claim of a key from another.
+// Nonce distinguishes the claims of a key.
 type Nonce string
 
 // HashKey returns the hash of a key.
@@ -28,30 +28,30 @@
 	return Key(sum[:len(Key{})])
 }
 
-// Head is the value that is swapped. The zero value is a partition without
-// claims. Heads are immutable: With returns a changed copy.
+// Head is the stored value of a partition. The zero value is a partition without claims. Heads are
+// immutable: With returns a changed copy.
 type Head struct {
-	Period   int64         `cbor:"1,keyasint"` // number of the period, never falls
+	Period   int64         `cbor:"1,keyasint"` // number of the period, never decreases
 	Claims   map[Key]Nonce `cbor:"2,keyasint,omitempty"`
 	Segments []Segment     `cbor:"3,keyasint,omitempty"`
 }
 
-// Segment names claims that are no longer in the head.
+// Segment refers to stored claims that are no longer in the head.
 type Segment struct {
 	Name   string `cbor:"1,keyasint"`
 	Period int64  `cbor:"2,keyasint"`
 }
 
-// Rules are the settings of a partition; the same at all entries.
+// Rules are the settings of a partition. They have to be the same at all entries.
 type Rules struct {
 	Period time.Duration // length of a period
-	Retain int64         // periods that a claim is kept for at least
+	Retain int64         // minimum retention of a claim, in periods
 }
 
 // At returns the number of the period at a time.
 func (r Rules) At(now time.Time) int64 { return now.UnixNano() / int64(r.Period) }
 
-// Due tells whether the head's claims are to move to a segment first.
+// Due reports whether the head's claims have to move to a segment first.
 func (h Head) Due(now time.Time, r Rules) bool {
 	if len(h.Claims) >= MaxClaims {
 		return true
@@ -59,8 +59,8 @@
 	return len(h.Claims) > 0 && r.At(now) > h.Period
 }
 
-// Roll returns the head after its claims were stored under the name, without
-// segments that are past retention. A clock that is behind changes no period.
+// Roll returns the head after its claims were stored in a segment with the given name, without
+// segments past their retention. A clock that is behind does not change the period.
 func (h Head) Roll(now time.Time, r Rules, name string) Head {
 	next := Head{Period: max(h.Period, r.At(now))}
 	for _, s := range append(h.Segments[:len(h.Segments):len(h.Segments)], Segment{Name: name, Period: h.Period}) {
@@ -71,30 +71,31 @@
 	return next
 }
 
-// SegmentName is unique to a state of the head, given the value's revision.
+// SegmentName returns a name that is unique to this state of the head. revision is the revision of
+// the stored value.
 func (h Head) SegmentName(revision uint64) string {
 	return fmt.Sprintf("%d-%d", h.Period, revision)
 }
 
-// Request is a claim or the release of one.
+// Request is a request for a claim, or for the release of one.
 type Request struct {
 	Key     Key
 	Nonce   Nonce
 	Release bool
 }
 
-// Verdict is what became of a request.
+// Verdict is the outcome of a request.
 type Verdict uint8
 
 // The verdicts.
 const (
-	Mine  Verdict = iota + 1 // the claim is in the head that With returned
-	Taken                    // another holds the key
-	Freed                    // the release is in the head that With returned
+	Mine  Verdict = iota + 1 // the head that With returned includes the claim
+	Taken                    // another claim owns the key
+	Freed                    // the head that With returned includes the release
 )
 
-// With applies requests to a head. Older holds the claims of the head's
-// segments. The verdicts hold once the returned head is stored.
+// With applies requests to a head. older returns the claims in the head's segments. The verdicts
+// are valid once the returned head is stored.
 func (h Head) With(now time.Time, r Rules, batch []Request, older func(Key) (Nonce, bool)) (Head, []Verdict) {
 	next := h
 	next.Period = max(h.Period, r.At(now))
--- a/coord/claim/claim_test.go
+++ b/coord/claim/claim_test.go
@@ -21,14 +21,14 @@
 var _ = Describe("Head", func() {
 	now := time.Unix(6000, 0)
 
-	It("gives a key to the first that asks, also within a batch", func() {
+	It("grants a key to the first claim, also within a batch", func() {
 		h, v := claim.Head{}.With(now, rules, []claim.Request{request("k", "a"), request("k", "b")}, none)
 		Expect(v).To(Equal([]claim.Verdict{claim.Mine, claim.Taken}))
 		_, v = h.With(now, rules, []claim.Request{request("k", "c"), request("k", "a")}, none)
 		Expect(v).To(Equal([]claim.Verdict{claim.Taken, claim.Mine}))
 	})
 
-	It("frees a key for its owner only", func() {
+	It("releases a key only for its owner", func() {
 		h, _ := claim.Head{}.With(now, rules, []claim.Request{request("k", "a")}, none)
 		other := request("k", "b")
 		other.Release = true
@@ -40,7 +40,7 @@
 		Expect(h.Claims).To(BeEmpty())
 	})
 
-	It("keeps claims for the retention after the head has moved on", func() {
+	It("retains claims in segments after a new period has started", func() {
 		h, _ := claim.Head{}.With(now, rules, []claim.Request{request("k", "a")}, none)
 		kept := h.Claims
 		later := now.Add(time.Minute)
@@ -57,7 +57,7 @@
 		Expect(h.Roll(now.Add(10*time.Minute), rules, "t").Segments).To(HaveLen(0))
 	})
 
-	It("does not go back for a clock that is behind", func() {
+	It("does not decrease the period for a clock that is behind", func() {
 		h, _ := claim.Head{}.With(now.Add(time.Hour), rules, []claim.Request{request("k", "a")}, none)
 		behind, v := h.With(now, rules, []claim.Request{request("k", "b")}, none)
 		Expect(v).To(Equal([]claim.Verdict{claim.Taken}))
--- a/coord/clock/clock.go
+++ b/coord/clock/clock.go
@@ -1,15 +1,14 @@
-// Package clock estimates the true time from clocks of which some are wrong.
+// Package clock estimates the true time from several clocks, some of which may be wrong.
 //
-// Rule: a process knows how far its own time of day is ahead of its steady clock, and
-// what other processes said theirs was when a message of theirs came. The true time is
-// the median of these offsets, so that clocks which jump move nothing while they are a
-// minority. Of one process the largest offset within sampleLife counts: a message that
-// came late, or lay in a socket while this process stood still, makes it smaller, never
-// larger.
-// Inputs: readings of the steady clock and of times of day.
-// Never: the own time of day is trusted more than that of any other process.
+// Rule: a process has the offset of its own wall clock from its monotonic clock, and that of other
+// processes' wall clocks, taken from their messages at receipt. The estimate is the median of these
+// offsets, so that clocks that jump have no effect while they are a minority. For each process
+// the largest offset within sampleLifetime counts: a delay of a message in transit, or in a socket
+// buffer while this process is paused, makes an offset smaller, never larger.
+// Inputs: readings of the monotonic clock and of wall clocks.
+// Never: the process's own wall clock has more weight than that of any other process.
 //
-// Nothing here does I/O, starts a goroutine or reads a clock.
+// This package does no I/O, starts no goroutine and reads no clock.
 package clock
 
 import (
@@ -18,61 +17,60 @@
 )
 
 const (
-	// sampleLife is how long what a process said of its time counts. Some messages of each
-	// process come within it.
-	sampleLife = 2 * time.Second
-	// maxSources bounds the processes whose time is remembered. Above the entries that a
-	// deployment is planned for.
+	// sampleLifetime is how long a sample counts. Each process sends several messages within it.
+	sampleLifetime = 2 * time.Second
+	// maxSources bounds the stored processes. It exceeds the planned number of entries of a
+	// deployment.
 	maxSources = 1024
 )
 
-// Source names a process that tells its time; 0 is the process itself.
+// Source identifies a process whose wall clock is compared. 0 is the process itself.
 type Source uint64
 
-// Estimate is what one process knows of the true time. The zero value knows nothing; it
-// is not safe for concurrent use.
+// Estimate is the estimate that one process has of the true time. The zero value has no samples.
+// It is not safe for concurrent use.
 type Estimate struct {
-	steadyStart time.Time
-	sources     map[Source]source
+	firstReading time.Time // monotonic reading of the first sample
+	sources      map[Source]source
 }
 
-// source is what is known of one process's time of day.
+// source holds the samples of one process's wall clock.
 type source struct {
-	best    sample // the largest offset since it was taken
+	best    sample // largest offset since it was taken; replaced after sampleLifetime
 	newest  sample
-	pending sample // the largest offset since best was taken
+	pending sample // largest offset since best was taken
 }
 
-// sample is one offset of a time of day over the steady clock.
+// sample is one offset of a wall clock from the monotonic clock.
 type sample struct {
 	offset time.Duration
-	at     time.Time // steady
+	at     time.Time // monotonic reading
 }
 
-// Observe takes in that a process's time of day was told at a reading of the steady
-// clock. A reading carries Go's monotonic clock; told need not.
-func (e *Estimate) Observe(steady time.Time, from Source, told time.Time) {
+// Observe records the wall clock time of a process at a reading of the monotonic clock. The reading
+// needs Go's monotonic clock; the wall clock time does not.
+func (e *Estimate) Observe(monotonic time.Time, from Source, wall time.Time) {
 	if e.sources == nil {
 		e.sources = map[Source]source{}
-		e.steadyStart = steady
+		e.firstReading = monotonic
 	}
 	s, known := e.sources[from]
 	if !known && len(e.sources) >= maxSources {
-		e.forget(steady)
+		e.removeExpired(monotonic)
 		if len(e.sources) >= maxSources {
 			return
 		}
 	}
-	e.sources[from] = s.with(sample{offset: told.Sub(time.Unix(0, 0)) - steady.Sub(e.steadyStart), at: steady})
+	e.sources[from] = s.with(sample{offset: wall.Sub(time.Unix(0, 0)) - monotonic.Sub(e.firstReading), at: monotonic})
 }
 
-// with returns the source after one more sample.
+// with returns the source with one more sample.
 func (s source) with(x sample) source {
 	s.newest = x
 	switch {
 	case s.best.at.IsZero() || x.offset >= s.best.offset:
 		s.best, s.pending = x, sample{}
-	case x.at.Sub(s.best.at) > sampleLife:
+	case x.at.Sub(s.best.at) > sampleLifetime:
 		s.best, s.pending = s.pending, sample{}
 		if s.best.at.IsZero() || x.offset >= s.best.offset {
 			s.best = x
@@ -83,34 +81,36 @@
 	return s
 }
 
-// forget drops the sources that have said nothing lately.
-func (e *Estimate) forget(steady time.Time) {
+// removeExpired removes the sources without a recent sample.
+func (e *Estimate) removeExpired(monotonic time.Time) {
 	for name, s := range e.sources {
-		if steady.Sub(s.newest.at) > sampleLife {
+		if monotonic.Sub(s.newest.at) > sampleLifetime {
 			delete(e.sources, name)
 		}
 	}
 }
 
-// Now returns the true time at a reading of the steady clock; false if none is known.
-func (e *Estimate) Now(steady time.Time) (now time.Time, ok bool) {
-	offsets := e.offsets(steady)
+// Now returns the estimated true time at a reading of the monotonic clock. It returns false if
+// there is no recent sample.
+func (e *Estimate) Now(monotonic time.Time) (now time.Time, ok bool) {
+	offsets := e.offsets(monotonic)
 	if len(offsets) == 0 {
 		return time.Time{}, false
 	}
 	slices.Sort(offsets)
-	middle := offsets[(len(offsets)-1)/2]
+	median := offsets[(len(offsets)-1)/2]
 	if len(offsets)%2 == 0 {
-		middle += (offsets[len(offsets)/2] - middle) / 2
+		median += (offsets[len(offsets)/2] - median) / 2
 	}
-	return time.Unix(0, 0).Add(middle + steady.Sub(e.steadyStart)), true
+	return time.Unix(0, 0).Add(median + monotonic.Sub(e.firstReading)), true
 }
 
-// offsets returns those of the processes whose times are compared at a reading.
-func (e *Estimate) offsets(steady time.Time) []time.Duration {
+// offsets returns the offsets of the processes with a recent sample at a reading of the monotonic
+// clock.
+func (e *Estimate) offsets(monotonic time.Time) []time.Duration {
 	var all []time.Duration
 	for _, s := range e.sources {
-		if steady.Sub(s.newest.at) <= sampleLife {
+		if monotonic.Sub(s.newest.at) <= sampleLifetime {
 			all = append(all, s.best.offset)
 		}
 	}
--- a/coord/clock/clock_test.go
+++ b/coord/clock/clock_test.go
@@ -10,60 +10,60 @@
 )
 
 func Example() {
-	steady := time.Now()
+	monotonic := time.Now()
 	noon := time.Date(2030, 1, 1, 12, 0, 0, 0, time.UTC)
 	var e clock.Estimate
-	e.Observe(steady, 0, noon.Add(5*time.Second)) // the own clock has jumped
-	e.Observe(steady, 1, noon)
-	e.Observe(steady, 2, noon.Add(10*time.Millisecond))
-	now, _ := e.Now(steady.Add(time.Second))
-	fmt.Println(now.UTC().Format(time.TimeOnly), e.Compared(steady.Add(time.Second)))
+	e.Observe(monotonic, 0, noon.Add(5*time.Second)) // the process's own clock has jumped
+	e.Observe(monotonic, 1, noon)
+	e.Observe(monotonic, 2, noon.Add(10*time.Millisecond))
+	now, _ := e.Now(monotonic.Add(time.Second))
+	fmt.Println(now.UTC().Format(time.TimeOnly), e.Compared(monotonic.Add(time.Second)))
 	// Output: 12:00:01 3
 }
 
-func TestNothingIsKnownAtFirst(t *testing.T) {
+func TestNoEstimateWithoutSamples(t *testing.T) {
 	var e clock.Estimate
 	if _, ok := e.Now(time.Now()); ok {
-		t.Error("a time is known of nothing")
+		t.Error("Now returns a time without samples")
 	}
 }
 
-// TestMinorityMovesNothing lets clocks of a minority jump by seconds while messages are
-// held up, and holds the estimate to the true time.
-func TestMinorityMovesNothing(t *testing.T) {
+// TestMinorityHasNoEffect checks that the estimate stays near the true time while the clocks of a
+// minority jump by seconds and messages are delayed.
+func TestMinorityHasNoEffect(t *testing.T) {
 	const (
 		clocks   = 9
 		skew     = 20 * time.Millisecond
 		transit  = 3 * time.Millisecond
 		interval = 250 * time.Millisecond
-		period   = 20 // steps; half of it is longer than a wrong clock is remembered
+		period   = 20 // steps; half of it is longer than sampleLifetime
 	)
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 1))
-		between := func(d time.Duration) time.Duration { return time.Duration(random.Int64N(int64(2*d))) - d }
+		randomOffset := func(d time.Duration) time.Duration { return time.Duration(random.Int64N(int64(2*d))) - d }
 		var skews, jumps [clocks]time.Duration
 		for n := range clocks {
-			skews[n] = between(skew)
+			skews[n] = randomOffset(skew)
 		}
 		start := time.Now()
-		truth := time.Date(2030, 5, 5, 5, 5, 5, 0, time.UTC)
+		trueTime := time.Date(2030, 5, 5, 5, 5, 5, 0, time.UTC)
 		var e clock.Estimate
 		for step := range 80 {
 			switch step % period {
-			case 0: // clocks jump, of which any four are wrong at a time
+			case 0: // four random clocks jump
 				for _, n := range random.Perm(clocks)[:(clocks-1)/2] {
-					jumps[n] = between(10 * time.Second)
+					jumps[n] = randomOffset(10 * time.Second)
 				}
-			case period / 2: // and back, before others do
+			case period / 2: // they jump back before others jump
 				jumps = [clocks]time.Duration{}
 			}
 			at := time.Duration(step) * interval
 			for n := range clocks {
-				held := time.Duration(random.Int64N(int64(transit)))
+				delay := time.Duration(random.Int64N(int64(transit)))
 				if n > 0 && random.IntN(5) == 0 {
-					held += time.Duration(random.Int64N(int64(time.Second)))
+					delay += time.Duration(random.Int64N(int64(time.Second)))
 				}
-				e.Observe(start.Add(at+held), clock.Source(n), truth.Add(at+skews[n]+jumps[n]))
+				e.Observe(start.Add(at+delay), clock.Source(n), trueTime.Add(at+skews[n]+jumps[n]))
 			}
 			now, ok := e.Now(start.Add(at + transit))
 			compared := e.Compared(start.Add(at + transit))
@@ -71,17 +71,17 @@
 				t.Fatalf("seed %d, step %d: %d clocks compared", seed, step, compared)
 			}
 			if step < period/2 {
-				continue // one message of each clock may have been late
+				continue // the first message of each clock may have been late
 			}
-			if off := now.Sub(truth.Add(at + transit)); off.Abs() > skew+transit {
+			if off := now.Sub(trueTime.Add(at + transit)); off.Abs() > skew+transit {
 				t.Fatalf("seed %d, step %d: off by %v", seed, step, off)
 			}
 		}
 	}
 }
 
-// TestSilentClocksAreLeftOut lets those that lived on be compared alone.
-func TestSilentClocksAreLeftOut(t *testing.T) {
+// TestSilentClocksAreIgnored checks that only clocks with a recent sample are compared.
+func TestSilentClocksAreIgnored(t *testing.T) {
 	start := time.Now()
 	var e clock.Estimate
 	for n := range clock.Source(5) {
--- a/coord/clock/export_test.go
+++ b/coord/clock/export_test.go
@@ -2,5 +2,5 @@
 
 import "time"
 
-// Compared returns of how many processes the times are compared at a reading of the steady clock.
-func (e *Estimate) Compared(steady time.Time) int { return len(e.offsets(steady)) }
+// Compared returns the number of processes with a recent sample at a reading of the monotonic clock.
+func (e *Estimate) Compared(monotonic time.Time) int { return len(e.offsets(monotonic)) }
--- a/coord/result/code.go
+++ b/coord/result/code.go
@@ -1,5 +1,5 @@
-// Package result holds the numbered codes that end every request, offer and
-// operator call, and what each code says about whether the work was run.
+// Package result defines the numbered result codes of requests, offers and operator calls, and
+// whether a request was executed.
 package result
 
 import (
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// Code is the number of an outcome. docs/CODES.md lists every code.
+// Code is the number of a result. docs/CODES.md lists every code.
 type Code uint16
 
-// The codes. The first digits group them: 10 success, 11 the caller's input,
-// 12 capacity, 13 endpoints, 14 an agent's reasons, 15 the platform,
-// 16 the settings tree, 17 a process's own settings file.
+// The codes. Their first two digits are the group: 10 success, 11 invalid input of the caller,
+// 12 capacity, 13 endpoints, 14 agents, 15 the platform, 16 the settings tree, 17 the settings
+// file of a process.
 const (
 	OK Code = 1000
 
@@ -71,17 +71,17 @@
 	FileField      Code = 1703
 )
 
-// Run says whether a request was executed at an endpoint.
+// Run is whether a request was executed at an endpoint.
 type Run uint8
 
-// The three answers. The zero value is the cautious one.
+// The values. The zero value makes no assumption.
 const (
 	Unknown Run = iota
 	NotRun
 	Ran
 )
 
-// String returns the words callers see.
+// String returns the text for callers.
 func (r Run) String() string {
 	switch r {
 	case NotRun:
@@ -97,7 +97,7 @@
 type Entry struct {
 	Code   Code
 	Name   string
-	Status int // HTTP status towards callers and operators
+	Status int // HTTP status for callers and operators
 	Text   string
 }
 
@@ -106,7 +106,7 @@
 	return fmt.Sprintf("%d %s", uint16(c), c.Entry().Name)
 }
 
-// Entry returns the row of the code; an unlisted code yields a row that says so.
+// Entry returns the row of the code. An unlisted code has a row with the name "unlisted".
 func (c Code) Entry() Entry {
 	if e, ok := byCode[c]; ok {
 		return e
@@ -114,20 +114,20 @@
 	return Entry{Code: c, Name: "unlisted", Status: 500, Text: "this code is not in the table"}
 }
 
-// Error is an error that carries a code and what is known about execution.
+// Error is an error with a code and whether the request was executed.
 type Error struct {
 	Code       Code
 	Run        Run
 	Reason     string
-	RetryAfter time.Duration // when to ask again, 0 for unknown
+	RetryAfter time.Duration // time after which to retry, 0 if unknown
 }
 
-// Error returns the code, its name and the reason.
+// Error returns the code, its name, the reason and whether the request was executed.
 func (e *Error) Error() string {
 	return fmt.Sprintf("%s: %s (%s)", e.Code, e.Reason, e.Run)
 }
 
-// Errorf returns an error with the given code for work that was not run.
+// Errorf returns an error with the given code for a request that was not run.
 func Errorf(code Code, format string, args ...any) *Error {
 	return &Error{Code: code, Run: NotRun, Reason: fmt.Sprintf(format, args...)}
 }
--- a/coord/result/result_test.go
+++ b/coord/result/result_test.go
@@ -14,13 +14,13 @@
 const page = "../../docs/CODES.md"
 
 var _ = Describe("Table", func() {
-	It("is in order, each code once", func() {
+	It("lists each code once, in ascending order", func() {
 		for n := 1; n < len(result.Table); n++ {
 			Expect(result.Table[n].Code).To(BeNumerically(">", result.Table[n-1].Code))
 		}
 	})
 
-	It("is what the page shows", func() {
+	It("matches the page", func() {
 		data, err := os.ReadFile(page)
 		Expect(err).NotTo(HaveOccurred())
 		var rows []string
