--- a/coord/quarantine/quarantine_test.go
+++ b/coord/quarantine/quarantine_test.go
@@ -99,8 +99,8 @@
 	if v := x.Verdict(at(4), key("other")); !v.Held || v.For != time.Minute {
 		t.Errorf("after the other content succeeded: %+v", v)
 	}
-	for n, beside := range []string{"one", "one", "one", "one"} {
-		crash(&x, fmt.Sprint("j-", n), 10+2*float64(n), beside)
+	for n, content := range []string{"one", "one", "one", "one"} {
+		crash(&x, fmt.Sprint("j-", n), 10+2*float64(n), content)
 	}
 	crash(&x, "trial", 20, "one", "other")
 	x.Hold(key("other"), 4, 1, at(20))
