--- a/internal/direct/peers/bundle.go
+++ b/internal/direct/peers/bundle.go
@@ -1,13 +1,13 @@
-// How relays pass on what entries tell.
+// Forwarding of events by relays.
 //
-// Rule: an entry gathers its events for flushDelay into sections, which its relay sends
-// to the members of the data centre and to one relay of each other data centre, which
-// tells its own. A relay gathers sections as well, so that those of many entries share a
-// datagram. A section that comes a second time is left out.
+// Rule: a process collects its events for flushDelay into sections and sends them to its relay.
+// The relay forwards them to the members of its data centre and to one relay of each other data
+// centre, which forwards them to its own members. A relay also collects sections for flushDelay,
+// so that those of many peers share a datagram. A repeated section is dropped.
 // Inputs: datagrams of members, the plan (relay.go), the time.
 // Units: bytes of a datagram, sections.
-// Never: a section that came from another data centre goes to a third; what lay in the
-// socket while this process stood still is passed on as new.
+// Never: a section from another data centre is forwarded to a third; a datagram that waited in
+// the socket while this process was stopped is forwarded as new.
 
 package peers
 
@@ -21,39 +21,40 @@
 )
 
 const (
-	// sectionBytes is what a section takes beside its events, in bytes: three numbers and
-	// their heads.
-	sectionBytes = 24
-	// maxPassing bounds the sections that wait to be passed on. At 1,000 requests a second 24
-	// come in flushDelay.
-	maxPassing = 1024
-	// maxWindows bounds the owners whose sections are told apart. Every member, as it was and
-	// as it started anew.
-	maxWindows = 2 * maxMembers
-	// standstill is how long this process must have stood still for what it then finds in its
-	// socket to be stale. A quota of processor time stops a process for less.
-	standstill = 300 * time.Millisecond
-	// drainTime is how long after that it still finds such datagrams.
-	drainTime = 50 * time.Millisecond
+	// sectionOverhead is the encoded size of a section without its events, in bytes: three
+	// numbers and their headers.
+	sectionOverhead = 24
+	// maxRelayQueue bounds the sections queued for forwarding. At 1,000 requests a second 24
+	// arrive in flushDelay.
+	maxRelayQueue = 1024
+	// maxReplayWindows bounds the owners whose repeated sections are detected: every member,
+	// with its previous and its current incarnation.
+	maxReplayWindows = 2 * maxMembers
+	// pauseThreshold is how long this process must have been stopped for datagrams in its socket
+	// to count as stale. A processor quota stops a process for less.
+	pauseThreshold = 300 * time.Millisecond
+	// drainDelay is how long after a pause stale datagrams are still read from the socket.
+	drainDelay = 50 * time.Millisecond
 )
 
-// passing is what a relay has been told and not yet passed on.
-type passing struct {
-	everywhere []section // of entries of the own data centre
-	here       []section // from other data centres
+// relayQueue holds the sections that a relay has received and not yet forwarded.
+type relayQueue struct {
+	toAll []section // of peers in the local data centre, for all data centres
+	local []section // from other data centres, for the local one
 }
 
-func (p passing) count() int { return len(p.everywhere) + len(p.here) }
+func (q relayQueue) count() int { return len(q.toAll) + len(q.local) }
 
-// window remembers which sections of an owner came lately. The zero value has seen none.
-type window struct {
-	last uint64 // the highest number seen
-	seen uint64 // bit n for last-n
+// replayWindow records which recent sections of an owner have been received. The zero value has
+// recorded none.
+type replayWindow struct {
+	last uint64 // highest number received
+	seen uint64 // bit n is set if last-n was received
 }
 
-// first tells whether a number is seen for the first time. Of numbers too old to know it
-// says that they are not.
-func (w *window) first(number uint64) bool {
+// accept records a number and reports whether it is new. A number that is too old to be tracked
+// is not new.
+func (w *replayWindow) accept(number uint64) bool {
 	const size = 64
 	if number > w.last {
 		if ahead := number - w.last; ahead < size {
@@ -73,19 +74,19 @@
 	return true
 }
 
-// sectionsOf encodes events of this entry.
-func (g *Group) sectionsOf(events []Event, now time.Time) []section {
+// encodeSections encodes events of this process as sections.
+func (g *Group) encodeSections(events []Event, now time.Time) []section {
 	var all []section
-	size := maxEventBytes
+	size := maxPayloadBytes
 	for _, e := range events {
-		e.AgeMS = now.Sub(e.at).Milliseconds()
+		e.AgeMS = now.Sub(e.occurredAt).Milliseconds()
 		data, ok := e.encode()
 		if !ok {
 			continue
 		}
-		if size+len(data) > maxEventBytes-sectionBytes {
-			g.sections++
-			all = append(all, section{Owner: g.options.Owner, Number: g.sections, from: now})
+		if size+len(data) > maxPayloadBytes-sectionOverhead {
+			g.lastSection++
+			all = append(all, section{Owner: g.options.Owner, Number: g.lastSection, receivedAt: now})
 			size = 0
 		}
 		s := &all[len(all)-1]
@@ -95,22 +96,22 @@
 	return all
 }
 
-// size returns about how many bytes the section takes in a datagram.
+// size returns the approximate size of the section in a datagram, in bytes.
 func (s section) size() int {
-	n := sectionBytes
+	n := sectionOverhead
 	for _, e := range s.Events {
 		n += len(e)
 	}
 	return n
 }
 
-// decode returns the section's events. What can't be read is left out.
+// decode returns the section's events. Events that can't be decoded are dropped.
 func (s section) decode() []Event {
 	all := make([]Event, 0, len(s.Events))
 	for _, data := range s.Events {
 		var e Event
 		if err := cbor.Unmarshal(data, &e); err != nil {
-			log.With("reason", err.Error()).Limited("event", "An event of another entry can't be read and is left out.")
+			log.With("reason", err.Error()).Limited("event", "Dropping an event of a peer that can't be decoded.")
 			continue
 		}
 		all = append(all, e)
@@ -118,105 +119,107 @@
 	return all
 }
 
-// sendSections sends sections over a hop, in as many datagrams as it takes.
+// sendSections sends sections over a hop, in as many datagrams as needed.
 func (g *Group) sendSections(h hop, sections []section, to []*net.UDPAddr, now time.Time) {
 	if len(to) == 0 {
 		return
 	}
 	var all []sized[section]
 	for _, s := range sections {
-		s.HeldMS += now.Sub(s.from).Milliseconds()
+		s.HeldMS += now.Sub(s.receivedAt).Milliseconds()
 		all = append(all, sized[section]{s, s.size()})
 	}
 	p := g.newPacket()
 	p.Hop = h
-	for _, part := range inDatagrams(all) {
+	for _, part := range splitDatagrams(all) {
 		p.Sections = part
 		g.send(p, to, trafficOf(h))
 	}
 }
 
-// takeSections takes in the sections of a packet and keeps those that are to be passed
-// on. It returns those that are new. The group is locked.
-func (g *Group) takeSections(p packet, sender *member, now time.Time) []section {
-	if len(p.Sections) == 0 || now.Before(g.staleTill) {
+// receiveSections returns the new sections of a packet and queues those that are to be
+// forwarded. g.mu must be held.
+func (g *Group) receiveSections(p packet, sender *member, now time.Time) []section {
+	if len(p.Sections) == 0 || now.Before(g.staleUntil) {
 		return nil
 	}
-	if !sender.mayTell(p.Hop) {
-		log.With("address", sender.address.String()).With("hop", int(p.Hop)).Limited("hop", "An entry passes on what it may not; it is left out.")
+	if !sender.maySendOver(p.Hop) {
+		log.With("address", sender.address.String()).With("hop", int(p.Hop)).Limited("hop", "Dropping sections from a peer that may not send over this hop.")
 		return nil
 	}
 	fresh := p.Sections[:0]
 	for _, s := range p.Sections {
-		if !g.isForeign(s.Owner) || p.Hop == hopUp && s.Owner != p.Owner || !g.window(s.Owner).first(s.Number) {
+		if !g.isOtherOwner(s.Owner) || p.Hop == hopToRelay && s.Owner != p.Owner || !g.replayWindow(s.Owner).accept(s.Number) {
 			continue
 		}
 		s.HeldMS = max(s.HeldMS, 0)
-		s.from = now
+		s.receivedAt = now
 		fresh = append(fresh, s)
 	}
-	g.passOn(p.Hop, fresh)
+	g.queueForRelay(p.Hop, fresh)
 	return fresh
 }
 
-// isForeign tells whether an incarnation is that of another entry.
-func (g *Group) isForeign(owner uint64) bool { return owner != 0 && owner != g.options.Owner }
+// isOtherOwner reports whether an incarnation is that of another peer.
+func (g *Group) isOtherOwner(owner uint64) bool { return owner != 0 && owner != g.options.Owner }
 
-// mayTell tells whether an entry is where a hop may come from.
-func (m *member) mayTell(h hop) bool {
+// maySendOver reports whether the peer is in a place from which packets of a hop may come.
+func (m *member) maySendOver(h hop) bool {
 	switch h {
-	case hopUp, hopLocal:
-		return m.relayed() && !m.far
-	case hopAcross:
-		return m.relayed() && m.far
+	case hopToRelay, hopLocal:
+		return m.relayed() && !m.remote
+	case hopRemote:
+		return m.relayed() && m.remote
 	default:
 		return false
 	}
 }
 
-// window returns that of an owner. The group is locked.
-func (g *Group) window(owner uint64) *window {
-	w := g.windows[owner]
+// replayWindow returns the window of an owner, created if necessary. g.mu must be held.
+func (g *Group) replayWindow(owner uint64) *replayWindow {
+	w := g.replayWindows[owner]
 	if w != nil {
 		return w
 	}
-	for old := range g.windows { // any, since only forged ones are so many
-		if len(g.windows) < maxWindows {
+	for old := range g.replayWindows { // evicts any, since only forged owners reach the limit
+		if len(g.replayWindows) < maxReplayWindows {
 			break
 		}
-		delete(g.windows, old)
+		delete(g.replayWindows, old)
 	}
-	w = &window{}
-	g.windows[owner] = w
+	w = &replayWindow{}
+	g.replayWindows[owner] = w
 	return w
 }
 
-// passOn keeps sections until the next flush. The group is locked.
-func (g *Group) passOn(h hop, sections []section) {
+// queueForRelay queues sections until the next flush. g.mu must be held.
+func (g *Group) queueForRelay(h hop, sections []section) {
 	if h == hopLocal || len(sections) == 0 {
 		return
 	}
-	if g.passing.count()+len(sections) > maxPassing {
-		log.Limited("passing", "Too many notes wait to be passed on; some are left out.")
+	if g.relayQueue.count()+len(sections) > maxRelayQueue {
+		log.Limited("passing", "Relay queue is full; dropping sections.")
 		return
 	}
-	if g.passing.count() == 0 && len(g.events) == 0 {
-		workers.Signal(g.eventsWaiting)
+	if g.relayQueue.count() == 0 && len(g.events) == 0 {
+		workers.Signal(g.eventsPending)
 	}
-	if h == hopUp {
-		g.passing.everywhere = append(g.passing.everywhere, sections...)
+	if h == hopToRelay {
+		g.relayQueue.toAll = append(g.relayQueue.toAll, sections...)
 	} else {
-		g.passing.here = append(g.passing.here, sections...)
+		g.relayQueue.local = append(g.relayQueue.local, sections...)
 	}
 }
 
-// noteStandstill is told after how long this process looked at the time again.
-func (g *Group) noteStandstill(since time.Duration, now time.Time) {
-	if since < standstill {
+// handlePause handles a pause of this process. If the time since the previous check is at least
+// pauseThreshold, it discards the relay queue and makes datagrams received within drainDelay
+// stale.
+func (g *Group) handlePause(since time.Duration, now time.Time) {
+	if since < pauseThreshold {
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.staleTill = now.Add(drainTime)
-	g.passing = passing{}
+	g.staleUntil = now.Add(drainDelay)
+	g.relayQueue = relayQueue{}
 }
--- a/internal/direct/peers/catchup.go
+++ b/internal/direct/peers/catchup.go
@@ -1,15 +1,15 @@
-// When an entry fetches settings or endpoints from another.
+// Fetching of newer settings or endpoints from another peer.
 //
-// Rule: from a live entry that has been ahead, by version of the settings or revision of
-// the endpoints, for fetchDelay; for fetchDelayReading while this entry reads the store
-// itself and is answered, which then tells it sooner; at once while it knows nothing. Of
-// several that are ahead the one that was asked the longest ago, where those of other data
-// centres count as asked farDelay later: what all lack crosses between data centres once.
-// One fetch of each part at a time; neither waits for the other.
-// Inputs: the versions that packets name, the time.
-// Never: nothing older than what is known is taken over (package directory); a fetch that
-// makes progress is not given up, since what replaces it is asked for as changes to what
-// it brings.
+// Rule: a fetch goes to a live peer that has been ahead, by version of the settings or revision
+// of the endpoints, for fetchDelay. While this process reads the store itself and gets answers,
+// the delay is readerFetchDelay, since the store then delivers updates sooner. There is no delay
+// while this process has no version yet. Of several peers that are ahead the one with the least
+// recent request is chosen. Peers in other data centres count as asked remoteFetchDelay later,
+// so that an update that a whole data centre lacks crosses between data centres once. Each part
+// has at most one fetch at a time; neither waits for the other.
+// Inputs: the versions in packets, the time.
+// Never: an older version replaces a newer one (package directory); a fetch that makes progress
+// is cancelled, since the next fetch requests changes relative to its result.
 
 package peers
 
@@ -20,17 +20,17 @@
 	"foxcross.dev/foxcross/internal/workers"
 )
 
-// Part is what one fetch is for.
+// Part identifies what a fetch transfers.
 type Part int
 
-// The parts. Endpoints are few and urgent, settings may be megabytes.
+// The parts. Endpoints are few and urgent; settings may be megabytes.
 const (
 	EndpointsPart Part = iota
 	SettingsPart
-	parts // how many there are
+	partCount // number of parts
 )
 
-// String returns the part's name, which is on the wire.
+// String returns the part's name as used on the wire.
 func (p Part) String() string {
 	if p == EndpointsPart {
 		return "endpoints"
@@ -39,25 +39,25 @@
 }
 
 const (
-	// fetchDelay is how long another entry is ahead before it is asked. What is already on its
-	// way arrives first.
+	// fetchDelay is how long another peer must be ahead before it is asked, so that updates
+	// already in transit arrive first.
 	fetchDelay = 40 * time.Millisecond
-	// fetchDelayReading is the same while the store answers this entry. Above the wait of a
-	// watch.
-	fetchDelayReading = 900 * time.Millisecond
-	// farDelay is how much longer an entry of another data centre must be ahead, unless this
-	// entry passes on what it learns. The relays of the own data centre have it by then.
-	farDelay = 200 * time.Millisecond
+	// readerFetchDelay is the same while the store answers this process. It is above the wait of
+	// a watch.
+	readerFetchDelay = 900 * time.Millisecond
+	// remoteFetchDelay is how much longer a peer in another data centre must be ahead, unless
+	// this process is a relay. The relays of the local data centre have the update by then.
+	remoteFetchDelay = 200 * time.Millisecond
 )
 
-// lead is since when another entry has been ahead in one part, and when it was last asked
-// for it.
-type lead struct {
-	since time.Time // zero while it is not ahead
-	asked time.Time
+// aheadState records since when a peer has been ahead in one part, and when the part was last
+// requested from it.
+type aheadState struct {
+	since       time.Time // zero while it is not ahead
+	requestedAt time.Time
 }
 
-// isAhead tells whether the entry knows something newer of a part.
+// isAhead reports whether the peer has a newer version of a part.
 func (m *member) isAhead(p Part, version, revision uint64) bool {
 	if p == EndpointsPart {
 		return m.revision > revision
@@ -65,12 +65,13 @@
 	return m.version > version
 }
 
-// noteAhead notes what an entry knows, and whether that is newer. The group is locked.
-func (g *Group) noteAhead(m *member, p packet, version, revision uint64, now time.Time) {
+// updateVersions records a peer's versions and whether they are newer than those of this
+// process. g.mu must be held.
+func (g *Group) updateVersions(m *member, p packet, version, revision uint64, now time.Time) {
 	m.version = p.Version
 	m.revision = p.Revision
-	for part := range parts {
-		l := &m.leads[part]
+	for part := range partCount {
+		l := &m.aheadStates[part]
 		switch {
 		case !m.isAhead(part, version, revision):
 			l.since = time.Time{}
@@ -81,68 +82,69 @@
 	}
 }
 
-// catchUp asks, for each part, an entry that has been ahead for long enough.
+// catchUp fetches each part from a peer that has been ahead for long enough.
 func (g *Group) catchUp(ctx context.Context, now time.Time) {
 	d := g.options.Directory
 	delay := fetchDelay
 	if d.ReadsStore() && d.Following() {
-		delay = fetchDelayReading
+		delay = readerFetchDelay
 	}
 	version, revision := d.Versions()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for part := range parts {
+	for part := range partCount {
 		if g.fetching[part] {
 			continue
 		}
-		m := g.source(part, delay, version, revision, now)
+		m := g.fetchSource(part, delay, version, revision, now)
 		if m == nil {
 			continue
 		}
-		m.leads[part].asked = now
+		m.aheadStates[part].requestedAt = now
 		g.fetching[part] = true
 		go g.fetchFrom(ctx, m.address.String(), part)
 	}
 }
 
-// source returns the entry to ask for a part, nil for none. The group is locked.
-func (g *Group) source(p Part, delay time.Duration, version, revision uint64, now time.Time) *member {
-	relays := g.currentPlan(now).relays
-	knows := version > 0
+// fetchSource returns the peer to fetch a part from, nil for none. g.mu must be held.
+func (g *Group) fetchSource(p Part, delay time.Duration, version, revision uint64, now time.Time) *member {
+	isRelay := g.currentPlan(now).isRelay
+	known := version > 0
 	if p == EndpointsPart {
-		knows = revision > 0
+		known = revision > 0
 	}
 	var best *member
 	for _, m := range g.members {
-		l := m.leads[p]
+		l := m.aheadStates[p]
 		wait := delay
 		switch {
-		case !knows && l.asked.IsZero():
+		case !known && l.requestedAt.IsZero():
 			wait = 0
-		case m.far && !relays:
-			wait += farDelay
+		case m.remote && !isRelay:
+			wait += remoteFetchDelay
 		}
 		if !m.alive(now) || !m.isAhead(p, version, revision) || l.since.IsZero() || now.Sub(l.since) < wait {
 			continue
 		}
-		if best == nil || m.askedFor(p).Before(best.askedFor(p)) {
+		if best == nil || m.fetchOrder(p).Before(best.fetchOrder(p)) {
 			best = m
 		}
 	}
 	return best
 }
 
-// askedFor returns when the entry was last asked for a part, by which sources are ordered.
-func (m *member) askedFor(p Part) time.Time {
-	at := m.leads[p].asked
-	if m.far {
-		at = at.Add(farDelay)
+// fetchOrder returns the time by which fetch sources are ordered: that of the last request for a
+// part.
+func (m *member) fetchOrder(p Part) time.Time {
+	at := m.aheadStates[p].requestedAt
+	if m.remote {
+		at = at.Add(remoteFetchDelay)
 	}
 	return at
 }
 
-// fetchFrom reads a part of the state of an entry. Others may still be ahead then: it
-// may have failed, or newer versions have come.
+// fetchFrom fetches a part from a peer. Other peers may still be ahead afterwards: the fetch may
+// have failed, or newer versions may exist.
 func (g *Group) fetchFrom(ctx context.Context, address string, p Part) {
 	g.options.Fetch(ctx, address, p)
 	g.mu.Lock()
--- a/internal/direct/peers/encoding.go
+++ b/internal/direct/peers/encoding.go
@@ -15,39 +15,39 @@
 )
 
 const (
-	// minZipped is the size from which on an answer is compressed, in bytes: about one
-	// Ethernet frame, below which nothing is gained.
-	minZipped = 1400
-	// maxEncodings bounds the encoded answers that are kept. Askers have one of the last few
+	// minGzipBytes is the size from which a response is compressed, in bytes: about one Ethernet
+	// frame, below which compression gains nothing.
+	minGzipBytes = 1400
+	// maxEncodings bounds the encoded responses in the cache. Clients have one of the last few
 	// versions, or none.
 	maxEncodings = 8
-	// gzipName is the name of the compression, in HTTP.
-	gzipName = "gzip"
+	// gzipEncoding is the name of the compression in HTTP.
+	gzipEncoding = "gzip"
 )
 
 // body is an encoded state.
 type body struct {
-	plain  []byte // nil for one that is kept and compressed
-	zipped []byte // nil for small ones
+	plain   []byte // nil in a cached body that is compressed
+	gzipped []byte // nil for small bodies
 }
 
-// encode encodes a state. Compressed, 10,000 routes are 0.12 MB in place of 2.4 MB.
+// encode encodes a state. Compression reduces 10,000 routes from 2.4 MB to 0.12 MB.
 func encode(s state) (body, error) {
 	data, err := cbor.Marshal(s)
 	if err != nil {
 		return body{}, fmt.Errorf("peers: encode the state: %w", err)
 	}
-	return bodyOf(data)
+	return newBody(data)
 }
 
-// bodyOf compresses an answer that is worth it.
-func bodyOf(data []byte) (body, error) {
+// newBody returns the body of a response, compressed if it has at least minGzipBytes.
+func newBody(data []byte) (body, error) {
 	b := body{plain: data}
-	if len(data) < minZipped {
+	if len(data) < minGzipBytes {
 		return b, nil
 	}
-	var zipped bytes.Buffer
-	w, err := gzip.NewWriterLevel(&zipped, gzip.BestSpeed)
+	var gzipped bytes.Buffer
+	w, err := gzip.NewWriterLevel(&gzipped, gzip.BestSpeed)
 	if err != nil {
 		return body{}, fmt.Errorf("peers: compress an answer: %w", err)
 	}
@@ -57,45 +57,46 @@
 	if err := w.Close(); err != nil {
 		return body{}, fmt.Errorf("peers: compress an answer: %w", err)
 	}
-	b.zipped = zipped.Bytes()
+	b.gzipped = gzipped.Bytes()
 	return b, nil
 }
 
-// send writes the form that the asker reads.
-func (b body) send(w http.ResponseWriter, r *http.Request) {
+// writeTo writes the body in the encoding that the client accepts.
+func (b body) writeTo(w http.ResponseWriter, r *http.Request) {
 	data := b.plain
 	switch {
-	case b.zipped == nil:
-	case strings.Contains(r.Header.Get("Accept-Encoding"), gzipName):
-		w.Header().Set("Content-Encoding", gzipName)
-		data = b.zipped
+	case b.gzipped == nil:
+	case strings.Contains(r.Header.Get("Accept-Encoding"), gzipEncoding):
+		w.Header().Set("Content-Encoding", gzipEncoding)
+		data = b.gzipped
 	case data == nil:
-		http.Error(w, "only "+gzipName+" is served", http.StatusNotAcceptable)
+		http.Error(w, "only "+gzipEncoding+" is served", http.StatusNotAcceptable)
 		return
 	}
 	w.Header().Set("Content-Length", strconv.Itoa(len(data)))
-	_, _ = w.Write(data) // the other entry may be gone
+	_, _ = w.Write(data) // the client may be gone
 }
 
-// kept returns the body as it is kept for other askers.
-func (b body) kept() body {
-	if b.zipped != nil {
+// cached returns the form of the body that is kept in the cache: compressed only, if it is
+// compressed.
+func (b body) cached() body {
+	if b.gzipped != nil {
 		b.plain = nil
 	}
 	return b
 }
 
-// encodings keeps the encoded answers with settings of one version in force, so that
-// many askers cost one encoding, and one that gave up finds it the next time. The zero
+// encodingCache caches the encoded responses for the settings version in force. Many clients
+// then cost one encoding, and a client that timed out finds it on its next request. The zero
 // value is empty. It is safe for concurrent use.
-type encodings struct {
+type encodingCache struct {
 	mu      sync.Mutex
 	version uint64          // in force
-	bodies  map[uint64]body // by the asker's version
+	bodies  map[uint64]body // by the client's version
 }
 
-// settings returns the answer for an asker with a version.
-func (e *encodings) settings(d *directory.Directory, since uint64) (body, error) {
+// settings returns the response for a client that has a version.
+func (e *encodingCache) settings(d *directory.Directory, since uint64) (body, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if inForce, _ := d.Settled(); inForce != e.version || len(e.bodies) >= maxEncodings {
@@ -108,7 +109,7 @@
 	s := settingsState(d, since)
 	b, err := encode(s)
 	if err == nil && s.Version == e.version {
-		e.bodies[since] = b.kept()
+		e.bodies[since] = b.cached()
 	}
 	return b, err
 }
--- a/internal/direct/peers/evacuations_test.go
+++ b/internal/direct/peers/evacuations_test.go
@@ -8,10 +8,10 @@
 )
 
 var _ = Describe("evacuations", func() {
-	It("are told to all data centres, and to an entry that starts", func() {
-		all := fleet(3, 3)
+	It("reach all data centres and a peer that starts later", func() {
+		all := startFleet(3, 3)
 		all[1].directory.TakeEvacuations(driver.Evacuations{Revision: 7, DataCentres: []string{"dc-2"}}, "test")
-		all = append(all, joinIn("dc-1", "late", "", 99, all[0].group.Address()))
+		all = append(all, startPeerIn("dc-1", "late", "", 99, all[0].group.Address()))
 		for _, e := range all {
 			Eventually(func() driver.Evacuations { return e.directory.Evacuations() }).
 				Should(Equal(driver.Evacuations{Revision: 7, DataCentres: []string{"dc-2"}}))
--- a/internal/direct/peers/events.go
+++ b/internal/direct/peers/events.go
@@ -11,98 +11,97 @@
 )
 
 const (
-	// flushDelay is how long events wait for others to share their datagram, at their entry
-	// and again at each relay.
+	// flushDelay is how long events wait to share a datagram with others, in the sending process
+	// and again in each relay.
 	flushDelay = 10 * time.Millisecond
-	// maxWaiting bounds the events that wait.
-	maxWaiting = 4096
-	// MaxEventAge bounds the age of an event that is believed.
+	// maxPendingEvents bounds the events that wait to be sent.
+	maxPendingEvents = 4096
+	// MaxEventAge is the upper bound of an event's age; higher ages are reduced to it.
 	MaxEventAge = time.Second
 )
 
-// Broadcast sends an event to all live entries, shortly after and together with
-// others. Beyond its bound it drops the event: the others then know less of this
-// entry's attempts.
+// Broadcast sends an event to all live peers, after flushDelay and together with other events.
+// It drops the event if maxPendingEvents are waiting: the peers then lack this update about this
+// process's attempts.
 func (g *Group) Broadcast(e Event) {
-	e.at = steady.Now()
+	e.occurredAt = steady.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if len(g.events) >= maxWaiting {
-		log.Limited("events", "Too many events wait to be sent; some are left out.")
+	if len(g.events) >= maxPendingEvents {
+		log.Limited("events", "Event queue is full; dropping events.")
 		return
 	}
-	if len(g.events) == 0 && g.passing.count() == 0 {
-		workers.Signal(g.eventsWaiting)
+	if len(g.events) == 0 && g.relayQueue.count() == 0 {
+		workers.Signal(g.eventsPending)
 	}
 	g.events = append(g.events, e)
 }
 
-// flush sends the events that wait, and passes on those of others.
+// flush sends the pending events and the sections in the relay queue.
 func (g *Group) flush(now time.Time) {
 	g.mu.Lock()
 	events := g.events
 	g.events = nil
-	passed := g.passing
-	g.passing = passing{}
+	queued := g.relayQueue
+	g.relayQueue = relayQueue{}
 	plan := g.currentPlan(now)
-	former := g.formerAddresses(now)
+	legacy := g.legacyAddresses(now)
 	g.mu.Unlock()
-	g.sendToFormer(events, former, now)
-	own := g.sectionsOf(events, now)
-	if !plan.relays {
-		g.sendSections(hopUp, own, plan.up, now)
+	g.sendToLegacy(events, legacy, now)
+	own := g.encodeSections(events, now)
+	if !plan.isRelay {
+		g.sendSections(hopToRelay, own, plan.toRelay, now)
 		own = nil
 	}
-	all := append(own, passed.everywhere...)
-	g.sendSections(hopAcross, all, plan.across, now)
-	g.sendSections(hopLocal, append(all, passed.here...), plan.local, now)
+	all := append(own, queued.toAll...)
+	g.sendSections(hopRemote, all, plan.remote, now)
+	g.sendSections(hopLocal, append(all, queued.local...), plan.local, now)
 }
 
-// sendToFormer sends events to entries of former versions, in as many datagrams as it
-// takes.
-func (g *Group) sendToFormer(events []Event, to []*net.UDPAddr, now time.Time) {
+// sendToLegacy sends events to peers of older versions, in as many datagrams as needed.
+func (g *Group) sendToLegacy(events []Event, to []*net.UDPAddr, now time.Time) {
 	if len(to) == 0 || len(events) == 0 {
 		return
 	}
 	var all []sized[Event]
 	for _, e := range events {
-		e.AgeMS = now.Sub(e.at).Milliseconds()
+		e.AgeMS = now.Sub(e.occurredAt).Milliseconds()
 		if data, ok := e.encode(); ok {
 			all = append(all, sized[Event]{e, len(data)})
 		}
 	}
 	p := g.newPacket()
-	for _, part := range inDatagrams(all) {
+	for _, part := range splitDatagrams(all) {
 		p.Events = part
 		g.send(p, to, eventTraffic)
 	}
 }
 
-// encode returns the event as it goes over the wire; false, with a line in the log, if it
-// can't be encoded.
+// encode returns the wire encoding of the event. It logs an event that can't be encoded and
+// returns false.
 func (e Event) encode() (cbor.RawMessage, bool) {
 	data, err := cbor.Marshal(e)
 	if err != nil {
-		log.With("reason", err.Error()).Limited("encode", "An event can't be encoded and is left out.")
+		log.With("reason", err.Error()).Limited("encode", "Dropping an event that can't be encoded.")
 		return nil, false
 	}
 	return data, true
 }
 
-// newPacket returns a packet that names what this entry knows.
+// newPacket returns a packet with the versions of this process's settings and endpoints.
 func (g *Group) newPacket() packet {
 	version, revision := g.options.Directory.Versions()
 	return packet{Owner: g.options.Owner, Version: version, Revision: revision}
 }
 
-// send sends a packet to some addresses, and counts it.
+// send sends a packet to some addresses and counts it in the traffic metrics.
 func (g *Group) send(p packet, to []*net.UDPAddr, kind trafficKind) {
 	if len(to) == 0 {
 		return
 	}
 	data, err := cbor.Marshal(p)
 	if err != nil {
-		log.With("reason", err.Error()).Limited("encode", "A packet can't be encoded and is not sent.")
+		log.With("reason", err.Error()).Limited("encode", "Dropping a packet that can't be encoded.")
 		return
 	}
 	for _, a := range to {
--- a/internal/direct/peers/fetch.go
+++ b/internal/direct/peers/fetch.go
@@ -18,29 +18,29 @@
 )
 
 const (
-	// maxState bounds what is read of another entry's state, in bytes, compressed and plain.
-	// The store's largest value, a megabyte, becomes some 3 MB.
-	maxState = 64 << 20
-	// settingsTimeout bounds the time to the first byte of an answer with settings. Encoding
-	// 10,000 routes takes 0.4 s on a tenth of a core, and is kept for the next asker.
+	// maxStateBytes bounds the size of another peer's state, in bytes, compressed and plain. The
+	// store's largest value, a megabyte, becomes some 3 MB.
+	maxStateBytes = 64 << 20
+	// settingsTimeout bounds the time to the first byte of a settings response. Encoding 10,000
+	// routes takes 0.4 s on a tenth of a core, and the result is cached for the next client.
 	settingsTimeout = time.Second
-	// endpointsTimeout is the same for endpoints, which need no such work and have to be known
-	// in 2 s, also if the first entry that is asked has just frozen.
+	// endpointsTimeout is the same for endpoints. They need no such encoding and must arrive
+	// within 2 s, even if the first peer that is asked has just frozen.
 	endpointsTimeout = 500 * time.Millisecond
-	// stallTimeout bounds the time without a byte of an answer that has begun.
+	// stallTimeout bounds the time between two bytes of a response.
 	stallTimeout = time.Second
 )
 
-// errBusy means that an entry sends its settings to others already.
-var errBusy = errors.New("peers: the entry sends to others")
+// errBusy means that a peer already sends to as many others as it may.
+var errBusy = errors.New("peers: peer is busy, it sends to others")
 
-// FetchState reads a part of the state of another entry into the directory. Settings
-// come as changes to the version in force, or all of them where those do not fit.
+// FetchState reads a part of the state of another peer into the directory. It requests settings
+// as changes to the version in force, and reads them whole if the changes do not apply.
 func FetchState(ctx context.Context, d *directory.Directory, address string, p Part) error {
 	version, revision := d.Versions()
 	err := fetch(ctx, d, address, p, version, revision)
 	if errors.Is(err, directory.ErrDigest) || errors.Is(err, directory.ErrOtherBase) {
-		log.With("peer", address).With("reason", err.Error()).Warnf("Changes of the settings don't fit; all of them are read.")
+		log.With("peer", address).With("reason", err.Error()).Warnf("Settings changes don't apply; fetching the whole settings.")
 		err = fetch(ctx, d, address, p, 0, revision)
 	}
 	if err != nil {
@@ -49,23 +49,23 @@
 	return nil
 }
 
-// fetch asks for a part from a version and revision on and takes it in.
+// fetch requests a part, starting at a version and revision, and applies the response.
 func fetch(ctx context.Context, d *directory.Directory, address string, p Part, version, revision uint64) error {
-	f := transfer.Begin(ctx, p.firstTimeout(), stallTimeout)
+	f := transfer.Begin(ctx, p.firstByteTimeout(), stallTimeout)
 	defer f.End()
-	answer, err := ask(f, address, p, version, revision)
+	response, err := sendRequest(f, address, p, version, revision)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = answer.Body.Close() }()
-	switch answer.StatusCode {
+	defer func() { _ = response.Body.Close() }()
+	switch response.StatusCode {
 	case http.StatusOK:
 	case http.StatusServiceUnavailable:
 		return errBusy
 	default:
-		return fmt.Errorf("status %d", answer.StatusCode)
+		return fmt.Errorf("status %d", response.StatusCode)
 	}
-	data, err := read(f, d, answer, p)
+	data, err := readResponse(f, d, response, p)
 	if err != nil {
 		return err
 	}
@@ -73,19 +73,19 @@
 	if err != nil {
 		return err
 	}
-	return take(d, s)
+	return applyState(d, s)
 }
 
-// firstTimeout bounds the time to the first byte of an answer.
-func (p Part) firstTimeout() time.Duration {
+// firstByteTimeout bounds the time to the first byte of a response.
+func (p Part) firstByteTimeout() time.Duration {
 	if p == EndpointsPart {
 		return endpointsTimeout
 	}
 	return settingsTimeout
 }
 
-// ask sends the question.
-func ask(f *transfer.Transfer, address string, p Part, version, revision uint64) (*http.Response, error) {
+// sendRequest requests a part of the state of a peer.
+func sendRequest(f *transfer.Transfer, address string, p Part, version, revision uint64) (*http.Response, error) {
 	query := url.Values{
 		versionField:  {strconv.FormatUint(version, 10)},
 		revisionField: {strconv.FormatUint(revision, 10)},
@@ -96,60 +96,61 @@
 	if err != nil {
 		return nil, err
 	}
-	request.Header.Set("Accept-Encoding", gzipName)
-	answer, err := http.DefaultClient.Do(request)
+	request.Header.Set("Accept-Encoding", gzipEncoding)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return nil, f.Cause(err)
 	}
-	return answer, nil
+	return response, nil
 }
 
-// read reads an answer to its end, and keeps how much of the settings is outstanding.
-func read(f *transfer.Transfer, d *directory.Directory, answer *http.Response, p Part) ([]byte, error) {
-	left := answer.ContentLength
+// readResponse reads the whole response and reports the outstanding bytes of settings to the
+// directory.
+func readResponse(f *transfer.Transfer, d *directory.Directory, response *http.Response, p Part) ([]byte, error) {
+	size := response.ContentLength
 	outstanding := func(bytes int64) {
 		if p == SettingsPart {
 			d.SetOutstanding(max(bytes, 0))
 		}
 	}
-	outstanding(left)
+	outstanding(size)
 	defer outstanding(0)
-	counted := &counter{reader: answer.Body}
-	data, err := f.ReadAll(counted, maxState, func() { outstanding(left - counted.bytes) })
+	body := &countingReader{reader: response.Body}
+	data, err := f.ReadAll(body, maxStateBytes, func() { outstanding(size - body.bytes) })
 	if err != nil {
-		return nil, fmt.Errorf("of %d bytes %w", left, err)
+		return nil, fmt.Errorf("of %d bytes %w", size, err)
 	}
-	return unzip(answer, data)
+	return gunzip(response, data)
 }
 
-// unzip returns the plain form of an answer's body.
-func unzip(answer *http.Response, data []byte) ([]byte, error) {
-	if answer.Header.Get("Content-Encoding") != gzipName {
+// gunzip returns the uncompressed body of a response.
+func gunzip(response *http.Response, data []byte) ([]byte, error) {
+	if response.Header.Get("Content-Encoding") != gzipEncoding {
 		return data, nil
 	}
-	unzipped, err := gzip.NewReader(bytes.NewReader(data))
+	reader, err := gzip.NewReader(bytes.NewReader(data))
 	if err != nil {
 		return nil, err
 	}
-	return io.ReadAll(io.LimitReader(unzipped, maxState))
+	return io.ReadAll(io.LimitReader(reader, maxStateBytes))
 }
 
-// counter counts what is read.
-type counter struct {
+// countingReader counts the bytes read.
+type countingReader struct {
 	reader io.Reader
 	bytes  int64
 }
 
 // Read implements io.Reader.
-func (c *counter) Read(b []byte) (int, error) {
+func (c *countingReader) Read(b []byte) (int, error) {
 	n, err := c.reader.Read(b)
 	c.bytes += int64(n)
 	return n, err
 }
 
-// take hands to the directory what another entry handed over. Entries of former
-// versions send both parts whole.
-func take(d *directory.Directory, s state) error {
+// applyState applies another peer's state to the directory. Peers of older versions send both
+// parts whole.
+func applyState(d *directory.Directory, s state) error {
 	switch {
 	case s.Version > 0 && s.Base > 0:
 		if err := d.TakeChanges(s.Base, s.Version, s.changes(), s.Digest, "peer"); err != nil {
--- a/internal/direct/peers/fuzz_test.go
+++ b/internal/direct/peers/fuzz_test.go
@@ -14,16 +14,16 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// silentListener takes in all, and does nothing.
-type silentListener struct{}
+// discardListener discards all calls.
+type discardListener struct{}
 
-func (silentListener) TakeEvents(uint64, []Event) {}
-func (silentListener) MemberGone(uint64)          {}
+func (discardListener) TakeEvents(uint64, []Event) {}
+func (discardListener) MemberGone(uint64)          {}
 
-// FuzzTake takes in any datagram, as of a relay and as of a member, and lets the group go on:
-// a datagram that stopped who takes it in would go from entry to entry. It begins with those
-// of testdata/packets.golden.
-func FuzzTake(f *testing.F) {
+// FuzzHandlePacket handles any datagram, as of a relay and as of a member, and continues to run
+// the group. A datagram that crashed its receiver would spread from peer to peer. The seed
+// corpus is testdata/packets.golden.
+func FuzzHandlePacket(f *testing.F) {
 	golden, err := os.ReadFile("testdata/packets.golden")
 	if err != nil {
 		f.Fatal(err)
@@ -43,22 +43,22 @@
 			return
 		}
 		d := directory.New(func(directory.InForce) {}, func([]placement.Endpoint) {}, func([]string) {})
-		g, err := New(Options{Name: "self", Address: "127.0.0.1:0", Owner: 1, DataCentre: "z", Listener: silentListener{}, Directory: d})
+		g, err := New(Options{Name: "self", Address: "127.0.0.1:0", Owner: 1, DataCentre: "z", Listener: discardListener{}, Directory: d})
 		if err != nil {
 			return // no port is free
 		}
-		defer func() { _ = g.socket.Close() }() // the group is over
-		relay := heartbeat{Name: "relay", Relayed: true, DataCentre: "z", ConfirmMS: never, ContactMS: never}
-		g.take(packet{Owner: 2, Heartbeat: &relay}, from)
-		if g.isForeign(p.Owner) {
-			g.take(p, from)
+		defer func() { _ = g.socket.Close() }() // the group was never run
+		relay := heartbeat{Name: "relay", Relayed: true, DataCentre: "z", ConfirmMS: unknownAge, ContactMS: unknownAge}
+		g.handlePacket(packet{Owner: 2, Heartbeat: &relay}, from)
+		if g.isOtherOwner(p.Owner) {
+			g.handlePacket(p, from)
 		}
 		now := time.Now().Add(heartbeatInterval)
-		g.expire(now)
+		g.expireMembers(now)
 		g.sendHeartbeat(now)
 		g.sendReports(now)
 		g.flush(now)
-		g.role(now)
+		g.roleByRank(now)
 		g.Owners()
 	})
 }
--- a/internal/direct/peers/golden_test.go
+++ b/internal/direct/peers/golden_test.go
@@ -21,7 +21,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// sampleRequest has every field set.
+// sampleRequest has all fields set.
 var sampleRequest = placement.Request{
 	Service: "pool",
 	Prompt: memory.Prompt{
@@ -34,8 +34,8 @@
 	TimeLeft:      12 * time.Second,
 }
 
-// TestPacketsOnTheWire holds the datagrams between entries to those of former
-// versions, so that entries of both run side by side.
+// TestPacketsOnTheWire compares the encoding of datagrams with that of older versions, so that
+// peers of both can run side by side.
 func TestPacketsOnTheWire(t *testing.T) {
 	var got strings.Builder
 	for _, s := range []struct {
@@ -48,9 +48,9 @@
 		{"heartbeat", packet{Owner: 7, Version: 3, Revision: 9, Heartbeat: &heartbeat{
 			Name: "entry-1", Members: []string{"10.0.0.1:7340"}, Leaving: true, ConfirmMS: 12, ContactMS: -1, Reading: true, StoreLost: true,
 		}}},
-		{"question", packet{Owner: 7, Version: 3, Revision: 9, Question: asked}},
-		{"answer", packet{Owner: 7, Question: answered}},
-		{"passed on", packet{Owner: 7, Hop: hopAcross, Sections: []section{{Owner: 8, Number: 2, HeldMS: 4, Events: []cbor.RawMessage{{0xa0}}}}}},
+		{"question", packet{Owner: 7, Version: 3, Revision: 9, Question: probeRequest}},
+		{"answer", packet{Owner: 7, Question: probeReply}},
+		{"passed on", packet{Owner: 7, Hop: hopRemote, Sections: []section{{Owner: 8, Number: 2, HeldMS: 4, Events: []cbor.RawMessage{{0xa0}}}}}},
 		{"kept", packet{Owner: 7, Events: []Event{{Kind: PartsKept, Endpoint: "i-1", Parts: []memory.Part{{ID: 0xab, Tokens: 100}}}}}},
 		{"endpoint ended", packet{Owner: 7, Events: []Event{{Kind: EndpointCrashed, Endpoint: "i-1@5", AgeMS: 2, Runs: []quarantine.RunReport{{Content: []byte{0xab, 0xcd}, RanMS: 90}}}}}},
 		{"content ended well", packet{Owner: 7, Events: []Event{{Kind: ContentCleared, Runs: []quarantine.RunReport{{Content: []byte{0xab, 0xcd}}}}}}},
@@ -62,7 +62,7 @@
 		{"holder", packet{Owner: 7, Heartbeat: &heartbeat{Name: "entry-1", ConfirmMS: -1, ContactMS: -1, ClockMS: 1_700_000_000_000, Fence: 12}}},
 		{"usage", packet{Owner: 7, Usage: &usage{ThroughMS: 1_700_000_000_000, Windows: []usageCount{{Window: 340_000_000, Total: 5, Counts: map[string]int64{"a": 5}}}}}},
 		{"evacuations", packet{Owner: 7, Heartbeat: &heartbeat{Name: "entry-1", ConfirmMS: -1, ContactMS: -1, Evacuated: []string{"z"}, EvacuatedAt: 12, Presence: true}}},
-		{"presence", packet{Owner: 7, Hop: hopAcross, Presence: &presence{DataCentre: "z", Members: []byte{0, 0, 0, 8, 30}}}},
+		{"presence", packet{Owner: 7, Hop: hopRemote, Presence: &presence{DataCentre: "z", Members: []byte{0, 0, 0, 8, 30}}}},
 		{"first heartbeat", packet{Owner: 7, Heartbeat: &heartbeat{Name: "entry-1", ConfirmMS: -1, ContactMS: -1}}},
 	} {
 		data, err := cbor.Marshal(s.packet)
@@ -74,10 +74,11 @@
 	golden.Compare(t, "packets.golden", got.String())
 }
 
-// TestStateOnTheWire holds what one entry fetches from another, and how it asks.
+// TestStateOnTheWire compares the encoding of the state that peers fetch, and of the requests
+// for it.
 func TestStateOnTheWire(t *testing.T) {
 	tier := 1
-	// One node, since the order of several is not fixed.
+	// A single node, since the order of several is undefined.
 	tree := settings.NewTree(map[string]settings.Node{"": {Set: settings.Fields{Tier: &tier}}})
 	d := directory.New(func(directory.InForce) {}, func([]placement.Endpoint) {}, func([]string) {})
 	d.SetBounds(driver.Bounds{LeaveWithin: time.Second})
@@ -97,15 +98,15 @@
 		"", "?version=3&revision=5", "?version=2&revision=4", "?version=x&revision=y",
 		"?part=endpoints&version=2&revision=5", "?part=settings&version=2&revision=5", "?part=settings&version=3&revision=5",
 	} {
-		answer, err := http.Get(server.URL + statePath + query)
+		response, err := http.Get(server.URL + statePath + query)
 		if err != nil {
 			t.Fatal(err)
 		}
-		body, err := io.ReadAll(answer.Body)
+		body, err := io.ReadAll(response.Body)
 		if err != nil {
 			t.Fatal(err)
 		}
-		_ = answer.Body.Close()
+		_ = response.Body.Close()
 		var shown any
 		if err := cbor.Unmarshal(body, &shown); err != nil {
 			t.Fatal(err)
@@ -118,8 +119,8 @@
 		w.WriteHeader(http.StatusTeapot)
 	}))
 	defer other.Close()
-	for part := range parts {
-		_ = FetchState(t.Context(), d, strings.TrimPrefix(other.URL, "http://"), part) // only the question matters
+	for part := range partCount {
+		_ = FetchState(t.Context(), d, strings.TrimPrefix(other.URL, "http://"), part) // only the request matters
 		fmt.Fprintf(&got, "%s\n", <-asked)
 	}
 	golden.Compare(t, "state.golden", got.String())
--- a/internal/direct/peers/group.go
+++ b/internal/direct/peers/group.go
@@ -23,21 +23,21 @@
 const (
 	// heartbeatInterval is the time between two heartbeats.
 	heartbeatInterval = 250 * time.Millisecond
-	// announceInterval is how often the group checks whether anything changed that other
-	// entries are to know before the next heartbeat.
+	// announceInterval is how often the group checks for changes that are announced before the
+	// next heartbeat.
 	announceInterval = 25 * time.Millisecond
 )
 
-// Listener takes in what other entries say. It is not called with the group's lock
-// held.
+// Listener receives the events of other peers. Its methods are called without Group.mu held.
 type Listener interface {
-	// TakeEvents takes in events of another entry's attempts.
+	// TakeEvents receives events about another peer's attempts.
 	TakeEvents(owner uint64, events []Event)
-	// MemberGone is told that an incarnation of an entry has ended or is lost.
+	// MemberGone is called when an incarnation of a peer has ended or is lost.
 	MemberGone(owner uint64)
 }
 
-// Directory is what entries compare and pass on: settings and list of endpoints.
+// Directory holds the data that peers compare and exchange: the settings and the list of
+// endpoints.
 type Directory interface {
 	Versions() (version, revision uint64)
 	Confirmed() time.Time
@@ -51,69 +51,70 @@
 	TakeEvacuations(e driver.Evacuations, source string)
 }
 
-// Options are what a group is made of.
+// Options configure a group.
 type Options struct {
 	Name    string
 	Address string // for datagrams and for TCP
 	Owner   uint64 // incarnation of this process
 	Seeds   []string
-	Seed    bool // this entry is a seed of the others
-	// FirstStart tells that all entries start for the first time.
+	Seed    bool // this process is a seed of the others
+	// FirstStart reports whether the whole fleet starts for the first time.
 	FirstStart bool
 	Listener   Listener
 	Directory  Directory
-	// DataCentre is where this entry is; notes go once into each other one.
+	// DataCentre is the data centre of this process. Events are sent once to each other data
+	// centre.
 	DataCentre string
-	// ReadCost orders the entries that may read the store or pass notes on; see ReadCost.
+	// ReadCost orders the peers that may read the store or act as relays; see ReadCost.
 	ReadCost int
-	// Metrics counts what is sent to other entries; nil for not.
+	// Metrics counts the datagrams sent to other peers; nil disables it.
 	Metrics tally.Scope
-	// TakeUsage takes in what another entry says of the requests that it counted; nil for not.
+	// TakeUsage receives another peer's statement of the requests that it counted; nil ignores
+	// it.
 	TakeUsage func(duty.Statement)
-	// Fetch reads a part of the state of the entry at an address.
+	// Fetch reads a part of the state of the peer at an address.
 	Fetch func(ctx context.Context, address string, p Part)
 }
 
-// Group is this entry's view of the other entries. Create it with New; Run ends it.
+// Group is this process's view of the other peers. Create it with New and start it with Run.
 type Group struct {
-	options  Options
-	address  string // of the socket
-	socket   *net.UDPConn
-	began    time.Time
-	restored atomic.Bool // a snapshot of another entry was taken in
-	traffic  *traffic
-
-	standbySince time.Time // when this entry was last needed as a standby; of Run alone
-
-	mu          sync.Mutex
-	seeds       []string
-	members     map[string]*member // by address
-	events      []Event            // to be sent
-	passing     passing            // what others told and this entry passes on
-	windows     map[uint64]*window // of sections, by owner
-	sections    uint64             // number of the last own one
-	plan        plan
-	replan      bool      // the members have changed since plan was made
-	staleTill   time.Time // what is received until then lay in the socket while this process stood still
-	seededAt    time.Time // when seeds were last tried
-	neededSince time.Time // this entry has been needed as a standby since, zero for not
-	fetching    [parts]bool
-	announced   announcement // of the last heartbeat
-	clock       clock.Estimate
-	fence       uint64         // with which this entry holds the duties, 0 for not
-	toldTo      []*net.UDPAddr // the relays of other data centres that were told of members
-
-	eventsWaiting chan struct{} // events is not empty any more
-	memberAhead   chan struct{} // a member has become ahead
+	options          Options
+	address          string // of the socket
+	socket           *net.UDPConn
+	startedAt        time.Time
+	snapshotRestored atomic.Bool // a snapshot of another peer was restored
+	traffic          *traffic
+
+	lastStandby time.Time // when this process was last needed as a standby; used by Run only
+
+	mu                 sync.Mutex
+	seeds              []string
+	members            map[string]*member       // by address
+	events             []Event                  // waiting to be sent
+	relayQueue         relayQueue               // sections of other peers, to be forwarded
+	replayWindows      map[uint64]*replayWindow // of sections, by owner
+	lastSection        uint64                   // number of the last section of this process
+	plan               plan
+	planStale          bool      // the members have changed since the plan was made
+	staleUntil         time.Time // datagrams received before this time waited in the socket while this process was stopped
+	seedsTriedAt       time.Time // when the seeds were last contacted
+	standbyNeededSince time.Time // since when this process has been needed as a standby, zero if it is not
+	fetching           [partCount]bool
+	announced          announcement // content of the last heartbeat
+	clock              clock.Estimate
+	fence              uint64         // with which this process holds the duties, 0 if it does not
+	reportedTo         []*net.UDPAddr // the relays of other data centres that the members were reported to
+
+	eventsPending chan struct{} // signals that events or the relay queue are no longer empty
+	memberAhead   chan struct{} // signals that a member is now ahead
 }
 
-// announcement is what other entries are to know before the next heartbeat if it
-// changes.
+// announcement holds the values of which a change is announced before the next heartbeat.
 type announcement struct {
 	version, revision uint64
 	storeLost         bool
 	fence             uint64
-	evacuated         string // data centres
+	evacuated         string // data centres, joined
 }
 
 // New opens the socket.
@@ -131,11 +132,11 @@
 		address:       socket.LocalAddr().String(),
 		seeds:         o.Seeds,
 		socket:        socket,
-		began:         steady.Now(),
+		startedAt:     steady.Now(),
 		traffic:       newTraffic(o.Metrics),
 		members:       map[string]*member{},
-		windows:       map[uint64]*window{},
-		eventsWaiting: make(chan struct{}, 1),
+		replayWindows: map[uint64]*replayWindow{},
+		eventsPending: make(chan struct{}, 1),
 		memberAhead:   make(chan struct{}, 1),
 	}, nil
 }
@@ -145,21 +146,21 @@
 
 // Run sends and receives until ctx is done.
 func (g *Group) Run(ctx context.Context) {
-	g.options.Directory.SetRole(g.dueRole(steady.Now()))
+	g.options.Directory.SetRole(g.currentRole(steady.Now()))
 	go g.receive()
 	defer func() { _ = g.socket.Close() }() // nothing is sent any more
 	heartbeats := time.NewTicker(heartbeatInterval)
 	defer heartbeats.Stop()
 	checks := time.NewTicker(announceInterval)
 	defer checks.Stop()
-	questions := time.NewTicker(askInterval)
-	defer questions.Stop()
+	probes := time.NewTicker(probeInterval)
+	defer probes.Stop()
 	reports := time.NewTicker(reportInterval)
 	defer reports.Stop()
 	flush := time.NewTimer(flushDelay)
-	flush.Stop() // until events wait
+	flush.Stop() // until events are pending
 	defer flush.Stop()
-	g.observeOwnClock(steady.Now())
+	g.observeLocalClock(steady.Now())
 	g.sendHeartbeat(steady.Now())
 	checked := steady.Now()
 	for {
@@ -167,24 +168,24 @@
 		case <-ctx.Done():
 			return
 		case <-heartbeats.C:
-			g.beat(ctx, steady.Now())
+			g.tick(ctx, steady.Now())
 		case <-checks.C:
 			now := steady.Now()
-			g.noteStandstill(now.Sub(checked), now)
+			g.handlePause(now.Sub(checked), now)
 			checked = now
 			g.announceChanges(now)
-			g.seekSeeds(now)
-			if now.Sub(g.began) < meetingTime {
-				g.options.Directory.SetRole(g.dueRole(now))
+			g.retrySeeds(now)
+			if now.Sub(g.startedAt) < discoveryPeriod {
+				g.options.Directory.SetRole(g.currentRole(now))
 			}
-		case <-questions.C:
-			g.askRelays(steady.Now())
+		case <-probes.C:
+			g.probeRelays(steady.Now())
 		case <-reports.C:
 			g.sendReports(steady.Now())
 		case <-g.memberAhead:
 			g.catchUp(ctx, steady.Now())
 			time.AfterFunc(fetchDelay, func() { g.catchUp(ctx, steady.Now()) })
-		case <-g.eventsWaiting:
+		case <-g.eventsPending:
 			flush.Reset(flushDelay)
 		case <-flush.C:
 			g.flush(steady.Now())
@@ -192,11 +193,11 @@
 	}
 }
 
-// beat does what is due at each heartbeat.
-func (g *Group) beat(ctx context.Context, now time.Time) {
-	g.expire(now)
-	g.observeOwnClock(now)
+// tick does the work that is due at each heartbeat.
+func (g *Group) tick(ctx context.Context, now time.Time) {
+	g.expireMembers(now)
+	g.observeLocalClock(now)
 	g.sendHeartbeat(now)
 	g.catchUp(ctx, now)
-	g.options.Directory.SetRole(g.dueRole(now))
+	g.options.Directory.SetRole(g.currentRole(now))
 }
--- a/internal/direct/peers/heartbeat.go
+++ b/internal/direct/peers/heartbeat.go
@@ -9,9 +9,9 @@
 	"foxcross.dev/foxcross/internal/steady"
 )
 
-// sendHeartbeat tells of this entry those that hear of it directly: the live entries of
-// its data centre and of former versions, and the relays that pass it on. Every
-// seedInterval it names members and goes to seeds and lost entries as well.
+// sendHeartbeat sends a heartbeat to the peers that receive it directly: the live peers of the
+// local data centre, those of older versions, and the relays that report it. Every seedInterval
+// the heartbeat names members and also goes to seeds and lost peers.
 func (g *Group) sendHeartbeat(now time.Time) {
 	p := g.newPacket()
 	h := g.newHeartbeat()
@@ -19,32 +19,32 @@
 	g.mu.Lock()
 	h.Fence = g.fence
 	g.announced = announcement{
-		version: p.Version, revision: p.Revision, storeLost: h.StoreLost, fence: h.Fence, evacuated: listed(h.Evacuated),
+		version: p.Version, revision: p.Revision, storeLost: h.StoreLost, fence: h.Fence, evacuated: joinNames(h.Evacuated),
 	}
-	to := g.heartbeatAddresses(now)
-	var unmet []*net.UDPAddr
-	if now.Sub(g.seededAt) > g.seedInterval(now) {
-		g.seededAt = now
-		h.Members = g.named(now, g.options.DataCentre)
-		unmet = g.notLive(now)
+	to := g.heartbeatRecipients(now)
+	var unreachable []*net.UDPAddr
+	if now.Sub(g.seedsTriedAt) > g.seedInterval(now) {
+		g.seedsTriedAt = now
+		h.Members = g.sampleMembers(now, g.options.DataCentre)
+		unreachable = g.unreachableAddresses(now)
 	}
 	g.mu.Unlock()
 	g.send(p, to, heartbeatTraffic)
 	h.Reply = true
-	g.send(p, unmet, heartbeatTraffic)
+	g.send(p, unreachable, heartbeatTraffic)
 }
 
-// seekSeeds tries the seeds again while nobody is known, shortly after the start: those
-// that start at the same time may not have been there.
-func (g *Group) seekSeeds(now time.Time) {
-	if now.Sub(g.began) > meetingTime {
+// retrySeeds contacts the seeds again while no peer is known, during discoveryPeriod: a seed
+// that starts at the same time may not have been listening.
+func (g *Group) retrySeeds(now time.Time) {
+	if now.Sub(g.startedAt) > discoveryPeriod {
 		return
 	}
 	g.mu.Lock()
-	alone := len(g.members) == 0
-	seeds := g.notLive(now)
+	noMembers := len(g.members) == 0
+	seeds := g.unreachableAddresses(now)
 	g.mu.Unlock()
-	if !alone {
+	if !noMembers {
 		return
 	}
 	p := g.newPacket()
@@ -53,18 +53,18 @@
 	g.send(p, seeds, heartbeatTraffic)
 }
 
-// newHeartbeat returns what this entry says of itself.
+// newHeartbeat returns the current heartbeat of this process, without its fence and members.
 func (g *Group) newHeartbeat() *heartbeat {
 	d := g.options.Directory
 	h := &heartbeat{
 		Name:       g.options.Name,
-		ConfirmMS:  age(d.Confirmed()),
-		ContactMS:  age(d.LastContact()),
+		ConfirmMS:  ageMS(d.Confirmed()),
+		ContactMS:  ageMS(d.LastContact()),
 		Reading:    d.ReadsStore(),
 		ReadCost:   g.options.ReadCost,
 		Relayed:    true,
 		DataCentre: g.options.DataCentre,
-		Informed:   g.restored.Load() || steady.Since(g.began) > meetingTime,
+		Informed:   g.snapshotRestored.Load() || steady.Since(g.startedAt) > discoveryPeriod,
 		ClockMS:    steady.Wall().UnixMilli(),
 		Presence:   true,
 	}
@@ -74,45 +74,45 @@
 	return h
 }
 
-// listed returns data centres as one text, by which announcements are compared.
-func listed(dataCentres []string) string { return strings.Join(dataCentres, ",") }
+// joinNames returns the names of data centres as one string, so that announcements can be
+// compared.
+func joinNames(dataCentres []string) string { return strings.Join(dataCentres, ",") }
 
 // seedInterval returns the time between two heartbeats that name members.
 func (g *Group) seedInterval(now time.Time) time.Duration {
-	if now.Sub(g.began) < meetingTime {
-		return heartbeatInterval / 2 // at each one
+	if now.Sub(g.startedAt) < discoveryPeriod {
+		return heartbeatInterval / 2 // at every heartbeat
 	}
 	return seedInterval
 }
 
-// heartbeatAddresses returns the addresses of those that hear of this entry directly. The
-// group is locked.
-func (g *Group) heartbeatAddresses(now time.Time) []*net.UDPAddr {
+// heartbeatRecipients returns the addresses of the peers that receive heartbeats directly. g.mu
+// must be held.
+func (g *Group) heartbeatRecipients(now time.Time) []*net.UDPAddr {
 	plan := g.currentPlan(now)
-	to := append(g.formerAddresses(now), plan.local...)
-	if plan.relays {
-		to = append(to, plan.across...)
+	to := append(g.legacyAddresses(now), plan.local...)
+	if plan.isRelay {
+		to = append(to, plan.remote...)
 	}
 	return to
 }
 
-// replyTo answers an entry that wants to be met.
-func (g *Group) replyTo(m *net.UDPAddr, dataCentre string, now time.Time) {
+// replyWithHeartbeat answers a heartbeat that asks for a reply.
+func (g *Group) replyWithHeartbeat(m *net.UDPAddr, dataCentre string, now time.Time) {
 	p := g.newPacket()
 	p.Heartbeat = g.newHeartbeat()
 	g.mu.Lock()
 	p.Heartbeat.Fence = g.fence
-	p.Heartbeat.Members = g.named(now, dataCentre)
+	p.Heartbeat.Members = g.sampleMembers(now, dataCentre)
 	g.mu.Unlock()
 	g.send(p, []*net.UDPAddr{m}, heartbeatTraffic)
 }
 
-// announceChanges sends a heartbeat ahead of its time if what was announced has
-// changed.
+// announceChanges sends a heartbeat early if an announced value has changed.
 func (g *Group) announceChanges(now time.Time) {
 	version, revision := g.options.Directory.Versions()
 	lost := g.options.Directory.ReadsStore() && !g.options.Directory.Following()
-	evacuated := listed(g.options.Directory.Evacuations().DataCentres)
+	evacuated := joinNames(g.options.Directory.Evacuations().DataCentres)
 	g.mu.Lock()
 	changed := g.announced != announcement{
 		version: version, revision: revision, storeLost: lost, fence: g.fence, evacuated: evacuated,
@@ -123,22 +123,22 @@
 	}
 }
 
-// takeHeartbeat learns what an entry says of itself. The group is locked.
-func (g *Group) takeHeartbeat(m *member, h *heartbeat, now time.Time) {
+// applyHeartbeat records the content of a peer's heartbeat. g.mu must be held.
+func (g *Group) applyHeartbeat(m *member, h *heartbeat, now time.Time) {
 	if h.ClockMS > 0 {
-		g.clock.Observe(m.lastHeard, clock.Source(m.owner), time.UnixMilli(h.ClockMS))
+		g.clock.Observe(m.lastSeen, clock.Source(m.owner), time.UnixMilli(h.ClockMS))
 	}
 	m.rank = rankOf(h.Name, h.ReadCost)
-	m.far = h.Relayed && h.DataCentre != g.options.DataCentre
+	m.remote = h.Relayed && h.DataCentre != g.options.DataCentre
 	m.heartbeat = *h
 	m.heartbeat.Members = nil
 	m.heartbeat.Reply = false
 	if m.name != h.Name {
-		g.replan = true
+		g.planStale = true
 		m.name = h.Name
-		log.With("peer", h.Name).With("address", m.address.String()).Info("An entry was met.")
+		log.With("peer", h.Name).With("address", m.address.String()).Info("Discovered a peer.")
 	}
-	m.inContact = h.ContactMS >= 0 && h.ContactMS <= contactFor.Milliseconds()
+	m.storeAnswered = h.ContactMS >= 0 && h.ContactMS <= storeTimeout.Milliseconds()
 	m.storeLost = h.StoreLost
 	switch {
 	case !h.Reading:
@@ -147,6 +147,6 @@
 		m.readingSince = now
 	}
 	for _, a := range h.Members {
-		g.learn(a)
+		g.addSeed(a)
 	}
 }
--- a/internal/direct/peers/member.go
+++ b/internal/direct/peers/member.go
@@ -1,13 +1,13 @@
-// Who is a member of the group.
+// Membership of the group.
 //
-// Rule: an entry of the own data centre is live while it was heard within aliveFor, one of
-// another while its relays have told of it within reportedFor; one that is not is told
-// to the listener as gone, and forgotten after forgetAfter. An entry that is heard
-// with a new incarnation has ended its earlier one. Entries are met through the seeds
-// of the settings, which are tried every seedInterval, and through the members that
-// others name.
-// Inputs: datagrams with their senders' addresses, the time.
-// Never: membership is not agreed on; each entry has its own view.
+// Rule: a peer in the local data centre is live if a packet from it arrived within
+// memberTimeout. A peer in another data centre is live if a relay reported it within
+// remoteMemberTimeout. A peer that is not live is reported to the listener as gone and removed
+// after removeAfter. A packet with a new incarnation ends the peer's previous incarnation. Peers
+// are discovered through the seeds in the settings, which are contacted every seedInterval, and
+// through the members named by other peers.
+// Inputs: datagrams with their source addresses, the time.
+// Never: peers agree on the membership; each has its own view.
 
 package peers
 
@@ -21,71 +21,71 @@
 )
 
 const (
-	// aliveFor is how long after its last datagram an entry counts as live: four heartbeats
-	// are lost in a row.
-	aliveFor = 1200 * time.Millisecond
-	// reportedFor is the same for an entry of another data centre, of which two relays tell in
-	// turns. It is aliveFor and one report that is lost.
-	reportedFor = aliveFor + 2*reportInterval
-	// forgetAfter is how long a lost entry is still tried.
-	forgetAfter  = time.Minute
+	// memberTimeout is how long a peer counts as live after its last datagram: the time of four
+	// lost heartbeats in a row.
+	memberTimeout = 1200 * time.Millisecond
+	// remoteMemberTimeout is the same for a peer in another data centre, which two relays report
+	// alternately: memberTimeout plus one lost report.
+	remoteMemberTimeout = memberTimeout + 2*reportInterval
+	// removeAfter is how long a lost peer is still contacted.
+	removeAfter  = time.Minute
 	seedInterval = time.Second
-	// maxMembers bounds the entries that are remembered. Above the 620 nodes of
+	// maxMembers bounds the number of known peers. It is above the 620 nodes of
 	// docs/CAPACITY.md.
-	maxMembers = 1024
-	maxNamed   = 16
-	// meetingTime is how long after its start an entry names members in each heartbeat:
-	// entries that start together know only the seeds.
-	meetingTime = 3 * time.Second
+	maxMembers      = 1024
+	maxNamedMembers = 16
+	// discoveryPeriod is how long after its start a process names members in each heartbeat:
+	// peers that start at the same time know only the seeds.
+	discoveryPeriod = 3 * time.Second
 )
 
-// member is another entry.
+// member is the state of one other peer.
 type member struct {
-	owner        uint64 // its incarnation, 0 after it was lost
-	lostOwner    uint64 // its incarnation when it was lost
-	briefed      bool   // this entry has told it the records of other data centres
-	told         told   // what this entry, as a relay, has told other data centres of it
-	name         string // empty before its first heartbeat
-	address      *net.UDPAddr
-	far          bool      // in another data centre
-	heartbeat    heartbeat // its last one
-	lastHeard    time.Time // by this entry, or by a relay that told of it
-	version      uint64    // of its settings
-	revision     uint64    // of its endpoints
-	leads        [parts]lead
-	readingSince time.Time   // it reads the store, zero for not
-	inContact    bool        // at its last heartbeat the store had answered it lately
-	storeLost    bool        // the store did not answer its last call
-	rank         fanout.Rank // among those that read the store and pass notes on
-	askedAt      time.Time   // the first time that it was asked and did not answer, zero for none
-	questioned   time.Time   // the last time that it was asked
-	directAt     time.Time   // the last time that it was heard by this entry itself
+	owner              uint64      // incarnation, 0 once lost
+	lastOwner          uint64      // incarnation when it was lost
+	initialRecordsSent bool        // this process has sent it the records of other data centres
+	recordSends        recordSends // what this process, as a relay, has sent about it to other data centres
+	name               string      // empty before its first heartbeat
+	address            *net.UDPAddr
+	remote             bool      // in another data centre
+	heartbeat          heartbeat // the most recent one
+	lastSeen           time.Time // by this process, or by a relay that reported it
+	version            uint64    // of its settings
+	revision           uint64    // of its list of endpoints
+	aheadStates        [partCount]aheadState
+	readingSince       time.Time   // since when it reads the store, zero if it does not
+	storeAnswered      bool        // the store had answered it within storeTimeout of its last heartbeat
+	storeLost          bool        // its last call to the store failed
+	rank               fanout.Rank // among the peers that may read the store or act as relays
+	unansweredSince    time.Time   // time of the first unanswered probe, zero for none
+	lastProbed         time.Time   // time of the last probe
+	lastDirect         time.Time   // time of the last packet from the peer itself
 }
 
-// incarnation returns the member's incarnation, also if it is lost.
+// incarnation returns the incarnation of the peer, including that of a lost peer.
 func (m *member) incarnation() uint64 {
 	if m.owner == 0 {
-		return m.lostOwner
+		return m.lastOwner
 	}
 	return m.owner
 }
 
 func (m *member) alive(now time.Time) bool {
-	if m.far {
-		return now.Sub(m.lastHeard) < reportedFor
+	if m.remote {
+		return now.Sub(m.lastSeen) < remoteMemberTimeout
 	}
-	return now.Sub(m.lastHeard) < aliveFor
+	return now.Sub(m.lastSeen) < memberTimeout
 }
 
-// relayed tells whether the entry is told of events by relays.
+// relayed reports whether relays forward events to the peer.
 func (m *member) relayed() bool { return m.heartbeat.Relayed }
 
-// silent tells whether the entry does not answer.
-func (m *member) silent(now time.Time) bool {
-	return !m.askedAt.IsZero() && now.Sub(m.askedAt) > silentAfter
+// unresponsive reports whether the peer has left probes unanswered for longer than probeTimeout.
+func (m *member) unresponsive(now time.Time) bool {
+	return !m.unansweredSince.IsZero() && now.Sub(m.unansweredSince) > probeTimeout
 }
 
-// Live returns the number of live entries, this one included.
+// Live returns the number of live peers, including this process.
 func (g *Group) Live() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -99,8 +99,9 @@
 	return n
 }
 
-// Census returns the number of live entries, and of those that may be sending requests
-// though they are not heard: lost ones that are not forgotten. Both count this one.
+// Census returns the number of live peers, and the number of known peers: live ones and lost
+// ones that have not been removed, which may still be sending requests. Both include this
+// process.
 func (g *Group) Census() (live, known int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -118,33 +119,34 @@
 	return live, known
 }
 
-// expire tells the listener of lost entries, and forgets those that were lost long
-// ago.
-func (g *Group) expire(now time.Time) {
-	var gone []uint64
+// expireMembers reports lost peers to the listener and removes those lost for longer than
+// removeAfter.
+func (g *Group) expireMembers(now time.Time) {
+	var goneOwners []uint64
 	g.mu.Lock()
 	for address, m := range g.members {
 		if !m.alive(now) && m.owner != 0 {
 			log.With("peer", m.name).Info("An entry is lost: nothing was heard of it.")
-			gone = append(gone, m.owner)
-			delete(g.windows, m.owner)
-			m.lostOwner = m.owner
+			goneOwners = append(goneOwners, m.owner)
+			delete(g.replayWindows, m.owner)
+			m.lastOwner = m.owner
 			m.owner = 0
-			g.replan = true
+			g.planStale = true
 		}
-		if now.Sub(m.lastHeard) > forgetAfter {
+		if now.Sub(m.lastSeen) > removeAfter {
 			delete(g.members, address)
 		}
 	}
 	g.mu.Unlock()
-	for _, owner := range gone {
+	for _, owner := range goneOwners {
 		g.options.Listener.MemberGone(owner)
 	}
 }
 
-// meet finds or adds the sender of a packet. It returns its earlier incarnation if
-// that has ended, else 0; no member if there are too many. The group is locked.
-func (g *Group) meet(p packet, from *net.UDPAddr, now time.Time) (m *member, ended uint64) {
+// findOrAddMember returns the member that sent a packet, adding it if it is new. It returns the
+// member's previous incarnation if that has ended, else 0. The member is nil if there are
+// already maxMembers. g.mu must be held.
+func (g *Group) findOrAddMember(p packet, from *net.UDPAddr, now time.Time) (m *member, ended uint64) {
 	key := from.String()
 	m = g.members[key]
 	if m == nil {
@@ -154,22 +156,22 @@
 		m = &member{address: from}
 		g.members[key] = m
 	}
-	if m.owner == 0 && m.lostOwner == p.Owner {
-		m.owner = p.Owner // it was lost, and is back
-		g.replan = true
+	if m.owner == 0 && m.lastOwner == p.Owner {
+		m.owner = p.Owner // a lost peer is back
+		g.planStale = true
 	}
 	if m.owner != p.Owner {
 		ended = m.owner
-		delete(g.windows, ended)
+		delete(g.replayWindows, ended)
 		*m = member{address: from, owner: p.Owner}
-		g.replan = true
+		g.planStale = true
 	}
-	m.lastHeard = now
+	m.lastSeen = now
 	return m, ended
 }
 
-// learn adds an entry that another one names to the seeds. The group is locked.
-func (g *Group) learn(address string) {
+// addSeed adds an address named by another peer to the seeds. g.mu must be held.
+func (g *Group) addSeed(address string) {
 	if address == g.address || g.members[address] != nil || len(g.members) >= maxMembers || slices.Contains(g.seeds, address) {
 		return
 	}
@@ -179,9 +181,9 @@
 	}
 }
 
-// formerAddresses returns the addresses of the live entries of former versions, which are
-// told by each entry itself. The group is locked.
-func (g *Group) formerAddresses(now time.Time) []*net.UDPAddr {
+// legacyAddresses returns the addresses of the live peers of older versions, which each process
+// sends its events to directly. g.mu must be held.
+func (g *Group) legacyAddresses(now time.Time) []*net.UDPAddr {
 	var all []*net.UDPAddr
 	for _, m := range g.members {
 		if m.alive(now) && m.name != "" && !m.relayed() {
@@ -191,26 +193,27 @@
 	return all
 }
 
-// named returns the addresses of some live entries as text, those of a data centre first.
-// Over time all are named, since a map is read in random order. The group is locked.
-func (g *Group) named(now time.Time, dataCentre string) []string {
-	var near, far []string
+// sampleMembers returns the addresses of some live peers, those of the given data centre first.
+// The iteration order of the map is random, so repeated calls cover all peers. g.mu must be
+// held.
+func (g *Group) sampleMembers(now time.Time, dataCentre string) []string {
+	var local, remote []string
 	for address, m := range g.members {
 		switch {
 		case !m.alive(now):
 		case m.heartbeat.DataCentre == dataCentre:
-			near = append(near, address)
-		case len(far) < maxNamed:
-			far = append(far, address)
+			local = append(local, address)
+		case len(remote) < maxNamedMembers:
+			remote = append(remote, address)
 		}
 	}
-	near = near[:min(len(near), maxNamed*3/4)] // some of other data centres are met as well
-	return append(near, far[:min(len(far), maxNamed-len(near))]...)
+	local = local[:min(len(local), maxNamedMembers*3/4)] // leaves slots for other data centres
+	return append(local, remote[:min(len(remote), maxNamedMembers-len(local))]...)
 }
 
-// notLive returns the addresses of seeds that never answered and of some lost entries.
-// The group is locked.
-func (g *Group) notLive(now time.Time) []*net.UDPAddr {
+// unreachableAddresses returns the addresses of seeds that have not answered yet and of some
+// lost peers. g.mu must be held.
+func (g *Group) unreachableAddresses(now time.Time) []*net.UDPAddr {
 	var all []*net.UDPAddr
 	for _, s := range g.seeds {
 		if g.members[s] != nil || s == g.address {
@@ -218,14 +221,14 @@
 		}
 		a, err := net.ResolveUDPAddr("udp4", s)
 		if err != nil {
-			log.With("address", s).With("reason", err.Error()).Limited("seed", "A seed is not an address and is left out.")
+			log.With("address", s).With("reason", err.Error()).Limited("seed", "Ignoring a seed with an invalid address.")
 			continue
 		}
 		all = append(all, a)
 	}
 	lost := 0
 	for _, m := range g.members {
-		if !m.alive(now) && lost < maxNamed {
+		if !m.alive(now) && lost < maxNamedMembers {
 			lost++
 			all = append(all, m.address)
 		}
--- a/internal/direct/peers/packet.go
+++ b/internal/direct/peers/packet.go
@@ -1,14 +1,14 @@
-// Package peers keeps the entries of the direct way informed of each other: which
-// attempts each has sent where and how they went, as datagrams that may be lost, and
-// on request the settings and the list of endpoints, over TCP.
+// Package peers exchanges state between the gateway processes of a fleet, the peers. Events
+// about attempts (sent, first event, ended) travel as datagrams that may be lost. Settings and
+// the list of endpoints are fetched over TCP.
 //
-// What goes over the wire stands in packet.go and state.go; who is a member in
-// member.go; who passes notes on in relay.go, and how in bundle.go; what data centres tell
-// each other of their members in report.go; who reads the platform's store in role.go;
-// when an entry fetches what another knows in catchup.go.
+// The wire format is in packet.go and state.go, membership in member.go, the selection of relays
+// in relay.go, the forwarding of events in bundle.go, reports between data centres in report.go,
+// the selection of the peers that read the platform's store in role.go, and fetching from other
+// peers in catchup.go.
 //
-// Group.mu is taken last: a caller may hold locks of its own, and listeners are not
-// called while it is held.
+// Group.mu is the last lock to be acquired: a caller may hold locks of its own, and listeners
+// are called without it.
 package peers
 
 import (
@@ -23,40 +23,41 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Kind says what an event is.
+// Kind is the type of an event.
 type Kind uint8
 
 // The kinds of events. Their numbers are on the wire.
 const (
 	AttemptSent Kind = iota + 1
-	FirstEvent       // of the attempt's answer
+	FirstEvent       // of the attempt's response
 	AttemptEnded
-	PartsKept       // by an engine, as it says itself; entries of former versions pass over it and what follows
-	EndpointCrashed // with Runs under way
+	PartsKept       // by an engine, as reported by it; peers of older versions ignore this and the following kinds
+	EndpointCrashed // while Runs were executing
 	ContentCleared  // Runs succeeded
-	ContentHeld     // as the store's records say
-	LimitAnnounced  // of an endpoint, as its answer said
+	ContentHeld     // according to the store's records
+	LimitAnnounced  // of an endpoint, from its response
 	EndpointDraining
 )
 
-// Event is one thing that happened to an attempt of the sender.
+// Event is a change of one attempt of the sender, or of what the sender observed about an
+// endpoint or a content.
 type Event struct {
 	Kind     Kind               `cbor:"1,keyasint"`
-	Number   uint64             `cbor:"2,keyasint"`           // of the attempt, at its owner
+	Number   uint64             `cbor:"2,keyasint"`           // of the attempt, unique per owner
 	Endpoint string             `cbor:"3,keyasint,omitempty"` // of AttemptSent, PartsKept, LimitAnnounced and EndpointDraining
 	Request  *placement.Request `cbor:"4,keyasint,omitempty"` // of AttemptSent
 	Outcome  placement.Outcome  `cbor:"5,keyasint,omitempty"` // of AttemptEnded
-	AgeMS    int64              `cbor:"6,keyasint,omitempty"` // since it happened, when it is sent
-	Fetch    *memory.Fetch      `cbor:"7,keyasint,omitempty"` // of AttemptSent, nil for none; entries of former versions pass over it
+	AgeMS    int64              `cbor:"6,keyasint,omitempty"` // time since the event, when it is sent
+	Fetch    *memory.Fetch      `cbor:"7,keyasint,omitempty"` // of AttemptSent, nil for none; peers of older versions ignore it
 	Parts    []memory.Part      `cbor:"8,keyasint,omitempty"` // of PartsKept
 
 	Runs  []quarantine.RunReport  `cbor:"9,keyasint,omitempty"`  // of EndpointCrashed and ContentCleared
 	Holds []quarantine.HoldReport `cbor:"10,keyasint,omitempty"` // of ContentHeld
 
 	Limit  float64 `cbor:"11,keyasint,omitempty"` // of LimitAnnounced, in requests a second, 0 for none
-	SentMS int64   `cbor:"12,keyasint,omitempty"` // of LimitAnnounced, from the send of the request to the answer
+	SentMS int64   `cbor:"12,keyasint,omitempty"` // of LimitAnnounced, from sending the request to its response
 
-	at time.Time // when it happened, at the sender
+	occurredAt time.Time // on the sender's clock
 }
 
 // Fetched returns what the attempt fetches.
@@ -67,137 +68,137 @@
 	return *e.Fetch
 }
 
-// packet is one datagram. Entries of former versions send and read the first five fields
-// only; they are told of events by each entry itself.
+// packet is one datagram. Peers of older versions send and read only the first five fields;
+// every process sends its events to them directly.
 type packet struct {
 	Owner     uint64     `cbor:"1,keyasint"`           // incarnation of the sender
 	Version   uint64     `cbor:"2,keyasint,omitempty"` // of the settings in force
 	Revision  uint64     `cbor:"3,keyasint,omitempty"` // of the list of endpoints
-	Events    []Event    `cbor:"4,keyasint,omitempty"` // to and from entries of former versions
+	Events    []Event    `cbor:"4,keyasint,omitempty"` // to and from peers of older versions
 	Heartbeat *heartbeat `cbor:"5,keyasint,omitempty"`
 
 	Hop      hop       `cbor:"6,keyasint,omitempty"` // of Sections and Reports
 	Sections []section `cbor:"7,keyasint,omitempty"`
 	Reports  []report  `cbor:"8,keyasint,omitempty"`
-	Question question  `cbor:"9,keyasint,omitempty"`
-	Usage    *usage    `cbor:"10,keyasint,omitempty"` // of the sender, to those that may hold the duties
-	Presence *presence `cbor:"11,keyasint,omitempty"` // to entries that understand it
+	Question probe     `cbor:"9,keyasint,omitempty"`
+	Usage    *usage    `cbor:"10,keyasint,omitempty"` // of the sender, sent to peers that may hold the duties
+	Presence *presence `cbor:"11,keyasint,omitempty"` // sent to peers that support it
 }
 
-// hop is the part of the way that a packet goes; what it carries is passed on over those
-// after it.
+// hop is the step of the route that a packet travels; its content is forwarded over the
+// following steps.
 type hop uint8
 
 // The hops. Their numbers are on the wire.
 const (
-	hopUp     hop = iota + 1 // from a member to a relay of its data centre
-	hopAcross                // from a relay to one of another data centre
-	hopLocal                 // from a relay to the members of its data centre
+	hopToRelay hop = iota + 1 // from a member to a relay of its data centre
+	hopRemote                 // from a relay to one of another data centre
+	hopLocal                  // from a relay to the members of its data centre
 )
 
-// question is the question whether a relay answers, or the answer.
-type question uint8
+// probe is a liveness probe of a relay, or the reply.
+type probe uint8
 
-// The questions. Their numbers are on the wire.
+// The probe messages. Their numbers are on the wire.
 const (
-	asked question = iota + 1
-	answered
+	probeRequest probe = iota + 1
+	probeReply
 )
 
-// section is what one entry told at one time. It is passed on as it came.
+// section is a batch of events of one peer, forwarded unchanged except for HeldMS.
 type section struct {
 	_      struct{}          `cbor:",toarray"`
-	Owner  uint64            // incarnation of the entry
+	Owner  uint64            // incarnation of the peer
 	Number uint64            // of the section, counted by its owner from 1
-	HeldMS int64             // that relays held it
-	Events []cbor.RawMessage // each an Event
+	HeldMS int64             // time spent in relays
+	Events []cbor.RawMessage // each an encoded Event
 
-	from time.Time // when it came here, at a relay
+	receivedAt time.Time // at this relay
 }
 
-// report is what a relay says of a member of its data centre.
+// report is a relay's record of a member of its data centre.
 type report struct {
 	Address   string    `cbor:"1,keyasint"`
 	Owner     uint64    `cbor:"2,keyasint"`
 	Version   uint64    `cbor:"3,keyasint,omitempty"`
 	Revision  uint64    `cbor:"4,keyasint,omitempty"`
-	AgeMS     int64     `cbor:"5,keyasint,omitempty"` // since it was heard
-	Heartbeat heartbeat `cbor:"6,keyasint"`           // its last one
+	AgeMS     int64     `cbor:"5,keyasint,omitempty"` // time since the member was last seen
+	Heartbeat heartbeat `cbor:"6,keyasint"`           // the most recent one
 }
 
-// heartbeat is what an entry says of itself at intervals.
+// heartbeat is the periodic status of a peer.
 type heartbeat struct {
 	Name      string   `cbor:"1,keyasint"`
-	Members   []string `cbor:"2,keyasint,omitempty"` // addresses of some live entries, now and then
-	Leaving   bool     `cbor:"3,keyasint,omitempty"` // reserved: never sent, not looked at
-	ConfirmMS int64    `cbor:"4,keyasint"`           // since the settings were confirmed as the newest, -1 for never
-	ContactMS int64    `cbor:"5,keyasint"`           // since the last call that the store answered, -1 for never
+	Members   []string `cbor:"2,keyasint,omitempty"` // addresses of some live peers, in some heartbeats
+	Leaving   bool     `cbor:"3,keyasint,omitempty"` // reserved: never sent, ignored
+	ConfirmMS int64    `cbor:"4,keyasint"`           // time since the settings were confirmed as the newest, -1 for never
+	ContactMS int64    `cbor:"5,keyasint"`           // time since the last call that the store answered, -1 for never
 	Reading   bool     `cbor:"6,keyasint,omitempty"` // the sender reads the store
-	StoreLost bool     `cbor:"7,keyasint,omitempty"` // the store did not answer the last call
-	ReadCost  int      `cbor:"8,keyasint,omitempty"` // ms to take in a large version of the settings, 0 for not known
+	StoreLost bool     `cbor:"7,keyasint,omitempty"` // the sender's last call to the store failed
+	ReadCost  int      `cbor:"8,keyasint,omitempty"` // ms to read a large version of the settings, 0 if unknown
 
-	// Entries of former versions send none of these.
-	Relayed    bool   `cbor:"9,keyasint,omitempty"`  // the sender is told of events by relays
+	// Peers of older versions send none of these.
+	Relayed    bool   `cbor:"9,keyasint,omitempty"`  // relays forward events to the sender
 	DataCentre string `cbor:"10,keyasint,omitempty"` // of the sender
-	Reply      bool   `cbor:"11,keyasint,omitempty"` // the sender wants a heartbeat back
-	Informed   bool   `cbor:"12,keyasint,omitempty"` // the sender has heard of attempts for long, or was handed a snapshot
-	ClockMS    int64  `cbor:"13,keyasint,omitempty"` // the sender's time of day, since the start of 1970
-	Fence      uint64 `cbor:"14,keyasint,omitempty"` // with which the sender holds the duties, 0 for not
+	Reply      bool   `cbor:"11,keyasint,omitempty"` // the sender requests a heartbeat in reply
+	Informed   bool   `cbor:"12,keyasint,omitempty"` // the sender has received events for at least discoveryPeriod, or restored a snapshot
+	ClockMS    int64  `cbor:"13,keyasint,omitempty"` // the sender's wall clock, in ms since 1970
+	Fence      uint64 `cbor:"14,keyasint,omitempty"` // with which the sender holds the duties, 0 if it does not
 
 	Evacuated   []string `cbor:"15,keyasint,omitempty"` // data centres, at EvacuatedAt
-	EvacuatedAt uint64   `cbor:"16,keyasint,omitempty"` // revision of the store, 0 for not known
-	Presence    bool     `cbor:"17,keyasint,omitempty"` // the sender understands packets with one
+	EvacuatedAt uint64   `cbor:"16,keyasint,omitempty"` // revision of the store, 0 if unknown
+	Presence    bool     `cbor:"17,keyasint,omitempty"` // the sender supports packets with a presence
 }
 
-// evacuations returns what the sender knows of evacuated data centres.
+// evacuations returns the evacuated data centres known to the sender.
 func (h *heartbeat) evacuations() driver.Evacuations {
 	return driver.Evacuations{Revision: h.EvacuatedAt, DataCentres: h.Evacuated}
 }
 
 const (
-	// maxEventBytes is about how many bytes of events go into one datagram: one
-	// Ethernet frame with some room.
-	maxEventBytes = 1200
+	// maxPayloadBytes is the approximate limit of the payload of a datagram, in bytes: one
+	// Ethernet frame with some space left.
+	maxPayloadBytes = 1200
 	// maxDatagram is the largest datagram that UDP carries, in bytes.
 	maxDatagram = 64 << 10
-	// never stands for an age that is unknown.
-	never = -1
+	// unknownAge is the age of an event that has not happened.
+	unknownAge = -1
 )
 
-// age returns the milliseconds since a time, never for the zero time.
-func age(at time.Time) int64 {
+// ageMS returns the milliseconds since a time, unknownAge for the zero time.
+func ageMS(at time.Time) int64 {
 	if at.IsZero() {
-		return never
+		return unknownAge
 	}
 	return steady.Since(at).Milliseconds()
 }
 
-// since returns the time that an age stands for.
-func since(now time.Time, ms int64) time.Time {
+// timeAtAge returns the time that lies an age before now, the zero time for a negative age.
+func timeAtAge(now time.Time, ms int64) time.Time {
 	if ms < 0 {
 		return time.Time{}
 	}
 	return now.Add(-time.Duration(ms) * time.Millisecond)
 }
 
-// sized is something to be sent and about how many bytes it takes in a datagram.
+// sized is an item to be sent and its approximate size in a datagram, in bytes.
 type sized[T any] struct {
 	item T
 	size int
 }
 
-// inDatagrams cuts what is to be sent into parts of about maxEventBytes.
-func inDatagrams[T any](all []sized[T]) [][]T {
+// splitDatagrams splits items into groups of about maxPayloadBytes.
+func splitDatagrams[T any](all []sized[T]) [][]T {
 	var parts [][]T
-	room := 0
+	free := 0
 	for _, x := range all {
-		if len(parts) == 0 || x.size > room {
+		if len(parts) == 0 || x.size > free {
 			parts = append(parts, nil)
-			room = maxEventBytes
+			free = maxPayloadBytes
 		}
 		last := len(parts) - 1
 		parts[last] = append(parts[last], x.item)
-		room -= x.size
+		free -= x.size
 	}
 	return parts
 }
--- a/internal/direct/peers/peers_test.go
+++ b/internal/direct/peers/peers_test.go
@@ -27,8 +27,8 @@
 	RunSpecs(t, "peers")
 }
 
-// entry is one entry's end of the group.
-type entry struct {
+// testPeer is one peer of a group.
+type testPeer struct {
 	group     *peers.Group
 	directory *directory.Directory
 	end       context.CancelFunc
@@ -38,40 +38,40 @@
 	lost   []uint64
 }
 
-func (e *entry) TakeEvents(_ uint64, events []peers.Event) {
+func (e *testPeer) TakeEvents(_ uint64, events []peers.Event) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.events = append(e.events, events...)
 }
 
-func (e *entry) MemberGone(owner uint64) {
+func (e *testPeer) MemberGone(owner uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.lost = append(e.lost, owner)
 }
 
-func (e *entry) heard() []peers.Event {
+func (e *testPeer) receivedEvents() []peers.Event {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]peers.Event(nil), e.events...)
 }
 
-func (e *entry) gone() []uint64 {
+func (e *testPeer) goneOwners() []uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]uint64(nil), e.lost...)
 }
 
-// join starts an entry; an empty address takes a free port.
-func join(name, address string, owner uint64, seeds ...string) *entry {
+// startPeer starts a peer; an empty address uses a free port.
+func startPeer(name, address string, owner uint64, seeds ...string) *testPeer {
 	GinkgoHelper()
-	return joinIn("", name, address, owner, seeds...)
+	return startPeerIn("", name, address, owner, seeds...)
 }
 
-// joinIn is join in a data centre.
-func joinIn(dataCentre, name, address string, owner uint64, seeds ...string) *entry {
+// startPeerIn is startPeer in a data centre.
+func startPeerIn(dataCentre, name, address string, owner uint64, seeds ...string) *testPeer {
 	GinkgoHelper()
-	e := &entry{}
+	e := &testPeer{}
 	e.directory = directory.New(func(directory.InForce) {}, func([]placement.Endpoint) {}, func([]string) {})
 	if address == "" {
 		address = freeAddress()
@@ -117,43 +117,43 @@
 	}
 }
 
-var _ = Describe("a group of entries", func() {
-	It("meets over one seed and passes events on to all", func() {
-		a := join("a", "", 1)
-		b := join("b", "", 2, a.group.Address())
-		c := join("c", "", 3, a.group.Address())
-		for _, e := range []*entry{a, b, c} {
+var _ = Describe("a group of peers", func() {
+	It("discovers all peers through one seed and sends events to all", func() {
+		a := startPeer("a", "", 1)
+		b := startPeer("b", "", 2, a.group.Address())
+		c := startPeer("c", "", 3, a.group.Address())
+		for _, e := range []*testPeer{a, b, c} {
 			Eventually(e.group.Live).Should(Equal(3))
 		}
 		request := &placement.Request{Service: "pool", Prompt: memory.Prompt{Tokens: 9}}
 		b.group.Broadcast(peers.Event{Kind: peers.AttemptSent, Number: 7, Endpoint: "i-1", Request: request})
-		for _, e := range []*entry{a, c} {
-			Eventually(e.heard).Should(HaveExactElements(And(
+		for _, e := range []*testPeer{a, c} {
+			Eventually(e.receivedEvents).Should(HaveExactElements(And(
 				HaveField("Kind", peers.AttemptSent), HaveField("Number", uint64(7)),
 				HaveField("Endpoint", "i-1"), HaveField("Request", request),
 			)))
 		}
-		Expect(b.heard()).To(BeEmpty())
+		Expect(b.receivedEvents()).To(BeEmpty())
 	})
 
-	It("hands on only what the asker lacks", func() {
-		a := join("a", "", 1)
+	It("sends only settings newer than the client's", func() {
+		a := startPeer("a", "", 1)
 		a.directory.TakeSettings(5, settings.NewTree(map[string]settings.Node{"": {}, "routes": {}}), "test")
 		a.directory.TakeEndpoints(driver.Endpoints{Revision: 9, List: []placement.Endpoint{{ID: "i-1", Service: "pool"}}}, "test")
 		size := func(version string) int {
-			answer, err := http.Get("http://" + a.group.Address() + "/state?version=" + version)
+			response, err := http.Get("http://" + a.group.Address() + "/state?version=" + version)
 			Expect(err).NotTo(HaveOccurred())
-			defer func() { _ = answer.Body.Close() }()
-			body, err := io.ReadAll(answer.Body)
+			defer func() { _ = response.Body.Close() }()
+			body, err := io.ReadAll(response.Body)
 			Expect(err).NotTo(HaveOccurred())
 			return len(body)
 		}
 		Expect(size("5")).To(BeNumerically("<", size("4")))
 	})
 
-	It("hands on the changes of a long list, not the list", func() {
-		a := join("a", "", 1)
-		b := join("b", "", 2, a.group.Address())
+	It("sends the changes of a long list instead of the list", func() {
+		a := startPeer("a", "", 1)
+		b := startPeer("b", "", 2, a.group.Address())
 		var list []placement.Endpoint
 		for n := range 500 {
 			list = append(list, placement.Endpoint{ID: fmt.Sprint("i-", n), Service: "pool"})
@@ -164,42 +164,42 @@
 		a.directory.Apply(driver.Change{Revision: 11, Gone: []string{"i-7"}, Changed: []placement.Endpoint{{ID: "i-8", Leaving: true}}})
 		Eventually(func() uint64 { _, r := b.directory.Versions(); return r }).Should(BeEquivalentTo(11))
 		Expect(b.directory.Endpoints()).To(Equal(a.directory.Endpoints()))
-		answer, err := http.Get("http://" + a.group.Address() + "/state?version=5&revision=9")
+		response, err := http.Get("http://" + a.group.Address() + "/state?version=5&revision=9")
 		Expect(err).NotTo(HaveOccurred())
-		defer func() { _ = answer.Body.Close() }()
-		body, err := io.ReadAll(answer.Body)
+		defer func() { _ = response.Body.Close() }()
+		body, err := io.ReadAll(response.Body)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(len(body)).To(BeNumerically("<", 300))
 	})
 
-	It("tells how long ago something happened", func() {
-		a := join("a", "", 1)
-		b := join("b", "", 2, a.group.Address())
+	It("sends the age of an event", func() {
+		a := startPeer("a", "", 1)
+		b := startPeer("b", "", 2, a.group.Address())
 		Eventually(a.group.Live).Should(Equal(2))
 		Eventually(b.group.Live).Should(Equal(2))
 		b.group.Broadcast(peers.Event{Kind: peers.FirstEvent, Number: 7})
-		Eventually(a.heard).Should(HaveLen(1))
-		Expect(a.heard()[0].AgeMS).To(BeNumerically(">=", 9), "it waited for others")
+		Eventually(a.receivedEvents).Should(HaveLen(1))
+		Expect(a.receivedEvents()[0].AgeMS).To(BeNumerically(">=", 9), "the event waited for flushDelay")
 		b.group.Broadcast(peers.Event{Kind: peers.AttemptEnded, Number: 7})
 		b.group.Broadcast(peers.Event{Kind: peers.AttemptSent, Number: 8})
-		Eventually(a.heard).Should(HaveLen(3))
-		Expect(a.heard()[1].AgeMS).To(BeNumerically("<", 1000))
+		Eventually(a.receivedEvents).Should(HaveLen(3))
+		Expect(a.receivedEvents()[1].AgeMS).To(BeNumerically("<", 1000))
 	})
 
-	It("notices that one is gone, and one that started anew", func() {
-		a := join("a", "", 1)
-		b := join("b", "", 2, a.group.Address())
+	It("detects that a peer is gone and that it restarted", func() {
+		a := startPeer("a", "", 1)
+		b := startPeer("b", "", 2, a.group.Address())
 		address := b.group.Address()
 		Eventually(a.group.Live).Should(Equal(2))
 		b.end()
-		join("b", address, 22, a.group.Address())
-		Eventually(a.gone).Should(ContainElement(uint64(2)))
+		startPeer("b", address, 22, a.group.Address())
+		Eventually(a.goneOwners).Should(ContainElement(uint64(2)))
 		Eventually(a.group.Live).Should(Equal(2))
 	})
 
-	It("hands the newest settings and endpoints to one that can't read them", func() {
-		a := join("a", "", 1)
-		b := join("b", "", 2, a.group.Address())
+	It("sends the newest settings and endpoints to a peer that can't read the store", func() {
+		a := startPeer("a", "", 1)
+		b := startPeer("b", "", 2, a.group.Address())
 		a.directory.TakeSettings(5, settings.NewTree(map[string]settings.Node{"": {}, "routes": {}}), "test")
 		a.directory.TakeEndpoints(driver.Endpoints{Revision: 9, List: []placement.Endpoint{{ID: "i-1", Service: "pool"}}}, "test")
 		Eventually(b.directory.Known).Should(BeTrue())
--- a/internal/direct/peers/presence.go
+++ b/internal/direct/peers/presence.go
@@ -1,13 +1,14 @@
-// How relays keep other data centres told of who lives in theirs.
+// Presence: compact reports of which members of a data centre are live.
 //
-// Rule: a relay tells the record of a member (report.go) when it is new or has changed, twice,
-// and again every refreshInterval, and all records when other relays than before take them; in
-// between it tells only that the member lives, in presenceBytes. An entry that is new in a relay's data centre is told the records of all other
-// ones. Who lacks a record passes over the word that its member lives.
-// Inputs: what is known of the members, what was told of them and when.
+// Rule: a relay sends the record of a member (report.go) changeSends times when it is new or has
+// changed, and again every refreshInterval, and all records when the relays that receive them
+// change. In between it sends only the member's presence, in presenceBytes. A peer that is new
+// in a relay's data centre receives the records of all other data centres. A receiver without
+// the record of a member ignores its presence.
+// Inputs: the known members, what was sent about them and when.
 // Units: bytes, times.
-// Never: what changes all the time (ages, clocks, versions) makes a record count as changed;
-// an entry of a former version is told in a form that it does not know.
+// Never: constantly changing values (ages, clocks, versions) make a record count as changed; a
+// peer of an older version receives a form that it does not support.
 
 package peers
 
@@ -19,39 +20,42 @@
 )
 
 const (
-	// presenceBytes is what it takes to tell that a member lives: a tag and an age.
+	// presenceBytes is the size of one member's presence: a tag and an age.
 	presenceBytes = 5
 	// presenceUnit is the unit of that age.
 	presenceUnit = 10 * time.Millisecond
-	// maxPresence is how many members one datagram tells of.
-	maxPresence = maxEventBytes / presenceBytes
-	// changeTells is how often a changed record is told: datagrams are lost now and then.
-	changeTells = 2
-	// refreshInterval is the time after which a record is told again, within a half more by
-	// member, so that they are not all told at once.
+	// maxPresenceMembers is the number of members in one datagram.
+	maxPresenceMembers = maxPayloadBytes / presenceBytes
+	// changeSends is how many times a changed record is sent, since datagrams are sometimes
+	// lost.
+	changeSends = 2
+	// refreshInterval is the time after which a record is sent again. Up to a half is added to
+	// it, depending on the member, so that the records are not all sent at the same time.
 	refreshInterval = 16 * time.Second
-	// maxBriefed is how many new entries of the data centre are told all records at a time.
-	maxBriefed = 4
+	// maxRecordRecipients is how many new members of the data centre are sent all records at a
+	// time.
+	maxRecordRecipients = 4
 )
 
-// presence says which members of a data centre live.
+// presence lists the live members of a data centre.
 type presence struct {
 	_          struct{} `cbor:",toarray"`
 	DataCentre string
-	Members    []byte // for each the tag of its incarnation, and its age in presenceUnit
+	Members    []byte // for each the tag of its incarnation and its age in presenceUnit
 }
 
-// tagOf returns the tag of an incarnation. Those of one data centre are told apart by it, but
-// for one pair in some thousand fleets of 1,000.
+// tagOf returns the tag of an incarnation. Tags are unique within a data centre, but for one
+// pair in some thousand fleets of 1,000.
 func tagOf(owner uint64) uint32 { return uint32(owner) }
 
-// add appends a member that was heard so long ago.
+// add appends a member by its incarnation and the time since it was last seen.
 func (p *presence) add(owner uint64, age time.Duration) {
 	p.Members = binary.BigEndian.AppendUint32(p.Members, tagOf(owner))
 	p.Members = append(p.Members, byte(min(max(age/presenceUnit, 0), 0xff)))
 }
 
-// ages returns how long ago each member was heard, by tag. What is cut off is left out.
+// ages returns how long ago each member was last seen, by tag. A truncated entry at the end is
+// ignored.
 func (p *presence) ages() map[uint32]time.Duration {
 	all := make(map[uint32]time.Duration, len(p.Members)/presenceBytes)
 	for rest := p.Members; len(rest) >= presenceBytes; rest = rest[presenceBytes:] {
@@ -60,90 +64,91 @@
 	return all
 }
 
-// features are what others go by of a member. Entries of other data centres are told at once
-// when they change.
-type features struct {
-	owner     uint64
-	name      string
-	readCost  int
-	fence     uint64
-	reading   bool
-	inContact bool
-	storeLost bool
-	relayed   bool
-	informed  bool
+// attributes are the properties of a member that affect the decisions of its peers. A change is
+// sent to other data centres at once.
+type attributes struct {
+	owner         uint64
+	name          string
+	readCost      int
+	fence         uint64
+	reading       bool
+	storeAnswered bool
+	storeLost     bool
+	relayed       bool
+	informed      bool
 }
 
-func (m *member) features() features {
-	return features{
+func (m *member) attributes() attributes {
+	return attributes{
 		owner: m.owner, name: m.name, readCost: m.heartbeat.ReadCost, fence: m.heartbeat.Fence,
-		reading: m.heartbeat.Reading, inContact: m.inContact, storeLost: m.storeLost,
+		reading: m.heartbeat.Reading, storeAnswered: m.storeAnswered, storeLost: m.storeLost,
 		relayed: m.heartbeat.Relayed, informed: m.heartbeat.Informed,
 	}
 }
 
-// told is what a relay has told of a member. The zero value is nothing.
-type told struct {
-	features features
-	times    int
-	at       time.Time // the last time
+// recordSends tracks how often a relay has sent the record of a member. The zero value means
+// never.
+type recordSends struct {
+	attributes attributes
+	sends      int // since the attributes changed
+	lastSent   time.Time
 }
 
-// due tells whether the record of a member is to be told, and counts it as told if it is.
-func (t *told) due(now time.Time, m *member) bool {
-	f := m.features()
-	if t.features != f {
-		*t = told{features: f}
+// due reports whether the record of a member is to be sent, and counts it as sent if so.
+func (r *recordSends) due(now time.Time, m *member) bool {
+	a := m.attributes()
+	if r.attributes != a {
+		*r = recordSends{attributes: a}
 	}
-	refresh := refreshInterval + time.Duration(rendezvous.Hash(f.name)%uint64(refreshInterval/2))
-	if t.times >= changeTells && now.Sub(t.at) < refresh {
+	refresh := refreshInterval + time.Duration(rendezvous.Hash(a.name)%uint64(refreshInterval/2))
+	if r.sends >= changeSends && now.Sub(r.lastSent) < refresh {
 		return false
 	}
-	t.times++
-	t.at = now
+	r.sends++
+	r.lastSent = now
 	return true
 }
 
-// understandsPresence tells whether the entry reads the word that a member lives.
-func (m *member) understandsPresence() bool { return m.heartbeat.Presence }
+// supportsPresence reports whether the peer supports packets with a presence.
+func (m *member) supportsPresence() bool { return m.heartbeat.Presence }
 
-// presences returns which of the members that are picked live, in as many datagrams as it
-// takes. The group is locked.
+// presences returns the presence of the given members, in as many packets as needed. g.mu must
+// be held.
 func (g *Group) presences(now time.Time, members []*member) []presence {
 	var all []presence
 	for n, m := range members {
-		if n%maxPresence == 0 {
+		if n%maxPresenceMembers == 0 {
 			all = append(all, presence{DataCentre: g.options.DataCentre})
 		}
-		all[len(all)-1].add(m.owner, now.Sub(m.lastHeard))
+		all[len(all)-1].add(m.owner, now.Sub(m.lastSeen))
 	}
 	return all
 }
 
-// takePresence takes in which members of another data centre live. The group is locked.
-func (g *Group) takePresence(p packet, sender *member, now time.Time) {
-	if p.Presence == nil || now.Before(g.staleTill) || !sender.mayTell(p.Hop) || p.Presence.DataCentre == g.options.DataCentre {
+// applyPresence applies the presence of another data centre's members. g.mu must be held.
+func (g *Group) applyPresence(p packet, sender *member, now time.Time) {
+	if p.Presence == nil || now.Before(g.staleUntil) || !sender.maySendOver(p.Hop) || p.Presence.DataCentre == g.options.DataCentre {
 		return
 	}
 	ages := p.Presence.ages()
 	for _, m := range g.members {
-		if !m.far || m.heartbeat.DataCentre != p.Presence.DataCentre {
+		if !m.remote || m.heartbeat.DataCentre != p.Presence.DataCentre {
 			continue
 		}
-		if age, lives := ages[tagOf(m.incarnation())]; lives {
-			g.refresh(m, now.Add(-age))
+		if age, found := ages[tagOf(m.incarnation())]; found {
+			g.markSeen(m, now.Add(-age))
 		}
 	}
 }
 
-// refresh records that a member was heard. One that had been lost is back. The group is locked.
-func (g *Group) refresh(m *member, heard time.Time) {
-	if !heard.After(m.lastHeard) {
+// markSeen records that a member was seen. A lost member becomes live again. g.mu must be held.
+func (g *Group) markSeen(m *member, seenAt time.Time) {
+	if !seenAt.After(m.lastSeen) {
 		return
 	}
-	m.lastHeard = heard
+	m.lastSeen = seenAt
 	if m.owner == 0 {
-		m.owner = m.lostOwner
-		g.replan = true
+		m.owner = m.lastOwner
+		g.planStale = true
 	}
 }
--- a/internal/direct/peers/presence_test.go
+++ b/internal/direct/peers/presence_test.go
@@ -14,15 +14,15 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// fullGroup returns a relay of a data centre with so many members, among six data centres of
-// that size, without sending anything. Members do not refer to processes.
-func fullGroup(t *testing.T, now time.Time, each int) (*Group, tally.TestScope) {
+// newFleetGroup returns a relay of a data centre with the given number of members, among six
+// data centres of that size. It sends nothing. The members have no processes.
+func newFleetGroup(t *testing.T, now time.Time, each int) (*Group, tally.TestScope) {
 	t.Helper()
 	scope := tally.NewTestScope("", nil)
 	d := directory.New(func(directory.InForce) {}, func([]placement.Endpoint) {}, func([]string) {})
 	g, err := New(Options{
 		Name: "relay", Address: "127.0.0.1:0", Owner: 1, DataCentre: "dc-0", ReadCost: 1, Directory: d, Metrics: scope,
-		Listener: nobody{}, Fetch: func(context.Context, string, Part) {},
+		Listener: noopListener{}, Fetch: func(context.Context, string, Part) {},
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -31,64 +31,63 @@
 	for n := 1; n < 6*each; n++ {
 		address := &net.UDPAddr{IP: net.IPv4(127, 0, byte(1+n/200), byte(1+n%200)), Port: 9}
 		g.mu.Lock()
-		m, _ := g.meet(packet{Owner: uint64(n+1) * 0x9e3779b97f4a7c15}, address, now)
-		g.takeHeartbeat(m, &heartbeat{
+		m, _ := g.findOrAddMember(packet{Owner: uint64(n+1) * 0x9e3779b97f4a7c15}, address, now)
+		g.applyHeartbeat(m, &heartbeat{
 			Name: fmt.Sprintf("edge-data-centre-%d-%d", n%6, n/6), DataCentre: fmt.Sprint("dc-", n%6), Relayed: true, Presence: true,
 			ReadCost: 100 + n, Informed: true, ConfirmMS: 120, ContactMS: 90, ClockMS: 1_760_000_000_000, EvacuatedAt: 12_345,
 		}, now)
-		m.briefed = true
+		m.initialRecordsSent = true
 		g.mu.Unlock()
 	}
 	return g, scope
 }
 
-type nobody struct{}
+type noopListener struct{}
 
 // TakeEvents implements Listener.
-func (nobody) TakeEvents(uint64, []Event) {}
+func (noopListener) TakeEvents(uint64, []Event) {}
 
 // MemberGone implements Listener.
-func (nobody) MemberGone(uint64) {}
+func (noopListener) MemberGone(uint64) {}
 
-// bytesTold returns the bytes of heartbeats and reports that a group has sent.
-func bytesTold(scope tally.TestScope) int64 {
+// heartbeatBytes returns the bytes of heartbeats and reports that a group has sent.
+func heartbeatBytes(scope tally.TestScope) int64 {
 	return scope.Snapshot().Counters()["peer_bytes+kind=heartbeat"].Value()
 }
 
-// TestReportsAtSize lets a relay report the members of its data centre for half a minute in
-// which nothing happens. On the whole fleet's days relays sent up to 8.9 MB a second, nearly all of
-// it reports that they passed on: with 64 members in each of six data centres each record went
-// to everybody four times a second. Bursts filled the links, and entries lost sight of 140,000
-// others that lived, on a quiet day.
+// TestReportTrafficAtScale reports the members of a data centre for half a minute without
+// changes. If every record were sent to every peer four times a second, reports would use up the
+// links: with 64 members in each of six data centres relays would send up to 8.9 MB a second,
+// and bursts would make peers lose 140,000 live members in a day.
 //
-// At 1,000 entries a relay passes on half of what the relays of the 833 others tell, to 167. If
-// that is to take no more than a tenth of a link of 200 Mbit/s, one relay may tell 18 bytes a
-// second of each member.
-func TestReportsAtSize(t *testing.T) {
+// At 1,000 peers a relay forwards half of the reports on the 833 peers of other data centres, to
+// 167 members. For this to take at most a tenth of a link of 200 Mbit/s, one relay may send 18
+// bytes a second for each member.
+func TestReportTrafficAtScale(t *testing.T) {
 	const (
 		seconds   = 30
 		perMember = 18.0 // bytes a second
 	)
 	for _, each := range []int{64, 167} {
 		now := steady.Now()
-		g, scope := fullGroup(t, now, each)
-		told := int64(0)
-		const calmFrom = 2 * changeTells // reports, by which all records have been told
-		for step := range calmFrom + seconds*int(time.Second/reportInterval) {
+		g, scope := newFleetGroup(t, now, each)
+		sent := int64(0)
+		const warmupReports = 2 * changeSends // reports, after which all records have been sent
+		for step := range warmupReports + seconds*int(time.Second/reportInterval) {
 			now = now.Add(reportInterval)
 			g.mu.Lock()
 			for _, m := range g.members {
-				m.lastHeard = now
+				m.lastSeen = now
 			}
-			across := int64(len(g.currentPlan(now).across))
+			remote := int64(len(g.currentPlan(now).remote))
 			g.mu.Unlock()
-			before := bytesTold(scope)
+			before := heartbeatBytes(scope)
 			g.sendReports(now)
-			if step >= calmFrom {
-				told += (bytesTold(scope) - before) / across
+			if step >= warmupReports {
+				sent += (heartbeatBytes(scope) - before) / remote
 			}
 		}
-		rate := float64(told) / seconds / float64(each-1)
+		rate := float64(sent) / seconds / float64(each-1)
 		t.Logf("%d members in each data centre: %.1f bytes a second of each", each, rate)
 		if rate > perMember {
 			t.Errorf("%d members in each data centre: %.1f bytes a second of each, want at most %v", each, rate, perMember)
@@ -96,41 +95,41 @@
 	}
 }
 
-// TestRecordsAreToldToOtherRelays cuts a data centre off and lets it come back: what was told
-// meanwhile has not reached it.
-func TestRecordsAreToldToOtherRelays(t *testing.T) {
+// TestRecordsAreResentToNewRelays disconnects and reconnects a data centre: the records sent in
+// the meantime have not reached it.
+func TestRecordsAreResentToNewRelays(t *testing.T) {
 	const each = 8
 	now := steady.Now()
-	g, scope := fullGroup(t, now, each)
+	g, scope := newFleetGroup(t, now, each)
 	run := func(d time.Duration, cut string) (bytes int64) {
-		before := bytesTold(scope)
+		before := heartbeatBytes(scope)
 		for end := now.Add(d); now.Before(end); {
 			now = now.Add(reportInterval)
 			g.mu.Lock()
 			for _, m := range g.members {
 				if m.heartbeat.DataCentre != cut {
-					m.lastHeard = now
+					m.lastSeen = now
 				}
 			}
 			g.mu.Unlock()
 			g.sendReports(now)
 		}
-		return bytesTold(scope) - before
+		return heartbeatBytes(scope) - before
 	}
 	run(4*time.Second, "")
-	calm := run(2*time.Second, "")
+	baseline := run(2*time.Second, "")
 	run(4*time.Second, "dc-3")
-	if back := run(2*time.Second, ""); back < calm+(each-1)*50 {
-		t.Errorf("%d bytes after the return, %d in calm", back, calm)
+	if back := run(2*time.Second, ""); back < baseline+(each-1)*50 {
+		t.Errorf("%d bytes after the reconnection, %d without changes", back, baseline)
 	}
 }
 
-// TestRecordsAreDue tells of a member that changes, of one that is only heard again, and of
-// one that stays as it is.
+// TestRecordsAreDue covers a member that changes, one that is only seen again, and one that does
+// not change.
 func TestRecordsAreDue(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	m := &member{owner: 7, name: "entry-1"}
-	var x told
+	var x recordSends
 	count := func(d time.Duration) int {
 		n := 0
 		for end := now.Add(d); now.Before(end); now = now.Add(reportInterval) {
@@ -140,33 +139,34 @@
 		}
 		return n
 	}
-	if n := count(4 * time.Second); n != changeTells {
-		t.Errorf("a new member's record was told %d times in 4 s", n)
+	if n := count(4 * time.Second); n != changeSends {
+		t.Errorf("a new member's record was sent %d times in 4 s", n)
 	}
 	m.version, m.revision, m.heartbeat.ClockMS, m.heartbeat.ConfirmMS = 9, 12, 1_700_000_000_000, 17
 	if n := count(2 * time.Second); n != 0 {
-		t.Errorf("what changes all the time was told %d times", n)
+		t.Errorf("constantly changing values were sent %d times", n)
 	}
 	m.storeLost = true
-	if n := count(2 * time.Second); n != changeTells {
-		t.Errorf("a change was told %d times in 2 s", n)
+	if n := count(2 * time.Second); n != changeSends {
+		t.Errorf("a change was sent %d times in 2 s", n)
 	}
 	if n := count(time.Minute); n < 2 || n > 4 {
-		t.Errorf("an unchanged record was told %d times in a minute", n)
+		t.Errorf("an unchanged record was sent %d times in a minute", n)
 	}
 	m.owner = 8
-	if n := count(time.Second); n != changeTells {
-		t.Errorf("a new incarnation was told %d times", n)
+	if n := count(time.Second); n != changeSends {
+		t.Errorf("a new incarnation was sent %d times", n)
 	}
 }
 
-// TestPresence tells that some members live, and expects it of none else.
+// TestPresence applies the presence of some members and checks that no other member becomes
+// live.
 func TestPresence(t *testing.T) {
 	now := steady.Now()
-	g, _ := fullGroup(t, now, 4)
+	g, _ := newFleetGroup(t, now, 4)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	var relay, living, silent *member
+	var relay, living, unlisted *member
 	for _, m := range g.members {
 		if m.heartbeat.DataCentre != "dc-3" {
 			continue
@@ -177,26 +177,26 @@
 		case living == nil:
 			living = m
 		default:
-			silent = m
+			unlisted = m
 		}
 	}
 	later := now.Add(20 * time.Second)
-	for _, m := range []*member{living, silent} {
-		m.lostOwner, m.owner = m.owner, 0
+	for _, m := range []*member{living, unlisted} {
+		m.lastOwner, m.owner = m.owner, 0
 	}
 	p := presence{DataCentre: "dc-3"}
-	p.add(living.lostOwner, 300*time.Millisecond)
-	p.add(0x1234, 0) // of which no record came
+	p.add(living.lastOwner, 300*time.Millisecond)
+	p.add(0x1234, 0) // a member without a record
 	p.Members = append(p.Members, 1, 2)
-	g.takePresence(packet{Hop: hopLocal, Presence: &p}, relay, later)
+	g.applyPresence(packet{Hop: hopLocal, Presence: &p}, relay, later)
 	if living.alive(later) {
-		t.Error("a relay of another data centre told it as one of the own")
+		t.Error("a presence that a remote relay sent as local was applied")
 	}
-	g.takePresence(packet{Hop: hopAcross, Presence: &p}, relay, later)
-	if !living.alive(later) || living.owner == 0 || later.Sub(living.lastHeard) != 300*time.Millisecond {
-		t.Errorf("the member that lives: %+v", living)
+	g.applyPresence(packet{Hop: hopRemote, Presence: &p}, relay, later)
+	if !living.alive(later) || living.owner == 0 || later.Sub(living.lastSeen) != 300*time.Millisecond {
+		t.Errorf("the listed member: %+v", living)
 	}
-	if silent.alive(later) || silent.owner != 0 {
-		t.Error("a member that was not named lives")
+	if unlisted.alive(later) || unlisted.owner != 0 {
+		t.Error("a member that was not listed is live")
 	}
 }
--- a/internal/direct/peers/receive.go
+++ b/internal/direct/peers/receive.go
@@ -9,7 +9,7 @@
 	"foxcross.dev/foxcross/internal/steady"
 )
 
-// receive takes in datagrams until the socket is closed.
+// receive handles datagrams until the socket is closed.
 func (g *Group) receive() {
 	buffer := make([]byte, maxDatagram)
 	for {
@@ -19,70 +19,70 @@
 		}
 		var p packet
 		if err := cbor.Unmarshal(buffer[:n], &p); err != nil {
-			log.With("address", from.String()).With("reason", err.Error()).Limited("packet", "A datagram can't be read and is left out.")
+			log.With("address", from.String()).With("reason", err.Error()).Limited("packet", "Dropping a datagram that can't be decoded.")
 			continue
 		}
-		if !g.isForeign(p.Owner) {
+		if !g.isOtherOwner(p.Owner) {
 			continue
 		}
-		g.take(p, from)
+		g.handlePacket(p, from)
 	}
 }
 
-// take learns from a packet.
-func (g *Group) take(p packet, from *net.UDPAddr) {
+// handlePacket applies the content of a packet.
+func (g *Group) handlePacket(p packet, from *net.UDPAddr) {
 	now := steady.Now()
 	version, revision := g.options.Directory.Versions()
 	g.mu.Lock()
-	m, ended := g.meet(p, from, now)
+	m, ended := g.findOrAddMember(p, from, now)
 	if m == nil {
 		g.mu.Unlock()
-		log.With("address", from.String()).Limited("members", "There are too many entries; one is left out.")
+		log.With("address", from.String()).Limited("members", "Ignoring a peer: there are too many members.")
 		return
 	}
-	m.directAt = now
-	g.noteAhead(m, p, version, revision, now)
+	m.lastDirect = now
+	g.updateVersions(m, p, version, revision, now)
 	if p.Heartbeat != nil {
-		g.takeHeartbeat(m, p.Heartbeat, now)
+		g.applyHeartbeat(m, p.Heartbeat, now)
 	}
-	if p.Question == answered {
-		m.askedAt = time.Time{}
+	if p.Question == probeReply {
+		m.unansweredSince = time.Time{}
 	}
-	replaced := g.takeReports(p, m, version, revision, now)
-	g.takePresence(p, m, now)
-	g.spreadTold(p, m, now)
-	told := g.takeSections(p, m, now)
+	replaced := g.receiveReports(p, m, version, revision, now)
+	g.applyPresence(p, m, now)
+	g.relayReports(p, m, now)
+	fresh := g.receiveSections(p, m, now)
 	g.mu.Unlock()
-	if p.Question == asked {
-		g.answerTo(from)
+	if p.Question == probeRequest {
+		g.replyToProbe(from)
 	}
 	if h := p.Heartbeat; h != nil && h.Reply {
-		g.replyTo(from, h.DataCentre, now)
+		g.replyWithHeartbeat(from, h.DataCentre, now)
 	}
 	g.options.Directory.SettingsTold(p.Version)
-	g.takeEvacuations(p)
+	g.applyEvacuations(p)
 	for _, owner := range append(replaced, ended) {
 		if owner != 0 {
 			g.options.Listener.MemberGone(owner)
 		}
 	}
 	if h := p.Heartbeat; h != nil && h.ConfirmMS >= 0 && p.Version == version {
-		g.options.Directory.Confirm(version, since(now, h.ConfirmMS))
+		g.options.Directory.Confirm(version, timeAtAge(now, h.ConfirmMS))
 	}
 	if p.Usage != nil && g.options.TakeUsage != nil {
 		g.options.TakeUsage(p.Usage.statement(p.Owner))
 	}
 	if len(p.Events) > 0 {
-		g.tellListener(p.Owner, p.Events, 0)
+		g.notifyListener(p.Owner, p.Events, 0)
 	}
-	for _, s := range told {
-		g.tellListener(s.Owner, s.decode(), s.HeldMS)
+	for _, s := range fresh {
+		g.notifyListener(s.Owner, s.decode(), s.HeldMS)
 	}
 }
 
-// takeEvacuations takes in what a packet says of evacuated data centres, of its sender or of
-// those that a relay tells of.
-func (g *Group) takeEvacuations(p packet) {
+// applyEvacuations applies the evacuated data centres named by the sender of a packet or by the
+// members that it reports.
+func (g *Group) applyEvacuations(p packet) {
 	if p.Heartbeat != nil {
 		g.options.Directory.TakeEvacuations(p.Heartbeat.evacuations(), "peer")
 	}
@@ -91,8 +91,9 @@
 	}
 }
 
-// tellListener hands over events of an entry that relays held for a time.
-func (g *Group) tellListener(owner uint64, events []Event, heldMS int64) {
+// notifyListener passes events of a peer to the listener, with the time spent in relays added to
+// their ages.
+func (g *Group) notifyListener(owner uint64, events []Event, heldMS int64) {
 	for n := range events {
 		events[n].AgeMS = min(max(events[n].AgeMS+heldMS, 0), MaxEventAge.Milliseconds())
 	}
--- a/internal/direct/peers/relay.go
+++ b/internal/direct/peers/relay.go
@@ -1,12 +1,12 @@
-// Who passes notes on, as this entry sees it.
+// Selection of relays, as seen by this process.
 //
-// Rule: package fanout chooses relays among the live members. Those that this entry
-// relies on, or would, are asked every askInterval whether they answer, one that was heard
-// within askInterval only every heardAskInterval; one that has not answered
-// for silentAfter is passed over until it does.
-// Inputs: the members, their answers, the time.
+// Rule: package fanout chooses relays among the live members. Each relay that this process uses,
+// or would use next, is probed every probeInterval, or every liveProbeInterval if a packet from
+// it arrived within probeInterval. A relay that has not answered for probeTimeout is passed over
+// until it answers.
+// Inputs: the members, their probe replies, the time.
 // Units: milliseconds.
-// Never: an entry of a former version is a relay.
+// Never: a peer of an older version is a relay.
 
 package peers
 
@@ -18,40 +18,40 @@
 )
 
 const (
-	// askInterval is the time between two questions to a relay.
-	askInterval = 100 * time.Millisecond
-	// heardAskInterval is the same for a relay that is heard: it lives, and is asked whether it
-	// hears this entry too. A relay is asked by all members of its data centre.
-	heardAskInterval = time.Second
-	// silentAfter is how long a relay may leave questions unanswered. What it costs is half of
-	// a data centre's notes of 0.3 to 0.4 s when a relay dies without a word; an entry whose
-	// share of a core is used up is silent for 0.1 s.
-	silentAfter = 300 * time.Millisecond
-	// planFor is how long a plan is kept if no member changes.
-	planFor = askInterval
+	// probeInterval is the time between two probes of a relay.
+	probeInterval = 100 * time.Millisecond
+	// liveProbeInterval is the same for a relay whose packets arrive: it is live, and the probe
+	// only checks that packets from this process reach it. A relay is probed by all members of
+	// its data centre.
+	liveProbeInterval = time.Second
+	// probeTimeout is how long a relay may leave probes unanswered. When a relay crashes, half
+	// of the events that its data centre sends within 0.3 to 0.4 s are lost. A peer whose
+	// processor quota is used up does not answer for 0.1 s.
+	probeTimeout = 300 * time.Millisecond
+	// planMaxAge is how long a plan is kept if no member changes.
+	planMaxAge = probeInterval
 )
 
-// plan is whom this entry tells what, by address.
+// plan holds the destinations of this process's packets.
 type plan struct {
 	madeAt        time.Time
-	relays        bool // it passes on its own notes
-	up            []*net.UDPAddr
-	local, across []*net.UDPAddr
-	asked         []string
+	isRelay       bool // this process relays its own events
+	toRelay       []*net.UDPAddr
+	local, remote []*net.UDPAddr
+	probed        []string
 }
 
-// currentPlan returns the plan, made anew if members may have changed. The group is
-// locked.
+// currentPlan returns the plan, recomputed if members may have changed. g.mu must be held.
 func (g *Group) currentPlan(now time.Time) plan {
-	if !g.replan && now.Sub(g.plan.madeAt) < planFor {
+	if !g.planStale && now.Sub(g.plan.madeAt) < planMaxAge {
 		return g.plan
 	}
-	g.replan = false
+	g.planStale = false
 	others := make([]fanout.Member, 0, len(g.members))
 	for address, m := range g.members {
 		if m.alive(now) && m.relayed() {
 			others = append(others, fanout.Member{
-				Address: address, DataCentre: m.heartbeat.DataCentre, Rank: m.rank, Silent: m.silent(now),
+				Address: address, DataCentre: m.heartbeat.DataCentre, Rank: m.rank, Silent: m.unresponsive(now),
 			})
 		}
 	}
@@ -60,19 +60,19 @@
 	}
 	p := fanout.For(self, others)
 	g.plan = plan{
-		madeAt: now,
-		relays: p.Relays(),
-		local:  g.resolve(p.Local),
-		across: g.resolve(p.Across),
-		asked:  p.Asked,
+		madeAt:  now,
+		isRelay: p.Relays(),
+		local:   g.resolve(p.Local),
+		remote:  g.resolve(p.Across),
+		probed:  p.Asked,
 	}
 	if !p.Relays() {
-		g.plan.up = g.resolve([]string{p.Up})
+		g.plan.toRelay = g.resolve([]string{p.Up})
 	}
 	return g.plan
 }
 
-// resolve returns the addresses of members. The group is locked.
+// resolve returns the addresses of members. g.mu must be held.
 func (g *Group) resolve(keys []string) []*net.UDPAddr {
 	all := make([]*net.UDPAddr, 0, len(keys))
 	for _, k := range keys {
@@ -81,47 +81,48 @@
 	return all
 }
 
-// askRelays asks those that this entry relies on whether they answer.
-func (g *Group) askRelays(now time.Time) {
+// probeRelays probes the relays that this process uses or would use next.
+func (g *Group) probeRelays(now time.Time) {
 	g.mu.Lock()
 	plan := g.currentPlan(now)
-	relied := map[string]bool{}
+	probed := map[string]bool{}
 	var to []*net.UDPAddr
-	for _, key := range plan.asked {
+	for _, key := range plan.probed {
 		m := g.members[key]
 		if m == nil {
 			continue
 		}
-		relied[key] = true
-		g.replan = g.replan || m.silent(now)
-		if m.needsNoQuestion(now) {
+		probed[key] = true
+		g.planStale = g.planStale || m.unresponsive(now)
+		if m.probeNotDue(now) {
 			continue
 		}
 		to = append(to, m.address)
-		m.questioned = now
-		if m.askedAt.IsZero() {
-			m.askedAt = now
+		m.lastProbed = now
+		if m.unansweredSince.IsZero() {
+			m.unansweredSince = now
 		}
 	}
 	for key, m := range g.members {
-		if !relied[key] {
-			m.askedAt = time.Time{} // not asked any more
+		if !probed[key] {
+			m.unansweredSince = time.Time{} // no longer probed
 		}
 	}
 	g.mu.Unlock()
 	p := g.newPacket()
-	p.Question = asked
-	g.send(p, to, questionTraffic)
+	p.Question = probeRequest
+	g.send(p, to, probeTraffic)
 }
 
-// needsNoQuestion tells whether a relay was heard just now and has answered lately.
-func (m *member) needsNoQuestion(now time.Time) bool {
-	return m.askedAt.IsZero() && now.Sub(m.directAt) < askInterval && now.Sub(m.questioned) < heardAskInterval
+// probeNotDue reports whether no probe of a relay is due: a packet from it arrived within
+// probeInterval, and it was probed within liveProbeInterval and left no probe unanswered.
+func (m *member) probeNotDue(now time.Time) bool {
+	return m.unansweredSince.IsZero() && now.Sub(m.lastDirect) < probeInterval && now.Sub(m.lastProbed) < liveProbeInterval
 }
 
-// answerTo answers the question of an entry.
-func (g *Group) answerTo(to *net.UDPAddr) {
+// replyToProbe answers a peer's probe.
+func (g *Group) replyToProbe(to *net.UDPAddr) {
 	p := g.newPacket()
-	p.Question = answered
-	g.send(p, []*net.UDPAddr{to}, questionTraffic)
+	p.Question = probeReply
+	g.send(p, []*net.UDPAddr{to}, probeTraffic)
 }
--- a/internal/direct/peers/relay_ask_test.go
+++ b/internal/direct/peers/relay_ask_test.go
@@ -7,56 +7,56 @@
 	"foxcross.dev/foxcross/internal/steady"
 )
 
-// TestRelaysThatAreHeardAreSeldomAsked lets an entry hear its relays, which answer, and then
-// lets them answer no more though they are heard. Each relay was asked ten times a second by
-// each member of its data centre: 640 questions a second at 64 members, and as many answers, where
-// the busiest entry of the whole fleet woke up 1,307 times a second.
-func TestRelaysThatAreHeardAreSeldomAsked(t *testing.T) {
+// TestLiveRelaysAreProbedLessOften covers relays whose packets arrive, first with and then
+// without probe replies. If each relay were probed ten times a second by each member of its data
+// centre, that would be 640 probes a second at 64 members, and as many replies: the busiest peer
+// would wake up 1,307 times a second.
+func TestLiveRelaysAreProbedLessOften(t *testing.T) {
 	now := steady.Now()
-	g, scope := fullGroup(t, now, 8)
-	questions := func() int64 {
+	g, scope := newFleetGroup(t, now, 8)
+	probes := func() int64 {
 		return scope.Snapshot().Counters()["peer_datagrams+kind=question"].Value()
 	}
-	run := func(d time.Duration, heard, answers bool) {
-		for end := now.Add(d); now.Before(end); now = now.Add(askInterval) {
+	run := func(d time.Duration, sends, replies bool) {
+		for end := now.Add(d); now.Before(end); now = now.Add(probeInterval) {
 			g.mu.Lock()
 			for _, m := range g.members {
-				m.lastHeard = now
-				if heard {
-					m.directAt = now.Add(-askInterval / 2)
+				m.lastSeen = now
+				if sends {
+					m.lastDirect = now.Add(-probeInterval / 2)
 				}
-				if answers {
-					m.askedAt = time.Time{}
+				if replies {
+					m.unansweredSince = time.Time{}
 				}
 			}
 			g.mu.Unlock()
-			g.askRelays(now)
+			g.probeRelays(now)
 		}
 	}
 	run(time.Second, true, true)
 	g.mu.Lock()
-	asked := int64(len(g.currentPlan(now).asked))
+	relays := int64(len(g.currentPlan(now).probed))
 	g.mu.Unlock()
-	before := questions()
+	before := probes()
 	run(10*time.Second, true, true)
-	if n := questions() - before; n > 11*asked {
-		t.Errorf("%d questions in 10 s to %d relays that are heard and answer", n, asked)
+	if n := probes() - before; n > 11*relays {
+		t.Errorf("%d probes in 10 s to %d relays whose packets and replies arrive", n, relays)
 	}
-	run(heardAskInterval+silentAfter+2*askInterval, true, false)
+	run(liveProbeInterval+probeTimeout+2*probeInterval, true, false)
 	g.mu.Lock()
-	silent := 0
-	for _, key := range g.currentPlan(now).asked {
-		if g.members[key].silent(now) {
-			silent++
+	unresponsive := 0
+	for _, key := range g.currentPlan(now).probed {
+		if g.members[key].unresponsive(now) {
+			unresponsive++
 		}
 	}
 	g.mu.Unlock()
-	if silent == 0 {
-		t.Error("no relay that is heard and does not answer counts as silent")
+	if unresponsive == 0 {
+		t.Error("no relay whose packets arrive without replies counts as unresponsive")
 	}
-	before = questions()
+	before = probes()
 	run(time.Second, false, true)
-	if n := questions() - before; n < 8 {
-		t.Errorf("%d questions in a second to relays that are not heard", n)
+	if n := probes() - before; n < 8 {
+		t.Errorf("%d probes in a second to relays whose packets do not arrive", n)
 	}
 }
--- a/internal/direct/peers/report.go
+++ b/internal/direct/peers/report.go
@@ -1,12 +1,13 @@
-// What data centres tell each other of who lives in them.
+// Reports between data centres about their live members.
 //
-// Rule: the relays of a data centre report its live members every reportInterval to one relay
-// of each other data centre, which passes that on in its own at once: a record of each whose
-// record is due (presence.go), and of all that they live. So an entry of another data centre
-// is known without a heartbeat of its own.
-// Inputs: heartbeats of the own data centre's members, reports of others, the time.
-// Never: what was heard directly is replaced by an older report; a report goes further
-// than one data centre.
+// Rule: the relays of a data centre report its live members every reportInterval to one relay of
+// each other data centre, which forwards the report within its own at once. A report has the
+// record of each member whose record is due (presence.go), and the presence of all. So a peer in
+// another data centre is known without a heartbeat of its own.
+// Inputs: heartbeats of members in the local data centre, reports of other data centres, the
+// time.
+// Never: an older report replaces what was received directly; a report is forwarded beyond one
+// data centre.
 
 package peers
 
@@ -19,148 +20,150 @@
 )
 
 // reportInterval is the time between two reports of one relay. With two relays in each data
-// centre an entry is told of the others four times a second.
+// centre a peer receives reports of the others four times a second.
 const reportInterval = 500 * time.Millisecond
 
-// sendReports reports the live members of the own data centre, if this entry is a relay.
+// sendReports reports the live members of the local data centre if this process is a relay.
 func (g *Group) sendReports(now time.Time) {
 	g.mu.Lock()
 	plan := g.currentPlan(now)
-	if !plan.relays || len(plan.across) == 0 {
-		g.toldTo = nil // whoever becomes a relay again tells all records
+	if !plan.isRelay || len(plan.remote) == 0 {
+		g.reportedTo = nil // all records are sent if this process becomes a relay again
 		g.mu.Unlock()
 		return
 	}
-	if !slices.EqualFunc(plan.across, g.toldTo, sameAddress) {
-		g.forgetTold()
-		g.toldTo = plan.across
+	if !slices.EqualFunc(plan.remote, g.reportedTo, sameAddress) {
+		g.resetRecordSends()
+		g.reportedTo = plan.remote
 	}
-	members := g.reported(now)
+	members := g.localMembers(now)
 	due := g.dueReports(now, members)
 	presences := g.presences(now, members)
-	modern, former := g.byForm(plan.across)
+	modern, legacy := g.splitByPresence(plan.remote)
 	var all []report
-	if len(former) > 0 {
-		all = reportsOf(now, members)
+	if len(legacy) > 0 {
+		all = newReports(now, members)
 	}
-	newcomers, records := g.unbriefed(now, plan.local)
+	newMembers, records := g.newRecipients(now, plan.local)
 	g.mu.Unlock()
-	g.spreadReports(hopAcross, due, modern)
-	g.spreadPresences(hopAcross, presences, modern)
-	g.spreadReports(hopAcross, all, former)
-	g.spreadReports(hopLocal, records, newcomers)
+	g.sendReportsOver(hopRemote, due, modern)
+	g.sendPresences(hopRemote, presences, modern)
+	g.sendReportsOver(hopRemote, all, legacy)
+	g.sendReportsOver(hopLocal, records, newMembers)
 }
 
 func sameAddress(a, b *net.UDPAddr) bool { return a.Port == b.Port && a.IP.Equal(b.IP) }
 
-// forgetTold lets all records be due. The group is locked.
-func (g *Group) forgetTold() {
+// resetRecordSends makes all records due. g.mu must be held.
+func (g *Group) resetRecordSends() {
 	for _, m := range g.members {
-		m.told = told{}
+		m.recordSends = recordSends{}
 	}
 }
 
-// reported returns the live members of the own data centre. The group is locked.
-func (g *Group) reported(now time.Time) []*member {
+// localMembers returns the live members of the local data centre. g.mu must be held.
+func (g *Group) localMembers(now time.Time) []*member {
 	var all []*member
 	for _, m := range g.members {
-		if !m.far && m.relayed() && m.alive(now) && m.owner != 0 {
+		if !m.remote && m.relayed() && m.alive(now) && m.owner != 0 {
 			all = append(all, m)
 		}
 	}
 	return all
 }
 
-// dueReports returns the records of those members whose records are due. The group is locked.
+// dueReports returns the records that are due, out of those of the given members. g.mu must be
+// held.
 func (g *Group) dueReports(now time.Time, members []*member) []report {
 	var due []*member
 	for _, m := range members {
-		if m.told.due(now, m) {
+		if m.recordSends.due(now, m) {
 			due = append(due, m)
 		}
 	}
-	return reportsOf(now, due)
+	return newReports(now, due)
 }
 
-// reportsOf returns the records of members.
-func reportsOf(now time.Time, members []*member) []report {
+// newReports returns the records of members.
+func newReports(now time.Time, members []*member) []report {
 	all := make([]report, 0, len(members))
 	for _, m := range members {
 		all = append(all, report{
 			Address: m.address.String(), Owner: m.owner, Version: m.version, Revision: m.revision,
-			AgeMS: now.Sub(m.lastHeard).Milliseconds(), Heartbeat: m.heartbeat,
+			AgeMS: now.Sub(m.lastSeen).Milliseconds(), Heartbeat: m.heartbeat,
 		})
 	}
 	return all
 }
 
-// farReports returns the records of the live members of other data centres, or of one of them.
-// The group is locked.
-func (g *Group) farReports(now time.Time, dataCentre string) []report {
+// remoteReports returns the records of the live members of one other data centre, or of all
+// others if the name is empty. g.mu must be held.
+func (g *Group) remoteReports(now time.Time, dataCentre string) []report {
 	var all []*member
 	for _, m := range g.members {
-		if m.far && m.relayed() && m.alive(now) && m.owner != 0 && (dataCentre == "" || m.heartbeat.DataCentre == dataCentre) {
+		if m.remote && m.relayed() && m.alive(now) && m.owner != 0 && (dataCentre == "" || m.heartbeat.DataCentre == dataCentre) {
 			all = append(all, m)
 		}
 	}
-	return reportsOf(now, all)
+	return newReports(now, all)
 }
 
-// unbriefed returns some members of the data centre that are new, and what they are to be
-// told: the records of all other data centres. The group is locked.
-func (g *Group) unbriefed(now time.Time, local []*net.UDPAddr) (to []*net.UDPAddr, records []report) {
+// newRecipients returns the addresses of some new members of the data centre, and the records to
+// send them: those of all other data centres. g.mu must be held.
+func (g *Group) newRecipients(now time.Time, local []*net.UDPAddr) (to []*net.UDPAddr, records []report) {
 	for _, a := range local {
 		m := g.members[a.String()]
-		if m == nil || m.briefed || len(to) == maxBriefed {
+		if m == nil || m.initialRecordsSent || len(to) == maxRecordRecipients {
 			continue
 		}
-		m.briefed = true
+		m.initialRecordsSent = true
 		to = append(to, a)
 	}
 	if len(to) > 0 {
-		records = g.farReports(now, "")
+		records = g.remoteReports(now, "")
 	}
 	return to, records
 }
 
-// byForm parts addresses by whether their entries understand presences. The group is locked.
-func (g *Group) byForm(all []*net.UDPAddr) (modern, former []*net.UDPAddr) {
+// splitByPresence splits addresses by whether their peers support presence packets. g.mu must be
+// held.
+func (g *Group) splitByPresence(all []*net.UDPAddr) (modern, legacy []*net.UDPAddr) {
 	for _, a := range all {
-		if m := g.members[a.String()]; m != nil && m.understandsPresence() {
+		if m := g.members[a.String()]; m != nil && m.supportsPresence() {
 			modern = append(modern, a)
 		} else {
-			former = append(former, a)
+			legacy = append(legacy, a)
 		}
 	}
-	return modern, former
+	return modern, legacy
 }
 
-// spreadTold passes on in the own data centre what a relay of another one told. Entries of
-// former versions are told the records of all that live there. The group is locked.
-func (g *Group) spreadTold(p packet, sender *member, now time.Time) {
-	tells := len(p.Reports) > 0 || p.Presence != nil
-	if !tells || p.Hop != hopAcross || now.Before(g.staleTill) || !sender.mayTell(p.Hop) {
+// relayReports forwards a report of another data centre's relay in the local data centre. Peers
+// of older versions receive the records of all members of that data centre. g.mu must be held.
+func (g *Group) relayReports(p packet, sender *member, now time.Time) {
+	hasReports := len(p.Reports) > 0 || p.Presence != nil
+	if !hasReports || p.Hop != hopRemote || now.Before(g.staleUntil) || !sender.maySendOver(p.Hop) {
 		return
 	}
-	modern, former := g.byForm(g.currentPlan(now).local)
+	modern, legacy := g.splitByPresence(g.currentPlan(now).local)
 	reports := p.Reports
 	var presences []presence
 	if p.Presence != nil {
 		presences = append(presences, *p.Presence)
 	}
 	records := reports
-	if p.Presence != nil && len(former) > 0 {
-		records = g.farReports(now, p.Presence.DataCentre)
+	if p.Presence != nil && len(legacy) > 0 {
+		records = g.remoteReports(now, p.Presence.DataCentre)
 	}
 	go func() {
-		g.spreadReports(hopLocal, reports, modern)
-		g.spreadPresences(hopLocal, presences, modern)
-		g.spreadReports(hopLocal, records, former)
+		g.sendReportsOver(hopLocal, reports, modern)
+		g.sendPresences(hopLocal, presences, modern)
+		g.sendReportsOver(hopLocal, records, legacy)
 	}()
 }
 
-// spreadPresences sends which members live over a hop.
-func (g *Group) spreadPresences(h hop, all []presence, to []*net.UDPAddr) {
+// sendPresences sends presence packets over a hop.
+func (g *Group) sendPresences(h hop, all []presence, to []*net.UDPAddr) {
 	for n := range all {
 		p := g.newPacket()
 		p.Hop = h
@@ -169,61 +172,61 @@
 	}
 }
 
-// spreadReports sends reports over a hop, in as many datagrams as it takes.
-func (g *Group) spreadReports(h hop, reports []report, to []*net.UDPAddr) {
+// sendReportsOver sends reports over a hop, in as many datagrams as needed.
+func (g *Group) sendReportsOver(h hop, reports []report, to []*net.UDPAddr) {
 	var all []sized[report]
 	for _, r := range reports {
 		data, err := cbor.Marshal(r)
 		if err != nil {
-			log.With("reason", err.Error()).Limited("encode", "A report can't be encoded and is left out.")
+			log.With("reason", err.Error()).Limited("encode", "Dropping a report that can't be encoded.")
 			continue
 		}
 		all = append(all, sized[report]{r, len(data)})
 	}
 	p := g.newPacket()
 	p.Hop = h
-	for _, part := range inDatagrams(all) {
+	for _, part := range splitDatagrams(all) {
 		p.Reports = part
 		g.send(p, to, heartbeatTraffic)
 	}
 }
 
-// takeReports takes in the reports of a packet. It returns the incarnations that have ended.
-// The group is locked.
-func (g *Group) takeReports(p packet, sender *member, version, revision uint64, now time.Time) (ended []uint64) {
-	if len(p.Reports) == 0 || now.Before(g.staleTill) || !sender.mayTell(p.Hop) {
+// receiveReports applies the reports of a packet and returns the incarnations that have ended.
+// g.mu must be held.
+func (g *Group) receiveReports(p packet, sender *member, version, revision uint64, now time.Time) (ended []uint64) {
+	if len(p.Reports) == 0 || now.Before(g.staleUntil) || !sender.maySendOver(p.Hop) {
 		return nil
 	}
 	for _, r := range p.Reports {
-		if owner := g.takeReport(r, version, revision, now); owner != 0 {
+		if owner := g.applyReport(r, version, revision, now); owner != 0 {
 			ended = append(ended, owner)
 		}
 	}
 	return ended
 }
 
-// takeReport takes in what is said of one entry. It returns its earlier incarnation if that
-// has ended, else 0. The group is locked.
-func (g *Group) takeReport(r report, version, revision uint64, now time.Time) (ended uint64) {
+// applyReport applies a report about one peer. It returns the peer's previous incarnation if
+// that has ended, else 0. g.mu must be held.
+func (g *Group) applyReport(r report, version, revision uint64, now time.Time) (ended uint64) {
 	if r.Owner == 0 || r.Address == g.address || r.Heartbeat.DataCentre == g.options.DataCentre {
-		return 0 // this entry's data centre is known at first hand
+		return 0 // members of the local data centre are known directly
 	}
-	heard := now.Add(-time.Duration(max(r.AgeMS, 0)) * time.Millisecond)
+	seenAt := now.Add(-time.Duration(max(r.AgeMS, 0)) * time.Millisecond)
 	m := g.members[r.Address]
-	if m != nil && heard.Before(m.lastHeard) {
+	if m != nil && seenAt.Before(m.lastSeen) {
 		return 0
 	}
 	address, err := net.ResolveUDPAddr("udp4", r.Address)
 	if err != nil {
-		log.With("address", r.Address).With("reason", err.Error()).Limited("report", "A report names no address and is left out.")
+		log.With("address", r.Address).With("reason", err.Error()).Limited("report", "Ignoring a report with an invalid address.")
 		return 0
 	}
 	p := packet{Owner: r.Owner, Version: r.Version, Revision: r.Revision}
-	m, ended = g.meet(p, address, heard)
+	m, ended = g.findOrAddMember(p, address, seenAt)
 	if m == nil {
 		return 0
 	}
-	g.noteAhead(m, p, version, revision, now)
-	g.takeHeartbeat(m, &r.Heartbeat, now)
+	g.updateVersions(m, p, version, revision, now)
+	g.applyHeartbeat(m, &r.Heartbeat, now)
 	return ended
 }
--- a/internal/direct/peers/role.go
+++ b/internal/direct/peers/role.go
@@ -1,19 +1,18 @@
-// Who reads the platform's store.
+// Selection of the peers that read the platform's store.
 //
-// Rule: the first live entries by rank are readers, however many there are; the others
-// are told by them. Entries whose link and processor take in large settings the fastest
-// come first, and a hash of the name decides among equals. An entry after them becomes a
-// standby and reads too while too few of those before it are answered by the store or
-// have yet to try, those behind quickStandbys others one after the other; it stays one for
-// standbyFor after it was last needed.
-// An entry that starts is told by others: it reads nothing for startWait, unless it is one
-// of the seeds that all others try; it then reads once if it still knows nothing, and until
-// meetingTime follows the store only if it hears of no other one that does.
-// Inputs: the live members, what reading costs each, whether it reads the store and is
-// answered, the seeds, the time.
-// Units: entries.
-// Never: entries do not agree on it; two views that differ cost some calls, not
-// correctness.
+// Rule: the first readerCount live peers by rank are readers, whatever the number of peers; the
+// others receive updates from them. The rank orders peers by the time that their link and
+// processor take to read large settings, then by a hash of the name. A peer of lower rank
+// becomes a standby and also reads while too few of the peers before it get answers from the
+// store or have yet to try. Peers behind the first immediateStandbys do so one after the other.
+// A standby remains one for standbyDuration after it was last needed.
+// A starting process receives updates from others: it does not read the store for startWait,
+// unless it is a seed, which all others contact. It then reads once if it still has no settings
+// or endpoints. Until discoveryPeriod it follows the store only if no known peer does.
+// Inputs: the live members, their read cost, whether each reads the store and gets answers, the
+// seeds, the time.
+// Units: peers.
+// Never: peers agree on the roles; two differing views cost some calls, not correctness.
 
 package peers
 
@@ -26,79 +25,78 @@
 )
 
 const (
-	// readers is how many entries read the store: one may fail. What they read spreads from
-	// entry to entry, so that more of them tell nobody sooner.
-	readers = 2
-	// startWait is how long an entry that starts waits for others to tell it before it reads
-	// for itself. Measured on a loss of power of all of 121 entries, whose seeds were back
-	// 0.3 s after the first ones: at 300 ms entries were ready 0.31 s after their start and
-	// 767 requests were refused; at 120 ms it was 0.19 s and 405. A seed that lives answers
-	// within some 10 ms.
+	// readerCount is how many peers read the store, so that one may fail. What they read spreads
+	// from peer to peer, so more readers would not make updates faster.
+	readerCount = 2
+	// startWait is how long a starting process waits for updates from others before it reads the
+	// store. A long wait delays readiness: after a power loss of all of 121 peers, with seeds
+	// back 0.3 s after the first peers, 300 ms made peers ready 0.31 s after their start and
+	// refused 767 requests, and 120 ms 0.19 s and 405. A live seed answers within some 10 ms.
 	startWait = 50 * time.Millisecond
-	// toldWait is the same once another entry has been met, which is asked then. Above the
-	// time of two transfers on a tenth of a core.
-	toldWait = 300 * time.Millisecond
-	// firstStartWait is the same at the first start of all, when nobody is served yet. Above
-	// the time in which all start.
+	// metPeerWait is the same once another peer is known, which is then asked first. It is above
+	// the time of two transfers on a tenth of a core.
+	metPeerWait = 300 * time.Millisecond
+	// firstStartWait is the same at the first start of the whole fleet, when there is no traffic
+	// yet. It is above the time in which all peers start.
 	firstStartWait = 2 * time.Second
-	// aloneWait is how long an entry that has read for itself once, and has met nobody, waits
-	// before it reads on: where all start together, each would follow the store until it has
-	// met others, 11 calls in place of 2.
-	aloneWait = time.Second
-	// contactFor is how long a reader may go without an answer of the store before it counts
-	// as failing. A watch of 0.7 s and its slack.
-	contactFor = 1300 * time.Millisecond
-	// quickStandbys is how many entries try at once in place of readers that are not answered,
-	// and standbyStep how much later each further one does. Where the store answers nobody all
-	// entries would try, whatever their number: 1,192 calls in a day with an outage of 8 s at
-	// 103 entries. Where it turns away two thirds of the machines, one in 40 outages finds none
-	// among these that is answered, and the next ones within seconds.
-	quickStandbys = 8
-	standbyStep   = 500 * time.Millisecond
-	// standbyFor is how long a standby stays one after it was last needed. Those before it may
-	// fail in turns.
-	standbyFor = 3 * time.Second
+	// isolatedWait is how long a process that has read the store once, and knows no peers, waits
+	// before it follows the store. Without it peers that start together would each follow the store
+	// until they know each other, for 11 calls instead of 2.
+	isolatedWait = time.Second
+	// storeTimeout is how long a reader may go without an answer from the store before it counts
+	// as failing: a watch of 0.7 s and its slack.
+	storeTimeout = 1300 * time.Millisecond
+	// immediateStandbys is how many peers try at once in place of readers that get no answer,
+	// and standbyStep is the additional delay of each further one. Without the delay every peer
+	// would try while the store answers none: 1,192 calls in a day with an outage of 8 s at 103
+	// peers. If the store rejects two thirds of the machines, in one of 40 outages none of the
+	// immediate standbys gets an answer, and further standbys get one within seconds.
+	immediateStandbys = 8
+	standbyStep       = 500 * time.Millisecond
+	// standbyDuration is how long a standby remains one after it was last needed. The peers
+	// before it may fail in turns.
+	standbyDuration = 3 * time.Second
 )
 
-// rankOf returns the rank of an entry, alike at all of them. The key's text is part of the
-// protocol: entries of other versions use it too.
+// rankOf returns the rank of a peer, which is the same at all peers. The text of the hash key is
+// part of the protocol: peers of other versions use it too.
 func rankOf(name string, cost int) fanout.Rank {
 	return fanout.Rank{Cost: cost, Hash: rendezvous.Rank(rendezvous.Hash("sentinel"), rendezvous.Hash(name))}
 }
 
 const (
-	// referenceMegabits is a large version of the settings on the wire: a megabyte.
+	// referenceMegabits is the size of a large version of the settings on the wire: a megabyte.
 	referenceMegabits = 8
-	// referenceMS is the processor time, on a whole core, to read and compile it. By
-	// BenchmarkRecompile and the reading of a configuration some 40 ms for 4,000 routes.
-	referenceMS = 40
-	// maxReadCost is the cost where link or processor are next to nothing, in ms.
+	// referenceCPUMS is the processor time, on a whole core, to read and compile it: by
+	// BenchmarkRecompile and the reading of a configuration, some 40 ms for 4,000 routes.
+	referenceCPUMS = 40
+	// maxReadCost is the cost, in ms, where link or processor have almost no capacity.
 	maxReadCost = 1_000_000
 )
 
-// ReadCost estimates the time, in ms, that an entry takes for a large version of the
-// settings, by its link in 10^6 bits a second and its share of a core. It is 0, for not
-// known, where either is not known. With it thin entries read the store only where there
-// are no others: over 10 Mbit/s the store's form of 1 MB takes 1.1 s, over 200 Mbit/s
-// 0.06 s, and what they pass on is compressed.
+// ReadCost estimates the time, in ms, that a peer takes to read a large version of the settings,
+// by its link in 10^6 bits a second and its share of a core. It is 0, for unknown, if either is
+// unknown. The cost makes peers with thin links read the store only if there are no others: over
+// 10 Mbit/s the store's form of 1 MB takes 1.1 s, over 200 Mbit/s 0.06 s, and transfers between
+// peers are compressed.
 func ReadCost(linkMbps, processor float64) int {
 	if linkMbps <= 0 || processor <= 0 {
 		return 0
 	}
-	ms := referenceMegabits*1000/linkMbps + referenceMS/processor
+	ms := referenceMegabits*1000/linkMbps + referenceCPUMS/processor
 	return int(min(ms, maxReadCost))
 }
 
-// fails tells whether the entry reads the store and is not answered.
-func (m *member) fails(now time.Time) bool {
+// storeReadFails reports whether the peer reads the store and gets no answer.
+func (m *member) storeReadFails(now time.Time) bool {
 	if m.storeLost {
 		return true
 	}
-	return !m.readingSince.IsZero() && now.Sub(m.readingSince) > contactFor && !m.inContact
+	return !m.readingSince.IsZero() && now.Sub(m.readingSince) > storeTimeout && !m.storeAnswered
 }
 
-// role returns what this entry is to do now.
-func (g *Group) role(now time.Time) directory.Role {
+// roleByRank returns the role of this process by its rank among the live peers.
+func (g *Group) roleByRank(now time.Time) directory.Role {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	own := rankOf(g.options.Name, g.options.ReadCost)
@@ -111,69 +109,69 @@
 			continue
 		}
 		before++
-		if m.fails(now) {
+		if m.storeReadFails(now) {
 			failing++
 		}
 	}
 	switch {
-	case before < readers:
+	case before < readerCount:
 		return directory.Reader
-	case before-failing >= readers:
-		g.neededSince = time.Time{}
+	case before-failing >= readerCount:
+		g.standbyNeededSince = time.Time{}
 		return directory.Follower
 	}
-	if g.neededSince.IsZero() {
-		g.neededSince = now
+	if g.standbyNeededSince.IsZero() {
+		g.standbyNeededSince = now
 	}
-	if now.Sub(g.neededSince) < standbyDelay(before) {
+	if now.Sub(g.standbyNeededSince) < standbyDelay(before) {
 		return directory.Follower
 	}
 	return directory.Standby
 }
 
-// standbyDelay returns how long an entry before which so many others fail waits until it
-// tries as well.
+// standbyDelay returns how long a process waits before it becomes a standby, given the number of
+// live peers of higher rank.
 func standbyDelay(before int) time.Duration {
-	return time.Duration(max(before-quickStandbys, 0)) * standbyStep
+	return time.Duration(max(before-immediateStandbys, 0)) * standbyStep
 }
 
-// dueRole returns the role of this entry now.
-func (g *Group) dueRole(now time.Time) directory.Role {
-	if now.Sub(g.began) < meetingTime {
-		return g.startingRole(now)
+// currentRole returns the current role of this process.
+func (g *Group) currentRole(now time.Time) directory.Role {
+	if now.Sub(g.startedAt) < discoveryPeriod {
+		return g.startupRole(now)
 	}
-	return g.steadyRole(now, g.role(now))
+	return g.holdStandby(now, g.roleByRank(now))
 }
 
-// startingRole returns the role of an entry that has just started.
-func (g *Group) startingRole(now time.Time) directory.Role {
-	life := now.Sub(g.began)
+// startupRole returns the role of a process within discoveryPeriod of its start.
+func (g *Group) startupRole(now time.Time) directory.Role {
+	uptime := now.Sub(g.startedAt)
 	wait := startWait
 	if g.options.FirstStart {
 		wait = firstStartWait
 	}
 	version, revision := g.options.Directory.Versions()
-	met, reader := g.metOthers(now)
+	met, reader := g.findPeers(now)
 	switch {
 	case g.options.Seed || len(g.options.Seeds) == 0:
-		return g.steadyRole(now, g.role(now))
-	case life < wait:
+		return g.holdStandby(now, g.roleByRank(now))
+	case uptime < wait:
 		return directory.Follower
-	case (version == 0 || revision == 0) && met && life < toldWait:
+	case (version == 0 || revision == 0) && met && uptime < metPeerWait:
 		return directory.Follower
 	case version == 0 || revision == 0:
 		return directory.Starter
-	case reader, !met && life < aloneWait:
+	case reader, !met && uptime < isolatedWait:
 		return directory.Follower
 	default:
-		return g.steadyRole(now, g.role(now))
+		return g.holdStandby(now, g.roleByRank(now))
 	}
 }
 
-// metOthers tells whether any entry has been met, and whether one reads the store and is
-// answered that this one leaves it to: any, or only those before it by rank if it reads
-// too.
-func (g *Group) metOthers(now time.Time) (met, reader bool) {
+// findPeers reports whether any live peer is known, and whether one of them reads the store with
+// success, so that this process need not. If this process reads the store itself, only peers of
+// higher rank count as readers.
+func (g *Group) findPeers(now time.Time) (met, reader bool) {
 	own := rankOf(g.options.Name, g.options.ReadCost)
 	reads := g.options.Directory.ReadsStore()
 	g.mu.Lock()
@@ -183,19 +181,19 @@
 			continue
 		}
 		met = true
-		if !m.readingSince.IsZero() && m.inContact && !m.fails(now) && (!reads || m.rank.Before(own)) {
+		if !m.readingSince.IsZero() && m.storeAnswered && !m.storeReadFails(now) && (!reads || m.rank.Before(own)) {
 			reader = true
 		}
 	}
 	return met, reader
 }
 
-// steadyRole keeps a standby for a while.
-func (g *Group) steadyRole(now time.Time, r directory.Role) directory.Role {
+// holdStandby keeps a standby in that role for standbyDuration.
+func (g *Group) holdStandby(now time.Time, r directory.Role) directory.Role {
 	switch {
 	case r == directory.Standby:
-		g.standbySince = now
-	case r == directory.Follower && now.Sub(g.standbySince) < standbyFor:
+		g.lastStandby = now
+	case r == directory.Follower && now.Sub(g.lastStandby) < standbyDuration:
 		return directory.Standby
 	}
 	return r
--- a/internal/direct/peers/snapshot.go
+++ b/internal/direct/peers/snapshot.go
@@ -1,12 +1,14 @@
-// How an entry that starts learns what the others have heard of attempts.
+// Snapshots: how a starting process obtains the attempts known to its peers.
 //
-// Rule: once it knows the endpoints it asks an entry that has heard of attempts for long,
-// of its own data centre if there is one, for a snapshot; another one if that fails, until
-// it has lived for meetingTime. What it is told meanwhile goes before the snapshot. If it
-// has met no such entry within seekFor, all have started together, and what engines keep
-// is asked of the engines: of each by one entry, by rank, which tells the others.
+// Rule: once it has the endpoints, it requests a snapshot from a peer that is informed, that is,
+// one that has received events for at least discoveryPeriod or restored a snapshot. Peers of the
+// local data centre are preferred. If that fails it asks another peer, until discoveryPeriod has
+// passed. Events received in the meantime take precedence over the snapshot. If no such peer is
+// known within snapshotSearchTimeout, all peers have started together, and the contents kept by
+// engines are requested from the engines: from each by one peer, chosen by rank, which sends
+// them to the others.
 // Inputs: heartbeats, the time.
-// Never: requests wait for it; an entry that has itself just started is asked.
+// Never: requests wait for a snapshot; a peer that has itself just started is asked.
 
 package peers
 
@@ -24,32 +26,32 @@
 	"foxcross.dev/foxcross/internal/workers"
 )
 
-// SnapshotPath is where an entry serves what it knows of attempts.
+// SnapshotPath is the path at which a peer serves the attempts known to it.
 const SnapshotPath = "/attempts"
 
 const (
-	// maxSnapshots is how many snapshots an entry makes and sends at once. Each takes some ms
-	// of a core while attempts are locked.
-	maxSnapshots = 1
-	// informInterval is the time between two tries.
-	informInterval = 25 * time.Millisecond
-	// seekFor is how long an entry that starts looks for one that knows of attempts. After
-	// 0.25 s, where all have started together, entries had not met each other and each
-	// engine's list was asked for by many: it holds up the engine's work. When the members of
-	// a data centre have met, and relays have reported twice.
-	seekFor = time.Second
+	// maxConcurrentSnapshots is how many snapshots a process creates and sends at the same time.
+	// Each takes some ms of a core while attempts are locked.
+	maxConcurrentSnapshots = 1
+	// snapshotRetryInterval is the time between two attempts to fetch a snapshot.
+	snapshotRetryInterval = 25 * time.Millisecond
+	// snapshotSearchTimeout is how long a starting process looks for an informed peer. By then
+	// the members of a data centre know each other, and relays have reported twice. With 0.25 s,
+	// peers that start together do not know each other yet and many request each engine's list,
+	// which delays the engine's work.
+	snapshotSearchTimeout = time.Second
 )
 
-// Listed tells whether the list of endpoints is known.
+// Listed reports whether the list of endpoints is known.
 type Listed interface{ Listed() bool }
 
-// SnapshotHandler serves snapshots to other entries.
+// SnapshotHandler serves snapshots to other peers.
 func SnapshotHandler(snapshot func() ([]byte, error)) http.Handler {
-	making := make(chan struct{}, maxSnapshots)
+	inProgress := make(chan struct{}, maxConcurrentSnapshots)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
-		case making <- struct{}{}:
-			defer func() { <-making }()
+		case inProgress <- struct{}{}:
+			defer func() { <-inProgress }()
 		default:
 			http.Error(w, "another snapshot is being sent", http.StatusServiceUnavailable)
 			return
@@ -59,50 +61,50 @@
 			http.Error(w, err.Error(), http.StatusInternalServerError)
 			return
 		}
-		b, err := bodyOf(data)
+		b, err := newBody(data)
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusInternalServerError)
 			return
 		}
-		b.send(w, r)
+		b.writeTo(w, r)
 	})
 }
 
-// Inform hands the snapshot of another entry to restore. It returns false if no entry is
-// met that has one.
-func (g *Group) Inform(ctx context.Context, list Listed, restore func([]byte) error) (informed bool) {
-	ctx, done := context.WithTimeout(ctx, meetingTime)
+// Inform passes the snapshot of another peer to restore. It returns false if no peer with a
+// snapshot is known.
+func (g *Group) Inform(ctx context.Context, list Listed, restore func([]byte) error) (found bool) {
+	ctx, done := context.WithTimeout(ctx, discoveryPeriod)
 	defer done()
 	tried := map[string]bool{}
-	workers.Every(ctx, informInterval, func(now time.Time) {
+	workers.Every(ctx, snapshotRetryInterval, func(now time.Time) {
 		if !list.Listed() {
 			return
 		}
-		address := g.informed(now, tried)
+		address := g.snapshotSource(now, tried)
 		if address == "" {
-			if len(tried) == 0 && now.Sub(g.began) > seekFor {
+			if len(tried) == 0 && now.Sub(g.startedAt) > snapshotSearchTimeout {
 				done()
 			}
 			return
 		}
-		informed = true
+		found = true
 		tried[address] = true
 		data, err := fetchSnapshot(ctx, address)
 		if err == nil {
 			err = restore(data)
 		}
 		if err != nil {
-			log.With("peer", address).With("reason", err.Error()).Limited("snapshot", "What another entry knows can't be read; another one is asked.")
+			log.With("peer", address).With("reason", err.Error()).Limited("snapshot", "Fetching a snapshot failed; trying another peer.")
 			return
 		}
-		g.restored.Store(true)
+		g.snapshotRestored.Store(true)
 		done()
 	})
-	return informed
+	return found
 }
 
-// First tells whether this entry is the first by rank for something in a data centre,
-// among the live entries there, or among all if none lives there.
+// First reports whether this process ranks first for a name in a data centre, among the live
+// peers there, or among all if there are none.
 func (g *Group) First(name, dataCentre string) bool {
 	key := rendezvous.Hash(name)
 	own := rendezvous.Rank(key, rendezvous.Hash(g.options.Name))
@@ -110,44 +112,45 @@
 	now := steady.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	before, inhabited := false, here
+	before, populated := false, here
 	for _, m := range g.members {
 		if !m.alive(now) || m.name == "" {
 			continue
 		}
 		there := m.heartbeat.DataCentre == dataCentre
-		inhabited = inhabited || there
+		populated = populated || there
 		if there == here && rendezvous.Rank(key, rendezvous.Hash(m.name)) < own {
 			before = true
 		}
 	}
-	return !before && (here || !inhabited)
+	return !before && (here || !populated)
 }
 
-// informed returns an entry to ask that was not tried, empty for none.
-func (g *Group) informed(now time.Time, tried map[string]bool) string {
+// snapshotSource returns the address of an informed peer that has not been tried, empty for
+// none.
+func (g *Group) snapshotSource(now time.Time, tried map[string]bool) string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	var near, far []string
+	var local, remote []string
 	for address, m := range g.members {
 		switch {
 		case !m.alive(now) || !m.heartbeat.Informed || tried[address]:
-		case m.far:
-			far = append(far, address)
+		case m.remote:
+			remote = append(remote, address)
 		default:
-			near = append(near, address)
+			local = append(local, address)
 		}
 	}
-	if len(near) == 0 {
-		near = far
+	if len(local) == 0 {
+		local = remote
 	}
-	if len(near) == 0 {
+	if len(local) == 0 {
 		return ""
 	}
-	return near[rand.IntN(len(near))]
+	return local[rand.IntN(len(local))]
 }
 
-// fetchSnapshot reads the snapshot of an entry.
+// fetchSnapshot reads the snapshot of a peer.
 func fetchSnapshot(ctx context.Context, address string) ([]byte, error) {
 	f := transfer.Begin(ctx, settingsTimeout, stallTimeout)
 	defer f.End()
@@ -156,22 +159,22 @@
 	if err != nil {
 		return nil, fmt.Errorf("peers: snapshot of %s: %w", address, err)
 	}
-	request.Header.Set("Accept-Encoding", gzipName)
-	answer, err := http.DefaultClient.Do(request)
+	request.Header.Set("Accept-Encoding", gzipEncoding)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return nil, fmt.Errorf("peers: snapshot of %s: %w", address, f.Cause(err))
 	}
-	defer func() { _ = answer.Body.Close() }()
-	switch answer.StatusCode {
+	defer func() { _ = response.Body.Close() }()
+	switch response.StatusCode {
 	case http.StatusOK:
 	case http.StatusServiceUnavailable:
 		return nil, fmt.Errorf("peers: snapshot of %s: %w", address, errBusy)
 	default:
-		return nil, fmt.Errorf("peers: snapshot of %s: status %d", address, answer.StatusCode)
+		return nil, fmt.Errorf("peers: snapshot of %s: status %d", address, response.StatusCode)
 	}
-	data, err := f.ReadAll(answer.Body, maxState, nil)
+	data, err := f.ReadAll(response.Body, maxStateBytes, nil)
 	if err != nil {
 		return nil, fmt.Errorf("peers: snapshot of %s: %w", address, err)
 	}
-	return unzip(answer, data)
+	return gunzip(response, data)
 }
--- a/internal/direct/peers/snapshot_test.go
+++ b/internal/direct/peers/snapshot_test.go
@@ -16,33 +16,33 @@
 	. "github.com/onsi/gomega"
 )
 
-// listed is a list of endpoints that is known.
-type listed struct{}
+// knownEndpoints is a list of endpoints that is known.
+type knownEndpoints struct{}
 
-func (listed) Listed() bool { return true }
+func (knownEndpoints) Listed() bool { return true }
 
-// informedHeartbeat is that of an entry that has heard of attempts for long.
+// informedHeartbeat returns the heartbeat of an informed peer.
 func informedHeartbeat() map[int]any {
 	return map[int]any{ownerField: 9, heartbeatField: map[int]any{1: "informed", 4: -1, 5: -1, 9: true, 10: "x", 12: true}}
 }
 
-// informed starts a stranger that serves snapshots and is taken for an entry.
-func informed(to *entry, snapshots http.Handler) {
+// startSnapshotPeer starts a fake peer that serves snapshots and sends heartbeats.
+func startSnapshotPeer(to *testPeer, snapshots http.Handler) {
 	GinkgoHelper()
-	s, listener := strangerWithListener()
+	s, listener := newFakePeerWithListener()
 	server := &http.Server{Handler: snapshots}
 	go func() { _ = server.Serve(listener) }()
 	DeferCleanup(server.Close)
-	s.beat(to, informedHeartbeat())
+	s.sendPeriodically(to, informedHeartbeat())
 }
 
-// strangerWithListener returns a stranger and a listener for TCP at its address. A port that
-// is free for UDP may be that of a connection of another process.
-func strangerWithListener() (*stranger, net.Listener) {
+// newFakePeerWithListener returns a fake peer and a TCP listener at its address. A port that is
+// free for UDP may be in use by a TCP connection of another process.
+func newFakePeerWithListener() (*fakePeer, net.Listener) {
 	GinkgoHelper()
 	const tries = 50
 	for range tries {
-		s := newStranger()
+		s := newFakePeer()
 		listener, err := net.Listen("tcp", s.socket.LocalAddr().String())
 		if err == nil {
 			return s, listener
@@ -53,55 +53,55 @@
 	return nil, nil
 }
 
-var _ = Describe("an entry that starts", func() {
-	It("is handed a snapshot by another one that has heard of attempts for long", func() {
-		a := joinIn("x", "a", "", 1)
+var _ = Describe("a starting peer", func() {
+	It("restores the snapshot of an informed peer", func() {
+		a := startPeerIn("x", "a", "", 1)
 		text := strings.Repeat("what is known ", 1000)
-		informed(a, peers.SnapshotHandler(func() ([]byte, error) { return []byte(text), nil }))
+		startSnapshotPeer(a, peers.SnapshotHandler(func() ([]byte, error) { return []byte(text), nil }))
 		var got []byte
-		a.group.Inform(context.Background(), listed{}, func(data []byte) error {
+		a.group.Inform(context.Background(), knownEndpoints{}, func(data []byte) error {
 			got = data
 			return nil
 		})
 		Expect(string(got)).To(Equal(text))
 	})
 
-	It("asks another one if the first can't, and gives up in time", func() {
-		a := joinIn("x", "a", "", 1)
-		informed(a, peers.SnapshotHandler(func() ([]byte, error) { return nil, errors.New("not now") }))
+	It("tries another peer if a snapshot fails, and stops in time", func() {
+		a := startPeerIn("x", "a", "", 1)
+		startSnapshotPeer(a, peers.SnapshotHandler(func() ([]byte, error) { return nil, errors.New("not now") }))
 		restored := false
-		began := time.Now()
-		a.group.Inform(context.Background(), listed{}, func([]byte) error {
+		startedAt := time.Now()
+		a.group.Inform(context.Background(), knownEndpoints{}, func([]byte) error {
 			restored = true
 			return nil
 		})
 		Expect(restored).To(BeFalse())
-		Expect(time.Since(began)).To(BeNumerically("<", 10*time.Second))
+		Expect(time.Since(startedAt)).To(BeNumerically("<", 10*time.Second))
 	})
 
-	It("is not handed one by an entry that makes another", func() {
-		release, making := make(chan struct{}), make(chan struct{})
+	It("is refused by a peer that is sending another snapshot", func() {
+		release, inProgress := make(chan struct{}), make(chan struct{})
 		server := httptest.NewServer(peers.SnapshotHandler(func() ([]byte, error) {
-			close(making)
+			close(inProgress)
 			<-release
 			return []byte("known"), nil
 		}))
 		DeferCleanup(server.Close)
 		first := make(chan int)
 		go func() { first <- statusOf(server.URL) }()
-		<-making
+		<-inProgress
 		Expect(statusOf(server.URL)).To(Equal(http.StatusServiceUnavailable))
 		close(release)
 		Expect(<-first).To(Equal(http.StatusOK))
 	})
 })
 
-// statusOf returns the status of an answer, 0 for none.
+// statusOf returns the status of a response, 0 for none.
 func statusOf(url string) int {
-	answer, err := http.Get(url)
+	response, err := http.Get(url)
 	if err != nil {
 		return 0
 	}
-	_ = answer.Body.Close()
-	return answer.StatusCode
+	_ = response.Body.Close()
+	return response.StatusCode
 }
--- a/internal/direct/peers/state.go
+++ b/internal/direct/peers/state.go
@@ -12,40 +12,40 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// statePath is where an entry serves its state to others.
+// statePath is the path at which a peer serves its state to others.
 const statePath = "/state"
 
-// state is what one entry hands to another: settings where they are newer than those of
-// the asker, and the list of endpoints or its changes.
+// state is a peer's response to another: the settings if they are newer than the client's, and
+// the list of endpoints or the changes to it.
 type state struct {
 	Version   uint64                   `cbor:"1,keyasint,omitempty"` // of Nodes
 	Nodes     map[string]settings.Node `cbor:"2,keyasint,omitempty"`
 	Endpoints *driver.Endpoints        `cbor:"3,keyasint,omitempty"`
-	Change    *driver.Change           `cbor:"4,keyasint,omitempty"` // since the asker's revision, in place of Endpoints
-	Lapsed    map[string]time.Duration `cbor:"5,keyasint,omitempty"` // endpoints that vanished and are still used, for how much longer
+	Change    *driver.Change           `cbor:"4,keyasint,omitempty"` // since the client's revision, instead of Endpoints
+	Lapsed    map[string]time.Duration `cbor:"5,keyasint,omitempty"` // remaining time of endpoints that left the list and are still used
 
-	// Of answers to those that ask for one part. Former versions neither ask so nor
-	// send these.
-	Base     uint64   `cbor:"6,keyasint,omitempty"`  // version that Nodes and Removed are laid over, 0 if Nodes are all
-	Removed  []string `cbor:"7,keyasint,omitempty"`  // paths of nodes that Base has
+	// These are in responses to requests for one part. Older versions neither send such requests
+	// nor these fields.
+	Base     uint64   `cbor:"6,keyasint,omitempty"`  // version that Nodes and Removed change, 0 if Nodes are complete
+	Removed  []string `cbor:"7,keyasint,omitempty"`  // paths of nodes of Base that no longer exist
 	Digest   uint64   `cbor:"8,keyasint,omitempty"`  // of the tree of Version
-	InForce  uint64   `cbor:"9,keyasint,omitempty"`  // version at the entry that answers
+	InForce  uint64   `cbor:"9,keyasint,omitempty"`  // version in force at the sender
 	Revision uint64   `cbor:"10,keyasint,omitempty"` // of the store, at which InForce was the newest
 }
 
-// Fields of a query: what the asker has, and what it asks for.
+// Query parameters: the client's versions, and the part that it requests.
 const (
 	versionField  = "version"
 	revisionField = "revision"
-	partField     = "part" // none for both, as former versions ask
+	partField     = "part" // none for both parts, as older versions request them
 )
 
-// maxTransfers is how many answers with settings an entry sends at once. More would share the
-// link so that none arrives before all do; whoever is refused asks another entry, which may
-// have them by then, so that settings spread as a tree.
+// maxTransfers is how many settings responses a peer sends at the same time. More would share
+// the link so that none arrives early. A client that is refused asks another peer, which may
+// have the settings by then, so that settings spread as a tree.
 const maxTransfers = 4
 
-// StateHandler serves the directory to other entries.
+// StateHandler serves the directory to other peers.
 func StateHandler(d *directory.Directory) http.Handler {
 	h := &stateHandler{directory: d, transfers: make(chan struct{}, maxTransfers)}
 	mux := http.NewServeMux()
@@ -53,21 +53,21 @@
 	return mux
 }
 
-// stateHandler answers other entries.
+// stateHandler serves requests of other peers.
 type stateHandler struct {
 	directory *directory.Directory
-	encodings encodings
-	transfers chan struct{} // one value for each answer with settings that is sent
+	encodings encodingCache
+	transfers chan struct{} // one value for each settings response in progress
 }
 
 func (h *stateHandler) serve(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
-	version, revision := number(query.Get(versionField)), number(query.Get(revisionField))
+	version, revision := parseNumber(query.Get(versionField)), parseNumber(query.Get(revisionField))
 	switch query.Get(partField) {
 	case EndpointsPart.String():
-		s := h.endpoints(revision)
+		s := h.endpointsState(revision)
 		s.InForce, s.Revision = h.directory.Settled()
-		h.answer(w, r, s)
+		h.writeState(w, r, s)
 	case SettingsPart.String():
 		h.serveSettings(w, r, version)
 	default:
@@ -75,8 +75,9 @@
 	}
 }
 
-// endpoints returns the list, or its changes since a revision.
-func (h *stateHandler) endpoints(since uint64) state {
+// endpointsState returns a state with the list of endpoints, or with the changes since a
+// revision.
+func (h *stateHandler) endpointsState(since uint64) state {
 	d := h.directory
 	s := state{Lapsed: d.Lapsed()}
 	if c, ok := d.Since(since); ok && since > 0 {
@@ -88,7 +89,7 @@
 	return s
 }
 
-// serveSettings sends the settings, or their changes since a version.
+// serveSettings sends the settings, or the changes since a version.
 func (h *stateHandler) serveSettings(w http.ResponseWriter, r *http.Request, since uint64) {
 	select {
 	case h.transfers <- struct{}{}:
@@ -102,14 +103,14 @@
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	body.send(w, r)
+	body.writeTo(w, r)
 }
 
-// serveAll sends both parts as entries of former versions read them: they ask the store
-// for changes of both after the revision of the list, so none is named at which the
-// settings may have been older than the newest.
+// serveAll sends both parts in the form that peers of older versions read. They ask the store
+// for changes of both parts after the revision of the list. The list therefore names at most the
+// revision at which the settings were known to be the newest.
 func (h *stateHandler) serveAll(w http.ResponseWriter, r *http.Request, version, revision uint64) {
-	s := h.endpoints(revision)
+	s := h.endpointsState(revision)
 	_, settled := h.directory.Settled()
 	switch {
 	case s.Endpoints != nil:
@@ -121,19 +122,19 @@
 		s.Version = f.Version
 		s.Nodes = f.Tree.Nodes()
 	}
-	h.answer(w, r, s)
+	h.writeState(w, r, s)
 }
 
-func (h *stateHandler) answer(w http.ResponseWriter, r *http.Request, s state) {
+func (h *stateHandler) writeState(w http.ResponseWriter, r *http.Request, s state) {
 	body, err := encode(s)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	body.send(w, r)
+	body.writeTo(w, r)
 }
 
-// settingsState returns what an asker with a version lacks of the settings.
+// settingsState returns the settings that a client with a version lacks.
 func settingsState(d *directory.Directory, since uint64) state {
 	inForce, settled := d.Settled()
 	now, changes, ok := d.SettingsSince(since)
@@ -171,21 +172,21 @@
 	return all
 }
 
-// number reads a number of a query. Without one, or with one that can't be read,
-// the asker gets everything.
-func number(text string) uint64 {
+// parseNumber parses a number of a query. A missing or invalid number counts as 0, for which the
+// client receives everything.
+func parseNumber(text string) uint64 {
 	if text == "" {
 		return 0
 	}
 	n, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		log.With("reason", err.Error()).Limited("query", "A query for the state can't be read; all of it is sent.")
+		log.With("reason", err.Error()).Limited("query", "Invalid number in a state query; sending the whole state.")
 		return 0
 	}
 	return n
 }
 
-// decode reads what another entry handed over.
+// decode decodes a state.
 func decode(data []byte) (state, error) {
 	var s state
 	err := cbor.Unmarshal(data, &s)
--- a/internal/direct/peers/suspension_test.go
+++ b/internal/direct/peers/suspension_test.go
@@ -8,34 +8,34 @@
 	"foxcross.dev/foxcross/internal/testing/suspension"
 )
 
-// TestEntriesAreSilentAfterASuspension holds that an entry which wakes does not go by what it
-// heard of others before: none of them counts as live until it is heard again.
-func TestEntriesAreSilentAfterASuspension(t *testing.T) {
-	g, _ := ranked(steady.Now(), 3)
+// TestMembersAreNotLiveAfterSuspension checks that a process that resumes does not use what it
+// received before: no peer counts as live until a packet from it arrives again.
+func TestMembersAreNotLiveAfterSuspension(t *testing.T) {
+	g, _ := newRankedGroup(steady.Now(), 3)
 	if n := len(g.Owners()); n != 4 {
-		t.Fatalf("%d entries live", n)
+		t.Fatalf("%d live peers", n)
 	}
 	t.Cleanup(suspension.Suspend(10 * time.Second))
 	if n := len(g.Owners()); n != 1 {
-		t.Errorf("%d entries count as live after a suspension", n)
+		t.Errorf("%d peers count as live after a suspension", n)
 	}
 }
 
-// TestTrueTimeIsComparedAnewAfterASuspension holds that an entry which wakes does not go by how
-// the clocks compared before: the time of day may have been set meanwhile. No true time is
-// known until they are compared again; who asks takes the time of day.
-func TestTrueTimeIsComparedAnewAfterASuspension(t *testing.T) {
-	g, _ := ranked(steady.Now(), 0)
-	g.observeOwnClock(steady.Now())
+// TestTrueTimeIsUnknownAfterSuspension checks that a process that resumes does not use clock
+// comparisons made before, since the wall clock may have been set in the meantime. The true time
+// is unknown until the clocks are compared again; callers use the wall clock until then.
+func TestTrueTimeIsUnknownAfterSuspension(t *testing.T) {
+	g, _ := newRankedGroup(steady.Now(), 0)
+	g.observeLocalClock(steady.Now())
 	if _, ok := g.TrueTime(steady.Now()); !ok {
-		t.Fatal("no time is known")
+		t.Fatal("the true time is unknown")
 	}
 	t.Cleanup(suspension.Suspend(10 * time.Second))
 	if _, ok := g.TrueTime(steady.Now()); ok {
-		t.Error("the clocks count as compared, 10 s later")
+		t.Error("the true time is known 10 s later, without a new comparison")
 	}
-	g.observeOwnClock(steady.Now())
+	g.observeLocalClock(steady.Now())
 	if now, ok := g.TrueTime(steady.Now()); !ok || time.Until(now).Abs() > time.Second {
-		t.Errorf("%v off the time of day", time.Until(now))
+		t.Errorf("%v off the wall clock", time.Until(now))
 	}
 }
--- a/internal/direct/peers/thinlink_test.go
+++ b/internal/direct/peers/thinlink_test.go
@@ -18,22 +18,20 @@
 	"foxcross.dev/foxcross/internal/testing/thinlink"
 )
 
-// Users saw requests handled by settings that had been replaced six seconds before,
-// and requests sent to endpoints that had said three seconds before that they leave.
-// The operator had added 1,400 routes several times while endpoints were replaced one
-// after the other. Entries with links of 200 Mbit/s had each version within a second;
-// those with 10 Mbit/s never got it, nor any later change of the list of endpoints.
-//
-// The cause was a bound on the whole of a transfer: an entry fetched settings and
-// endpoints from another in one answer within 0.6 s, which a link of 10 Mbit/s turns
-// into 750 kB. The evidence: of 464 fetches that this bound ended on such a day 252 had
-// brought 600 to 708 kB, all that the link carries, and each was then begun anew.
+// These tests guard against a time limit on a whole transfer. If a peer fetched settings and
+// endpoints in one response within 0.6 s, a link of 10 Mbit/s would carry 750 kB of it, and each
+// fetch would start again from the beginning: of 464 fetches that such a limit ended in a day, 252
+// had transferred 600 to 708 kB. While 1,400 routes were added several times and endpoints were
+// replaced, peers with links of 200 Mbit/s had each version within a second, and those with
+// 10 Mbit/s never got it, nor later changes of the endpoints. They used settings replaced six
+// seconds before, and sent requests to endpoints that had announced three seconds before that
+// they leave.
 
 // thinRate is a link of 10 Mbit/s, in bytes a second.
 const thinRate = 10_000_000 / 8
 
-// manyKeys is settings of about 4 MB in which nothing repeats: hashes of keys.
-func manyKeys(version int) settings.Tree {
+// newKeySettings returns settings of about 4 MB of key hashes, which do not compress.
+func newKeySettings(version int) settings.Tree {
 	const teams, keys = 10_000, 5
 	nodes := map[string]settings.Node{"": {}, "teams": {}}
 	for t := range teams {
@@ -47,21 +45,21 @@
 	return settings.NewTree(nodes)
 }
 
-// behindLink starts an entry that knows the settings and endpoints, and one that
-// reaches it over a link of so many bytes a second.
-func behindLink(t *testing.T, rate int, known settings.Tree) (ahead, behind *directory.Directory) {
+// newPeersOverLink starts a peer with the given settings and a list of endpoints, and one that
+// reaches it over a link of rate bytes a second.
+func newPeersOverLink(t *testing.T, rate int, known settings.Tree) (ahead, behind *directory.Directory) {
 	t.Helper()
 	ahead = newDirectory()
 	ahead.TakeSettings(5, known, "test")
 	ahead.TakeEndpoints(driver.Endpoints{Revision: 9, List: []placement.Endpoint{{ID: "i-1"}, {ID: "i-2"}}}, "test")
-	seed := run(t, "ahead", 1, ahead, nil)
+	seed := runPeer(t, "ahead", 1, ahead, nil)
 	link, err := thinlink.New(seed, rate)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(link.Close)
 	behind = newDirectory()
-	run(t, "behind", 2, behind, func(string) string { return link.Address() }, seed)
+	runPeer(t, "behind", 2, behind, func(string) string { return link.Address() }, seed)
 	return ahead, behind
 }
 
@@ -69,9 +67,9 @@
 	return directory.New(func(directory.InForce) {}, func([]placement.Endpoint) {}, func([]string) {})
 }
 
-// run runs an entry that fetches the state of another from where route says, and
-// returns its address.
-func run(t *testing.T, name string, owner uint64, d *directory.Directory, route func(string) string, seeds ...string) string {
+// runPeer runs a peer and returns its address. It fetches the state of another peer from the
+// address that route returns.
+func runPeer(t *testing.T, name string, owner uint64, d *directory.Directory, route func(string) string, seeds ...string) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -81,9 +79,9 @@
 	server := &http.Server{Handler: peers.StateHandler(d)}
 	go func() { _ = server.Serve(listener) }()
 	group, err := peers.New(peers.Options{
-		Name: name, Address: address, Owner: owner, Seeds: seeds, Listener: &entry{}, Directory: d,
+		Name: name, Address: address, Owner: owner, Seeds: seeds, Listener: &testPeer{}, Directory: d,
 		Fetch: func(ctx context.Context, from string, p peers.Part) {
-			_ = peers.FetchState(ctx, d, route(from), p) // it is tried again; what counts is what arrives
+			_ = peers.FetchState(ctx, d, route(from), p) // errors are retried; the test checks the directory
 		},
 	})
 	if err != nil {
@@ -103,12 +101,12 @@
 	return address
 }
 
-// await waits until the condition holds.
-func await(t *testing.T, what string, holds func() bool) {
+// waitFor waits until a condition holds.
+func waitFor(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("in vain: %s", what)
+			t.Fatalf("timed out: %s", what)
 		}
 	}
 }
@@ -123,23 +121,23 @@
 	return r
 }
 
-func TestLargeSettingsCrossAThinLink(t *testing.T) {
-	_, behind := behindLink(t, thinRate, manyKeys(5))
-	await(t, "the settings cross the link", func() bool { return version(behind) == 5 })
+func TestLargeSettingsOverThinLink(t *testing.T) {
+	_, behind := newPeersOverLink(t, thinRate, newKeySettings(5))
+	waitFor(t, "transfer of the settings", func() bool { return version(behind) == 5 })
 }
 
-// TestLeavingIsToldBesideLargeSettings has an endpoint leave while settings are under
-// way over a link that takes more than half a minute for them.
-func TestLeavingIsToldBesideLargeSettings(t *testing.T) {
-	const crawl = thinRate / 20
-	ahead, behind := behindLink(t, crawl, manyKeys(5))
-	await(t, "the list crosses the link", func() bool { return revision(behind) == 9 })
+// TestEndpointChangeDuringLargeTransfer has an endpoint leave while settings are transferred
+// over a link that takes more than half a minute for them.
+func TestEndpointChangeDuringLargeTransfer(t *testing.T) {
+	const slowRate = thinRate / 20
+	ahead, behind := newPeersOverLink(t, slowRate, newKeySettings(5))
+	waitFor(t, "transfer of the list", func() bool { return revision(behind) == 9 })
 	ahead.Apply(driver.Change{Revision: 10, Changed: []placement.Endpoint{{ID: "i-1", Leaving: true}}})
-	await(t, "the leaving crosses the link", func() bool { return revision(behind) == 10 })
+	waitFor(t, "transfer of the leaving endpoint", func() bool { return revision(behind) == 10 })
 	if version(behind) == 5 {
-		t.Error("the settings were as fast; the link is too wide for the test")
+		t.Error("the settings arrived before the endpoint change; the link is too wide for the test")
 	}
 	if behind.Known() {
-		t.Error("an entry that lacks the settings counts as ready")
+		t.Error("a peer without settings counts as ready")
 	}
 }
--- a/internal/direct/peers/traffic.go
+++ b/internal/direct/peers/traffic.go
@@ -2,36 +2,36 @@
 
 import "github.com/uber-go/tally/v4"
 
-// trafficKind is what a datagram carries, for the figures.
+// trafficKind is the content of a datagram, as counted in the metrics.
 type trafficKind int
 
 // The kinds of traffic.
 const (
-	heartbeatTraffic trafficKind = iota // and reports
-	questionTraffic                     // whether a relay answers
-	eventTraffic                        // to a relay or an entry of a former version
-	localTraffic                        // events, passed on within the data centre
-	acrossTraffic                       // events, to another data centre
-	usageTraffic                        // requests counted, to those that may hold the duties
+	heartbeatTraffic trafficKind = iota // heartbeats and reports
+	probeTraffic                        // liveness probes of relays and the replies
+	eventTraffic                        // events, to a relay or a peer of an older version
+	localTraffic                        // events, forwarded within the data centre
+	remoteTraffic                       // events, to another data centre
+	usageTraffic                        // request counts, to peers that may hold the duties
 	trafficKinds
 )
 
 var trafficNames = [trafficKinds]string{"heartbeat", "question", "event", "event_local", "event_across", "usage"}
 
-// trafficOf returns the kind of events on a hop.
+// trafficOf returns the traffic kind of events on a hop.
 func trafficOf(h hop) trafficKind {
 	switch h {
 	case hopLocal:
 		return localTraffic
-	case hopAcross:
-		return acrossTraffic
+	case hopRemote:
+		return remoteTraffic
 	default:
 		return eventTraffic
 	}
 }
 
-// traffic counts the datagrams that are sent to other entries and their bytes, without
-// the headers of UDP and IP.
+// traffic counts the datagrams sent to other peers and their bytes, without the UDP and IP
+// headers.
 type traffic struct {
 	datagrams, bytes [trafficKinds]tally.Counter
 }
@@ -49,7 +49,7 @@
 	return t
 }
 
-// sent counts one packet that went to so many.
+// sent counts one packet that was sent to several addresses.
 func (t *traffic) sent(k trafficKind, copies, bytes int) {
 	t.datagrams[k].Inc(int64(copies))
 	t.bytes[k].Inc(int64(copies * bytes))
--- a/internal/direct/peers/usage.go
+++ b/internal/direct/peers/usage.go
@@ -1,12 +1,12 @@
-// What entries tell those that may hold the duties, and how they know who does.
+// Usage reports to the duty holder.
 //
-// Rule: the holder names its fence in its heartbeats; the live entry with the highest fence
-// holds the duties. What an entry counted goes straight to it and to the entries that read
-// the store, one of which will be the next holder: so the counts of an entry that dies are
-// known there.
+// Rule: the holder sends its fence in its heartbeats; the live peer with the highest fence holds
+// the duties. A peer sends its request counts directly to the holder and to the peers that read
+// the store, one of which will be the next holder. So these have the counts of a peer that
+// crashes.
 // Inputs: heartbeats, the time.
 // Units: bytes of a datagram.
-// Never: entries agree on the holder; the platform's store decides, and checks each write.
+// Never: peers agree on the holder; the platform's store decides, and checks each write.
 
 package peers
 
@@ -20,27 +20,28 @@
 )
 
 const (
-	// maxToldUsage bounds the entries that one tells its counts. The holder, the readers, and
-	// some standbys.
-	maxToldUsage = 4
-	// countBytes is about what a team's count takes in a datagram beside its name.
-	countBytes = 5
+	// maxUsageRecipients bounds the peers that receive a process's counts: the holder, the
+	// readers, and some standbys.
+	maxUsageRecipients = 4
+	// teamCountOverhead is the approximate size of a team's count in a datagram, without its
+	// name, in bytes.
+	teamCountOverhead = 5
 )
 
-// usage is what an entry says of the requests that it counted.
+// usage is a peer's statement of the requests that it counted.
 type usage struct {
-	ThroughMS int64        `cbor:"1,keyasint"` // true time since the start of 1970 up to which all are counted
+	ThroughMS int64        `cbor:"1,keyasint"` // true time, in ms since 1970, up to which all requests are counted
 	Windows   []usageCount `cbor:"2,keyasint,omitempty"`
 }
 
-// usageCount is the counts of one window, or a part of them.
+// usageCount holds the counts of one window, or some of them.
 type usageCount struct {
 	Window int64            `cbor:"1,keyasint"`
 	Total  int64            `cbor:"2,keyasint"` // of all teams
 	Counts map[string]int64 `cbor:"3,keyasint,omitempty"`
 }
 
-// statement translates what an entry said.
+// statement converts the usage to a statement of its owner.
 func (u *usage) statement(owner uint64) duty.Statement {
 	s := duty.Statement{Owner: owner, Through: time.UnixMilli(u.ThroughMS)}
 	for _, w := range u.Windows {
@@ -56,19 +57,19 @@
 	requests int64
 }
 
-// usageParts cuts a statement into parts, each of which fits into a datagram. There is one
-// also where nothing was counted.
-func usageParts(s duty.Statement) []usage {
+// splitUsage splits a statement into parts, each of which fits into a datagram. It returns one
+// part if nothing was counted.
+func splitUsage(s duty.Statement) []usage {
 	var all []sized[teamCount]
 	for _, w := range s.Windows {
 		for team, n := range w.Counts {
-			all = append(all, sized[teamCount]{teamCount{w, team, n}, len(team) + countBytes})
+			all = append(all, sized[teamCount]{teamCount{w, team, n}, len(team) + teamCountOverhead})
 		}
 	}
 	through := s.Through.UnixMilli()
 	var parts []usage
-	for _, part := range inDatagrams(all) {
-		parts = append(parts, usage{ThroughMS: through, Windows: windowsOf(part)})
+	for _, part := range splitDatagrams(all) {
+		parts = append(parts, usage{ThroughMS: through, Windows: groupByWindow(part)})
 	}
 	if len(parts) == 0 {
 		return []usage{{ThroughMS: through}}
@@ -76,8 +77,8 @@
 	return parts
 }
 
-// windowsOf puts counts together by window. Those of a window come one after the other.
-func windowsOf(counts []teamCount) []usageCount {
+// groupByWindow groups counts by window. The counts of a window must be adjacent.
+func groupByWindow(counts []teamCount) []usageCount {
 	var all []usageCount
 	for _, c := range counts {
 		window := int64(c.window.Window)
@@ -89,21 +90,21 @@
 	return all
 }
 
-// TellUsage tells those that may hold the duties what this entry counted.
+// TellUsage sends this process's counts to the peers that may hold the duties.
 func (g *Group) TellUsage(s duty.Statement) {
-	to := g.usageAddresses(steady.Now())
+	to := g.usageRecipients(steady.Now())
 	if len(to) == 0 {
 		return
 	}
-	for _, part := range usageParts(s) {
+	for _, part := range splitUsage(s) {
 		p := g.newPacket()
 		p.Usage = &part
 		g.send(p, to, usageTraffic)
 	}
 }
 
-// usageAddresses returns the addresses of the holder and of entries that read the store.
-func (g *Group) usageAddresses(now time.Time) []*net.UDPAddr {
+// usageRecipients returns the addresses of the holder and of peers that read the store.
+func (g *Group) usageRecipients(now time.Time) []*net.UDPAddr {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var to []*net.UDPAddr
@@ -112,15 +113,15 @@
 		to = append(to, holder.address)
 	}
 	for _, m := range g.members {
-		if m != holder && m.alive(now) && m.heartbeat.Reading && len(to) < maxToldUsage {
+		if m != holder && m.alive(now) && m.heartbeat.Reading && len(to) < maxUsageRecipients {
 			to = append(to, m.address)
 		}
 	}
 	return to
 }
 
-// holder returns the live member that holds the duties, and its fence; nil if this entry
-// does, or none. The group is locked.
+// holder returns the live member that holds the duties, and its fence. The member is nil if this
+// process holds them, or no peer does. g.mu must be held.
 func (g *Group) holder(now time.Time) (*member, uint64) {
 	var found *member
 	fence := g.fence
@@ -132,8 +133,8 @@
 	return found, fence
 }
 
-// Holder returns the highest fence with which a live entry holds the duties, 0 for none,
-// and whether that is another entry.
+// Holder returns the highest fence with which a live peer holds the duties, 0 for none, and
+// whether that is another peer.
 func (g *Group) Holder() (fence uint64, other bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -141,14 +142,15 @@
 	return fence, m != nil
 }
 
-// SetFence tells other entries with which fence this one holds the duties, 0 for not.
+// SetFence sets the fence with which this process holds the duties, 0 if it does not. It is sent
+// to other peers.
 func (g *Group) SetFence(fence uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.fence = fence
 }
 
-// Owners returns the incarnations of the live entries, this one's included.
+// Owners returns the incarnations of the live peers, including this process.
 func (g *Group) Owners() []uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -162,8 +164,8 @@
 	return all
 }
 
-// TrueTime returns the true time at a reading of the steady clock, by the clocks of this
-// and other entries; false before the first heartbeat.
+// TrueTime returns the true time at a reading of the steady clock, estimated from the clocks of
+// this process and its peers. It returns false before the first heartbeat.
 func (g *Group) TrueTime(steady time.Time) (time.Time, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -171,8 +173,8 @@
 	return now, ok
 }
 
-// observeOwnClock compares the own time of day with those of others.
-func (g *Group) observeOwnClock(now time.Time) {
+// observeLocalClock adds the wall clock of this process to the estimate of the true time.
+func (g *Group) observeLocalClock(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.clock.Observe(now, clock.Source(0), steady.Wall())
