--- a/internal/direct/spread/spread.go
+++ b/internal/direct/spread/spread.go
@@ -1,5 +1,6 @@
-// Package spread reads from the kept logs of many entries how long news takes to reach them:
-// settings in force, endpoints that leave, are gone or name a limit, evacuated data centres, lost entries.
+// Package spread computes from the logs of many peers how long events take to reach all of them:
+// settings in force, endpoints that are leaving, gone or limited, evacuated data centres, lost
+// peers.
 package spread
 
 import (
@@ -14,10 +15,10 @@
 	"time"
 )
 
-// Kind is a kind of news.
+// Kind is a kind of event.
 type Kind string
 
-// The kinds of news, each by the line of the log that tells of it.
+// The kinds of events, each logged with one message.
 const (
 	SettingsInForce Kind = "settings in force"
 	EndpointLeaving Kind = "endpoint leaving"
@@ -28,25 +29,25 @@
 	LimitOver       Kind = "limit over"
 )
 
-// sameNews is how long after one another lines tell the same news: an endpoint or an entry may
-// go more than once.
-const sameNews = 10 * time.Second
+// repeatGap is the gap after which log lines report a new event: an endpoint or a peer may be
+// lost more than once.
+const repeatGap = 10 * time.Second
 
 // maxLine bounds a line of a log, in bytes.
 const maxLine = 1 << 20
 
-// Row is how one piece of news spread.
+// Row describes how one event spread.
 type Row struct {
 	Kind    Kind
 	Subject string
-	First   time.Time     // it reached an entry
-	Middle  time.Duration // after First, until half of those that it reached had it
-	Last    time.Duration // until all of them had it
-	Entries int           // that it reached
+	First   time.Time     // when the first peer logged it
+	Middle  time.Duration // after First, until half of the peers that logged it had done so
+	Last    time.Duration // after First, until all of them had
+	Entries int           // peers that logged it
 }
 
-// line is one line of a log, as far as it is read.
-type line struct {
+// logLine holds the decoded fields of one log line.
+type logLine struct {
 	Message string    `json:"message"`
 	At      time.Time `json:"timestamp"`
 	Fields  struct {
@@ -58,8 +59,8 @@
 	} `json:"fields"`
 }
 
-// news returns what the line tells of; false for nothing.
-func (l line) news() (Kind, string, bool) {
+// event returns the kind and subject of the logged event; false if the line logs none.
+func (l logLine) event() (Kind, string, bool) {
 	f := l.Fields
 	switch l.Message {
 	case "directory: Settings are in force.":
@@ -81,17 +82,16 @@
 	}
 }
 
-// topic is what lines are gathered by.
-type topic struct {
+// eventKey identifies events of one kind and subject.
+type eventKey struct {
 	kind    Kind
 	subject string
 }
 
-// Read reads the logs of all entries, in any order, and returns how each piece of news spread,
-// by kind and time. What stands before the JSON of a line is passed over, and so is a line
-// without any.
+// Read reads the logs of all peers, in any order, and returns how each event spread, by kind and
+// time. It ignores text before the JSON of a line, and lines without JSON.
 func Read(logs io.Reader) ([]Row, error) {
-	times := map[topic][]time.Time{}
+	times := map[eventKey][]time.Time{}
 	scanner := bufio.NewScanner(logs)
 	scanner.Buffer(nil, maxLine)
 	for scanner.Scan() {
@@ -99,21 +99,21 @@
 		if start < 0 {
 			continue
 		}
-		var l line
+		var l logLine
 		if json.Unmarshal(scanner.Bytes()[start:], &l) != nil {
-			continue // another program's line
+			continue // not a log line of a peer
 		}
-		if kind, subject, ok := l.news(); ok {
-			t := topic{kind, subject}
-			times[t] = append(times[t], l.At)
+		if kind, subject, ok := l.event(); ok {
+			k := eventKey{kind, subject}
+			times[k] = append(times[k], l.At)
 		}
 	}
 	if err := scanner.Err(); err != nil {
 		return nil, fmt.Errorf("spread: %w", err)
 	}
 	var rows []Row
-	for t, all := range times {
-		rows = append(rows, rowsOf(t, all)...)
+	for k, all := range times {
+		rows = append(rows, newRows(k, all)...)
 	}
 	slices.SortFunc(rows, func(a, b Row) int {
 		return cmp.Or(cmp.Compare(a.Kind, b.Kind), a.First.Compare(b.First), cmp.Compare(a.Subject, b.Subject))
@@ -121,18 +121,18 @@
 	return rows, nil
 }
 
-// rowsOf returns the pieces of news on one topic.
-func rowsOf(t topic, times []time.Time) []Row {
+// newRows returns one row for each event with the given key.
+func newRows(k eventKey, times []time.Time) []Row {
 	slices.SortFunc(times, time.Time.Compare)
 	var rows []Row
 	for len(times) > 0 {
 		n := 1
-		for n < len(times) && times[n].Sub(times[n-1]) < sameNews {
+		for n < len(times) && times[n].Sub(times[n-1]) < repeatGap {
 			n++
 		}
 		first := times[0]
 		rows = append(rows, Row{
-			Kind: t.kind, Subject: t.subject, First: first,
+			Kind: k.kind, Subject: k.subject, First: first,
 			Middle: times[n/2].Sub(first), Last: times[n-1].Sub(first), Entries: n,
 		})
 		times = times[n:]
@@ -140,8 +140,8 @@
 	return rows
 }
 
-// Write writes for each kind how many pieces of news there were and how they spread: the
-// middle and the largest of the times to half of the entries and to the last one.
+// Write writes for each kind the number of events and how they spread: the median and the
+// largest of the times to half of the peers and to the last one.
 func Write(to io.Writer, rows []Row) error {
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprintln(w, "news\tpieces\tentries\tmiddle ms\tlargest\tlast ms\tlargest\t") // Flush returns the error
@@ -160,7 +160,7 @@
 	return nil
 }
 
-// writeKind writes the line of a kind, whose rows are given.
+// writeKind writes the line of one kind.
 func writeKind(w io.Writer, rows []Row) {
 	var middles, lasts []int64
 	var entries []int
--- a/internal/direct/spread/spread_test.go
+++ b/internal/direct/spread/spread_test.go
@@ -7,8 +7,8 @@
 	"foxcross.dev/foxcross/internal/direct/spread"
 )
 
-// Settings reach three entries, one of which logs them a little later; an endpoint leaves the
-// list twice, a minute apart.
+// Three peers log new settings, one of them a little later. An endpoint leaves the list twice,
+// a minute apart.
 func Example() {
 	logs := strings.Join([]string{
 		`  1.04 entry-1 {"message":"directory: Settings are in force.","timestamp":"2026-01-01T00:00:01.040Z","fields":{"version":5}}`,
