--- a/coord/duty/doc.go
+++ b/coord/duty/doc.go
@@ -1,9 +1,10 @@
-// Package duty decides about work that one process of many does at a time: who does it,
-// and what is reported of the usage of teams.
+// Package duty decides which of many processes performs the duties, the work that one process
+// does at a time, and which usage of teams it reports.
 //
-// lease.go says how long a holder may act, election.go who tries to become one, window.go
-// has windows of time and the counts of requests in them, tally.go counts at each process,
-// ledger.go gathers the counts of all at those that may hold the duties.
+// lease.go defines how long a holder may act, election.go which process tries to become the
+// holder and when, window.go the time windows and their request counts, tally.go the counting
+// at each process, ledger.go the aggregation of all counts at the processes that may become
+// the holder.
 //
 // Nothing here does I/O, starts a goroutine or reads a clock.
 package duty
--- a/coord/duty/duty_test.go
+++ b/coord/duty/duty_test.go
@@ -10,13 +10,13 @@
 	"foxcross.dev/coord/duty"
 )
 
-const length = 5 * time.Second
+const windowLength = 5 * time.Second
 
-var start = time.Unix(1_000_000_000, 0) // the beginning of a window
+var start = time.Unix(1_000_000_000, 0) // start of a window
 
 func ExampleWindowAt() {
-	w := duty.WindowAt(start.Add(12*time.Second), length)
-	fmt.Println(w, w.End(length).Sub(start))
+	w := duty.WindowAt(start.Add(12*time.Second), windowLength)
+	fmt.Println(w, w.End(windowLength).Sub(start))
 	// Output: 200000002 15s
 }
 
@@ -26,22 +26,23 @@
 	if got != want {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
-	if least := duty.TermsFor(time.Second, 0, 2*time.Second).TTL; least != 2*time.Second {
-		t.Errorf("a lease of %v is asked for, less than the store grants", least)
+	if ttl := duty.TermsFor(time.Second, 0, 2*time.Second).TTL; ttl != 2*time.Second {
+		t.Errorf("requested a TTL of %v, shorter than the store's minimum", ttl)
 	}
 	if unknown := duty.TermsFor(0, time.Minute, 0); unknown.TTL != time.Second || unknown.Margin != 500*time.Millisecond {
-		t.Errorf("without bounds the terms are %+v", unknown)
+		t.Errorf("terms without bounds: %+v", unknown)
 	}
 }
 
-// TestLeaseIsOverForItsHolderFirst counts from before the call and stops by the margin.
-func TestLeaseIsOverForItsHolderFirst(t *testing.T) {
+// TestLeaseExpiresAtHolderFirst checks that the holder counts the lease from before the call and
+// ends it a margin earlier.
+func TestLeaseExpiresAtHolderFirst(t *testing.T) {
 	terms := duty.Terms{TTL: 2 * time.Second, Margin: 300 * time.Millisecond, Handover: time.Second}
-	asked := time.Now()
-	won := asked.Add(500 * time.Millisecond)
-	l := duty.Lease{}.WithGrant("a", 7, asked, won, terms)
+	requestedAt := time.Now()
+	writtenAt := requestedAt.Add(500 * time.Millisecond)
+	l := duty.Lease{}.WithGrant("a", 7, requestedAt, writtenAt, terms)
 	for _, c := range []struct {
-		at        time.Duration // after asked
+		after     time.Duration // after requestedAt
 		held, act bool
 	}{
 		{1499 * time.Millisecond, true, false},
@@ -49,59 +50,59 @@
 		{1699 * time.Millisecond, true, true},
 		{1700 * time.Millisecond, false, false},
 	} {
-		if now := asked.Add(c.at); l.Held(now) != c.held || l.MayAct(now) != c.act {
-			t.Errorf("after %v: held %v, may act %v", c.at, l.Held(now), l.MayAct(now))
+		if now := requestedAt.Add(c.after); l.Held(now) != c.held || l.MayAct(now) != c.act {
+			t.Errorf("after %v: held %v, may act %v", c.after, l.Held(now), l.MayAct(now))
 		}
 	}
-	renewed := l.WithRenewal(asked.Add(time.Second), terms)
-	if at := asked.Add(2699 * time.Millisecond); !renewed.MayAct(at) || renewed.MayAct(at.Add(time.Millisecond)) {
-		t.Error("a renewed lease does not run from when the renewal was asked for")
+	renewed := l.WithRenewal(requestedAt.Add(time.Second), terms)
+	if at := requestedAt.Add(2699 * time.Millisecond); !renewed.MayAct(at) || renewed.MayAct(at.Add(time.Millisecond)) {
+		t.Error("a renewed lease does not run from the request for the renewal")
 	}
-	if (duty.Lease{}).Held(asked) {
+	if (duty.Lease{}).Held(requestedAt) {
 		t.Error("the zero lease is held")
 	}
 }
 
-func TestElectionMoves(t *testing.T) {
+func TestElectionDue(t *testing.T) {
 	now := time.Now()
 	terms := duty.TermsFor(3*time.Second, 300*time.Millisecond, time.Second)
-	free := duty.Situation{Eligible: true}
+	noHolder := duty.Situation{Eligible: true}
 	e := duty.Election{Terms: terms}
 	if e.Due(now, duty.Situation{}) != duty.Rest || e.Due(now, duty.Situation{Eligible: true, Heard: true}) != duty.Rest {
-		t.Error("tries though it may not, or hears of a holder")
+		t.Error("tries while not eligible or while there is a live holder")
 	}
-	if e.Due(now, free) != duty.Try {
-		t.Error("does not try")
+	if e.Due(now, noHolder) != duty.Try {
+		t.Error("does not try while there is no holder")
 	}
 	e.Tried(now)
-	if e.Due(now.Add(499*time.Millisecond), free) != duty.Rest || e.Due(now.Add(500*time.Millisecond), free) != duty.Try {
-		t.Error("does not wait for the next try")
+	if e.Due(now.Add(499*time.Millisecond), noHolder) != duty.Rest || e.Due(now.Add(500*time.Millisecond), noHolder) != duty.Try {
+		t.Error("does not wait tryInterval between attempts")
 	}
 	e.Won(duty.Lease{}.WithGrant("a", 7, now, now, terms), now)
 	if e.Due(now.Add(400*time.Millisecond), duty.Situation{}) != duty.Rest || e.Due(now.Add(500*time.Millisecond), duty.Situation{}) != duty.Renew {
 		t.Error("does not renew after a third of the lease")
 	}
 	e.RenewalFailed(now.Add(time.Second))
-	if e.Due(now.Add(9*time.Second), free) != duty.Renew {
-		t.Error("gives up a lease that the store may still keep")
+	if e.Due(now.Add(9*time.Second), noHolder) != duty.Renew {
+		t.Error("gives up a lease that the store may still hold")
 	}
 	late := now.Add(12 * time.Second)
-	if e.Due(late, free) != duty.GiveUp {
-		t.Error("keeps a lease that was over for long")
+	if e.Due(late, noHolder) != duty.GiveUp {
+		t.Error("keeps a lease that expired more than giveUpAfter ago")
 	}
 	e.Lost(late)
-	if e.Lease.Fence != 0 || e.Due(late.Add(499*time.Millisecond), free) != duty.Rest || e.Due(late.Add(500*time.Millisecond), free) != duty.Try {
-		t.Error("does not give up a lease that is long over")
+	if e.Lease.Fence != 0 || e.Due(late.Add(499*time.Millisecond), noHolder) != duty.Rest || e.Due(late.Add(500*time.Millisecond), noHolder) != duty.Try {
+		t.Error("keeps the lease, or does not wait tryInterval, after the lease was lost")
 	}
 }
 
-func TestTallyTellsWhatChanged(t *testing.T) {
-	tally := duty.Tally{Owner: 1, Length: length}
-	at := start.Add(length - time.Second)
+func TestTallyStatesChangedWindows(t *testing.T) {
+	tally := duty.Tally{Owner: 1, Length: windowLength}
+	at := start.Add(windowLength - time.Second)
 	tally.Count("a", at)
 	tally.Count("a", at)
 	tally.Count("b", at)
-	windowsOf := func(s duty.Statement) (all []string) {
+	formatWindows := func(s duty.Statement) (all []string) {
 		for _, w := range s.Windows {
 			all = append(all, fmt.Sprint(w.Window, w.Total, w.Counts))
 		}
@@ -120,54 +121,54 @@
 		{3 * time.Second, true, []string{first}},
 		{3 * time.Minute, true, nil},
 	} {
-		if got := windowsOf(tally.State(at.Add(c.after), c.all)); !slices.Equal(got, c.want) {
-			t.Errorf("after %v told %v, want %v", c.after, got, c.want)
+		if got := formatWindows(tally.State(at.Add(c.after), c.all)); !slices.Equal(got, c.want) {
+			t.Errorf("after %v stated %v, want %v", c.after, got, c.want)
 		}
 	}
 }
 
-// TestToldWindowStaysComplete counts a request whose true time goes back a little where it
-// can still count.
-func TestToldWindowStaysComplete(t *testing.T) {
-	tally := duty.Tally{Owner: 1, Length: length}
-	tally.State(start.Add(length+time.Millisecond), false)
-	tally.Count("a", start.Add(length-time.Millisecond))
-	s := tally.State(start.Add(length+2*time.Millisecond), false)
-	if len(s.Windows) != 1 || s.Windows[0].Window != duty.WindowAt(start.Add(length), length) {
+// TestStatedWindowStaysComplete checks that a request whose true time lies slightly before the
+// last statement counts in a window that is not yet stated as complete.
+func TestStatedWindowStaysComplete(t *testing.T) {
+	tally := duty.Tally{Owner: 1, Length: windowLength}
+	tally.State(start.Add(windowLength+time.Millisecond), false)
+	tally.Count("a", start.Add(windowLength-time.Millisecond))
+	s := tally.State(start.Add(windowLength+2*time.Millisecond), false)
+	if len(s.Windows) != 1 || s.Windows[0].Window != duty.WindowAt(start.Add(windowLength), windowLength) {
 		t.Errorf("counted in %v", s.Windows)
 	}
-	tally.Count("a", start.Add(-length)) // by a clock that was put right
-	if s := tally.State(start.Add(length+3*time.Millisecond), true); len(s.Windows) != 2 {
+	tally.Count("a", start.Add(-windowLength)) // the clock was set back by more than a window
+	if s := tally.State(start.Add(windowLength+3*time.Millisecond), true); len(s.Windows) != 2 {
 		t.Errorf("counted in %v", s.Windows)
 	}
 }
 
-// statement is what an owner says of the window that begins at start.
+// statement returns the statement of an owner for the window that begins at start.
 func statement(owner uint64, through time.Duration, total int64, c duty.Counts) duty.Statement {
 	return duty.Statement{Owner: owner, Through: start.Add(through), Windows: []duty.WindowCounts{
-		{Window: duty.WindowAt(start, length), Total: total, Counts: c},
+		{Window: duty.WindowAt(start, windowLength), Total: total, Counts: c},
 	}}
 }
 
-func TestLedgerClosesWhatIsComplete(t *testing.T) {
-	w := duty.WindowAt(start, length)
+func TestLedgerRipeWindows(t *testing.T) {
+	w := duty.WindowAt(start, windowLength)
 	live := []uint64{1, 2}
-	ended := start.Add(length + time.Second)
+	afterEnd := start.Add(windowLength + time.Second)
 	for _, c := range []struct {
 		name       string
 		statements []duty.Statement
 		now        time.Time
 		ripe       bool
 	}{
-		{"before its end", []duty.Statement{statement(1, length, 1, duty.Counts{"a": 1}), statement(2, length, 0, nil)}, start.Add(length - 1), false},
-		{"all have told", []duty.Statement{statement(1, length, 1, duty.Counts{"a": 1}), statement(2, length, 0, nil)}, ended, true},
-		{"one has not told", []duty.Statement{statement(1, length, 1, duty.Counts{"a": 1}), statement(2, length-1, 0, nil)}, ended, false},
-		{"one has told a part", []duty.Statement{statement(1, length, 2, duty.Counts{"a": 1}), statement(2, length, 0, nil)}, ended, false},
-		{"one has not told for long", []duty.Statement{statement(1, length, 1, duty.Counts{"a": 1})}, ended.Add(2 * time.Second), true},
-		{"too long ago", []duty.Statement{statement(1, length, 1, duty.Counts{"a": 1})}, ended.Add(time.Hour), false},
-		{"nothing known", nil, ended, false},
+		{"before the end of the window", []duty.Statement{statement(1, windowLength, 1, duty.Counts{"a": 1}), statement(2, windowLength, 0, nil)}, start.Add(windowLength - 1), false},
+		{"complete statements of all", []duty.Statement{statement(1, windowLength, 1, duty.Counts{"a": 1}), statement(2, windowLength, 0, nil)}, afterEnd, true},
+		{"one has not counted through the end", []duty.Statement{statement(1, windowLength, 1, duty.Counts{"a": 1}), statement(2, windowLength-1, 0, nil)}, afterEnd, false},
+		{"one statement is incomplete", []duty.Statement{statement(1, windowLength, 2, duty.Counts{"a": 1}), statement(2, windowLength, 0, nil)}, afterEnd, false},
+		{"one missing after settleFor", []duty.Statement{statement(1, windowLength, 1, duty.Counts{"a": 1})}, afterEnd.Add(2 * time.Second), true},
+		{"ended more than closeWithin ago", []duty.Statement{statement(1, windowLength, 1, duty.Counts{"a": 1})}, afterEnd.Add(time.Hour), false},
+		{"no statements", nil, afterEnd, false},
 	} {
-		l := duty.Ledger{Length: length}
+		l := duty.Ledger{Length: windowLength}
 		for _, s := range c.statements {
 			l.Take(s)
 		}
@@ -177,13 +178,13 @@
 	}
 }
 
-// TestStatementsInAnyOrder comes to the same sum, whichever is repeated or late.
-func TestStatementsInAnyOrder(t *testing.T) {
-	w := duty.WindowAt(start, length)
-	l := duty.Ledger{Length: length}
-	l.Restore(w, duty.Account{Owners: map[uint64]duty.Counts{3: {"c": 5}, 1: {"a": 1}}}) // 3 has died since
+// TestLedgerSumIgnoresOrder checks that repeated and reordered statements give the same sum.
+func TestLedgerSumIgnoresOrder(t *testing.T) {
+	w := duty.WindowAt(start, windowLength)
+	l := duty.Ledger{Length: windowLength}
+	l.Restore(w, duty.Account{Owners: map[uint64]duty.Counts{3: {"c": 5}, 1: {"a": 1}}}) // process 3 has died
 	for _, s := range []duty.Statement{
-		statement(1, length, 4, duty.Counts{"a": 3, "b": 1}),
+		statement(1, windowLength, 4, duty.Counts{"a": 3, "b": 1}),
 		statement(1, 0, 1, duty.Counts{"a": 1}),
 		statement(2, 0, 2, duty.Counts{"b": 2}),
 		statement(2, 0, 2, duty.Counts{"b": 2}),
@@ -196,31 +197,32 @@
 	}
 }
 
-// TestClosedWindowsNeverChange passes over what comes late, also by a record.
+// TestClosedWindowsNeverChange checks that late statements and records of an earlier holder do not
+// change a closed window.
 func TestClosedWindowsNeverChange(t *testing.T) {
-	w := duty.WindowAt(start, length)
-	l := duty.Ledger{Length: length}
+	w := duty.WindowAt(start, windowLength)
+	l := duty.Ledger{Length: windowLength}
 	l.Take(statement(1, 0, 1, duty.Counts{"a": 1}))
 	l.Close(w, duty.Counts{"a": 1})
 	l.Take(statement(1, 0, 2, duty.Counts{"a": 2}))
 	l.Restore(w, duty.Account{Owners: map[uint64]duty.Counts{1: {"a": 9}}})
 	l.Restore(w, duty.Account{Closed: duty.Counts{"a": 9}})
 	if got := l.Account(w).Sum(); !maps.Equal(got, duty.Counts{"a": 1}) {
-		t.Errorf("changed to %v", got)
+		t.Errorf("closed counts changed to %v", got)
 	}
 	if got := l.Unreported(); !slices.Equal(got, []duty.Window{w}) {
-		t.Errorf("to be reported: %v", got)
+		t.Errorf("unreported windows: %v", got)
 	}
 	l.Report(w)
 	if len(l.Unreported()) > 0 || !slices.Equal(l.Unwritten(), []duty.Window{w}) {
-		t.Error("a reported window is to be reported, or not to be written")
+		t.Error("a reported window is still unreported, or is not unwritten")
 	}
 	l.Restore(w, duty.Account{Closed: duty.Counts{"a": 1}})
 	if len(l.Unreported()) > 0 {
-		t.Error("a reported window is to be reported anew")
+		t.Error("a reported window is unreported again")
 	}
 	l.Written(w, l.Account(w))
 	if len(l.Unwritten()) > 0 {
-		t.Error("a written window is to be written")
+		t.Error("a written window is still unwritten")
 	}
 }
--- a/coord/duty/election.go
+++ b/coord/duty/election.go
@@ -1,61 +1,61 @@
-// Who tries to hold the duties, and when.
+// The election of the holder of the duties.
 //
-// Rule: a process that reads the platform's store, is answered by it and hears of no holder
-// looks for the holder's record, and tries to write its own where there is none; at most
-// every tryInterval. The holder renews its lease every part of its time, more often while
-// that fails, until the store says that it is over, or it has been over for giveUpAfter.
-// Inputs: what the process hears of other holders, its lease, the answers of its calls.
-// Never: two processes agree on a holder by themselves; the store's condition decides.
+// Rule: a process that reads the platform's store, gets answers from it and sees no live holder
+// reads the holder's record, and tries to write its own if there is none; at most once per
+// tryInterval. The holder renews its lease several times per TTL, and retries sooner while that
+// fails, until the store reports the lease expired or it has been expired for giveUpAfter.
+// Inputs: the fences that other processes announce, the own lease, the results of store calls.
+// Never: processes agree on a holder among themselves; the store's condition decides.
 
 package duty
 
 import "time"
 
 const (
-	// tryInterval is the time between two tries to become the holder. Two calls a second of
-	// each process that reads the store, only while there is no holder.
+	// tryInterval is the time between two attempts to become the holder: two calls a second
+	// from each process that reads the store, only while there is no holder.
 	tryInterval = 500 * time.Millisecond
-	// renewals is how many renewals there are in the time of a lease. One may be lost.
-	renewals = 3
-	// renewRetry is the time between renewals that fail.
-	renewRetry = 250 * time.Millisecond
-	// giveUpAfter is for how long a holder whose lease may be over tries to renew it. The
-	// store may keep leases while it is away, and for so long nobody else can win them.
+	// renewalsPerTTL is the number of renewals per TTL of a lease, so that one may be lost.
+	renewalsPerTTL = 3
+	// renewRetryInterval is the time after a failed renewal until the next one.
+	renewRetryInterval = 250 * time.Millisecond
+	// giveUpAfter is how long a holder tries to renew a lease that may have expired. The store
+	// may keep leases while it is unavailable, and no other process can become holder until then.
 	giveUpAfter = 10 * time.Second
 )
 
-// Situation is what a process knows that may hold the duties.
+// Situation is the input of an election at one process.
 type Situation struct {
-	Eligible bool // it reads the store, is answered, and is not leaving
-	Heard    bool // another holder lives
+	Eligible bool // the process reads the store, gets answers from it, and is not leaving
+	Heard    bool // another process is a live holder
 }
 
-// Move is what a process does next about the lease.
+// Move is the next action of a process in the election.
 type Move int
 
 // The moves.
 const (
-	Rest   Move = iota // nothing is due
-	Try                // look for the holder's record, write the own one where there is none
+	Rest   Move = iota // no action is due
+	Try                // read the holder's record, write the own one if there is none
 	Renew              // renew the lease
-	GiveUp             // the lease is to be taken for lost
+	GiveUp             // treat the lease as lost
 )
 
-// Election is what a process knows of its lease and its tries. The zero value has not tried.
-// It is not safe for concurrent use.
+// Election is the state of a process in the election of the holder. The zero value has made
+// no attempt. It is not safe for concurrent use.
 type Election struct {
-	Terms Terms
-	Lease Lease
-	next  time.Time // of the next call
+	Terms    Terms
+	Lease    Lease
+	nextCall time.Time // time from which the next call is due
 }
 
-// Due returns what is to be done now.
+// Due returns the move that is due now.
 func (e *Election) Due(now time.Time, s Situation) Move {
-	if now.Before(e.next) {
+	if now.Before(e.nextCall) {
 		return Rest
 	}
 	if e.Lease.Fence != 0 {
-		if now.Sub(e.Lease.until) > giveUpAfter {
+		if now.Sub(e.Lease.expiresAt) > giveUpAfter {
 			return GiveUp
 		}
 		return Renew
@@ -66,27 +66,27 @@
 	return Rest
 }
 
-// Tried is told that a try at a time did not win.
-func (e *Election) Tried(at time.Time) { e.next = at.Add(tryInterval) }
+// Tried records an attempt that failed at the given time.
+func (e *Election) Tried(at time.Time) { e.nextCall = at.Add(tryInterval) }
 
-// Won is told that the process holds the duties.
-func (e *Election) Won(l Lease, asked time.Time) {
+// Won records that the process became the holder with lease l, requested at requestedAt.
+func (e *Election) Won(l Lease, requestedAt time.Time) {
 	e.Lease = l
-	e.next = asked.Add(e.Terms.TTL / renewals)
+	e.nextCall = requestedAt.Add(e.Terms.TTL / renewalsPerTTL)
 }
 
-// Renewed is told that the store renewed the lease when asked at a time.
-func (e *Election) Renewed(asked time.Time) {
-	e.Lease = e.Lease.WithRenewal(asked, e.Terms)
-	e.next = asked.Add(e.Terms.TTL / renewals)
+// Renewed records that the store renewed the lease on a request made at requestedAt.
+func (e *Election) Renewed(requestedAt time.Time) {
+	e.Lease = e.Lease.WithRenewal(requestedAt, e.Terms)
+	e.nextCall = requestedAt.Add(e.Terms.TTL / renewalsPerTTL)
 }
 
-// RenewalFailed is told that a renewal was not answered.
-func (e *Election) RenewalFailed(at time.Time) { e.next = at.Add(renewRetry) }
+// RenewalFailed records that a renewal got no answer at the given time.
+func (e *Election) RenewalFailed(at time.Time) { e.nextCall = at.Add(renewRetryInterval) }
 
-// Lost is told that the lease is over, by the store's word or that of a higher fence, or that it is
-// given up.
+// Lost records the end of the lease: the store reported it expired, a higher fence exists, or the
+// holder gives it up.
 func (e *Election) Lost(at time.Time) {
 	e.Lease = Lease{}
-	e.next = at.Add(tryInterval)
+	e.nextCall = at.Add(tryInterval)
 }
--- a/coord/duty/ledger.go
+++ b/coord/duty/ledger.go
@@ -1,10 +1,11 @@
-// What the holder of the duties, and those that may become it, know of a window's usage.
+// The usage of each window, at the holder of the duties and at the processes that may become it.
 //
-// Rule: of each process the highest counts that it stated hold, whatever the order in which
-// statements come; what a process stated before it died stays. A window may be closed once
-// every live process has stated that it has counted through the window's end and all of its
-// parts have come, or settleFor after that end at the latest. What is closed never changes:
-// it is written to the store before it is sent, and only what is written is sent.
+// Rule: the highest counts that a process stated apply, in whatever order its statements arrive.
+// The counts that a process stated before it died stay. A window may be closed once every live
+// process has stated that it has counted through the window's end and all messages of that
+// statement have arrived, or settleFor after that end at the latest. The counts of a closed window
+// never change: they are written to the store before they are sent, and only written counts are
+// sent.
 // Inputs: statements of all processes, records of an earlier holder, the live processes, the
 // true time.
 // Units: requests.
@@ -19,27 +20,27 @@
 	"time"
 )
 
-// settleFor is how long after its end a window waits for what is still missing. Some lost
-// statements, and the loss of a process is noticed before.
+// settleFor is how long after its end a window waits for missing statements. It covers several
+// lost statements and the detection of a dead process.
 const settleFor = 3 * time.Second
 
 const (
-	// closeWithin is how long after its end an open window may still be closed. Above the
-	// outages that are known; a report later than that bills nobody.
+	// closeWithin is how long after its end an open window may still be closed. It is longer
+	// than the known outages; a later report is not billed.
 	closeWithin = 5 * time.Minute
 	// finishAfter is how long after its end the record of a reported window stays in the
-	// store, so that no statement that lay somewhere opens it anew. Twice closeWithin.
+	// store, so that no delayed statement opens the window again. It is twice closeWithin.
 	finishAfter = 2 * closeWithin
 )
 
-// Account is what is known of one window. The zero value is empty.
+// Account is the usage of one window. The zero value is empty.
 type Account struct {
-	Owners   map[uint64]Counts // by incarnation, while the window is open
+	Owners   map[uint64]Counts // by incarnation of the process, while the window is open
 	Closed   Counts            // nil while the window is open
-	Reported bool              // the platform has taken the report
+	Reported bool              // the platform has accepted the report
 }
 
-// Sum returns the requests of all processes, or what was closed.
+// Sum returns the counts over all processes, or the closed counts.
 func (a Account) Sum() Counts {
 	if a.Closed != nil {
 		return a.Closed
@@ -51,9 +52,9 @@
 	return sum
 }
 
-// Clone returns an account that does not change with this one.
+// Clone returns a copy that later changes of the account do not affect.
 func (a Account) Clone() Account {
-	a.Owners = maps.Clone(a.Owners) // counts are replaced, never changed
+	a.Owners = maps.Clone(a.Owners) // a shallow copy: Counts are replaced, never changed
 	return a
 }
 
@@ -62,17 +63,17 @@
 type Ledger struct {
 	Length   time.Duration // of a window
 	accounts map[Window]*account
-	through  map[uint64]time.Time // up to which each process has counted
+	through  map[uint64]time.Time // by owner, true time up to which it has counted
 }
 
-// account is an Account with what says whether it is complete.
+// account is an Account with the stated totals that show whether it is complete.
 type account struct {
 	Account
 	totals  map[uint64]int64 // by owner, as stated
 	changed bool             // since it was last written
 }
 
-// Take takes in what a process states. What concerns a closed window is passed over.
+// Take merges the statement of a process. Counts of closed windows are ignored.
 func (l *Ledger) Take(s Statement) {
 	if l.through == nil {
 		l.through = map[uint64]time.Time{}
@@ -90,7 +91,7 @@
 	}
 }
 
-// merge takes in counts of a process.
+// merge adds the counts of a process.
 func (a *account) merge(owner uint64, c Counts) {
 	before := a.Owners[owner]
 	after := before.Union(c)
@@ -101,20 +102,20 @@
 	a.changed = true
 }
 
-// Restore takes in a window's account as an earlier holder wrote it.
-func (l *Ledger) Restore(w Window, written Account) {
+// Restore merges the account of a window that an earlier holder wrote.
+func (l *Ledger) Restore(w Window, stored Account) {
 	a := l.account(w)
 	switch {
-	case a.Reported: // the record of it is still to be written
+	case a.Reported: // its record is not written yet
 		return
-	case written.Reported, written.Closed != nil && a.open():
-		a.Account = written
+	case stored.Reported, stored.Closed != nil && a.open():
+		a.Account = stored
 		a.changed = false
 		return
-	case !a.open(): // what is closed never changes
+	case !a.open(): // closed counts never change
 		return
 	}
-	for owner, c := range written.Owners {
+	for owner, c := range stored.Owners {
 		a.merge(owner, c)
 	}
 }
@@ -131,7 +132,7 @@
 	return a
 }
 
-// Windows returns the windows that are known, oldest first.
+// Windows returns all windows of the ledger, oldest first.
 func (l *Ledger) Windows() []Window { return slices.Sorted(maps.Keys(l.accounts)) }
 
 // Account returns a window's account.
@@ -145,36 +146,35 @@
 // Unwritten returns the windows whose accounts have changed since they were written, oldest
 // first.
 func (l *Ledger) Unwritten() []Window {
-	return l.pick(func(_ Window, a *account) bool { return a.changed })
+	return l.filter(func(_ Window, a *account) bool { return a.changed })
 }
 
-// Ripe returns the open windows that may be closed at a true time, oldest first: those of
-// which each live process has told all, and those that have waited long enough.
+// Ripe returns the open windows that may be closed at a true time, oldest first: those whose
+// counts are complete for each live process, and those that ended settleFor ago.
 func (l *Ledger) Ripe(now time.Time, live []uint64) []Window {
-	return l.pick(func(w Window, a *account) bool {
-		over := now.Sub(w.End(l.Length))
-		if !a.open() || len(a.Owners) == 0 || over < 0 || over > closeWithin {
+	return l.filter(func(w Window, a *account) bool {
+		sinceEnd := now.Sub(w.End(l.Length))
+		if !a.open() || len(a.Owners) == 0 || sinceEnd < 0 || sinceEnd > closeWithin {
 			return false
 		}
-		return over >= settleFor || l.complete(w, a, live)
+		return sinceEnd >= settleFor || l.complete(w, a, live)
 	})
 }
 
-// Unreported returns the closed windows that the platform has not taken, oldest first.
+// Unreported returns the closed windows whose reports the platform has not accepted, oldest first.
 func (l *Ledger) Unreported() []Window {
-	return l.pick(func(_ Window, a *account) bool { return a.Closed != nil && !a.Reported })
+	return l.filter(func(_ Window, a *account) bool { return a.Closed != nil && !a.Reported })
 }
 
-// Finished returns the windows that were reported and ended so long ago that nobody asks
-// for them any more.
+// Finished returns the reported windows whose records are no longer needed, oldest first.
 func (l *Ledger) Finished(now time.Time) []Window {
-	return l.pick(func(w Window, a *account) bool { return a.Reported && now.Sub(w.End(l.Length)) > finishAfter })
+	return l.filter(func(w Window, a *account) bool { return a.Reported && now.Sub(w.End(l.Length)) > finishAfter })
 }
 
-// Written records that a window's account is in the store as it was then.
-func (l *Ledger) Written(w Window, then Account) {
+// Written records that the store holds the given account of a window.
+func (l *Ledger) Written(w Window, stored Account) {
 	a := l.account(w)
-	a.changed = !a.equal(then)
+	a.changed = !a.equal(stored)
 }
 
 func (a Account) equal(other Account) bool {
@@ -182,25 +182,25 @@
 		maps.EqualFunc(a.Owners, other.Owners, func(a, b Counts) bool { return maps.Equal(a, b) })
 }
 
-// Close records that a window is closed with the counts, which are in the store.
+// Close closes a window with the given counts, which the store holds.
 func (l *Ledger) Close(w Window, c Counts) {
 	a := l.account(w)
 	a.Account = Account{Closed: c}
 	a.changed = false
 }
 
-// Report records that the platform has taken a window's report.
+// Report records that the platform has accepted the report of a window.
 func (l *Ledger) Report(w Window) {
 	a := l.account(w)
 	a.Reported = true
 	a.changed = true
 }
 
-// Forget drops a window.
+// Forget deletes a window.
 func (l *Ledger) Forget(w Window) { delete(l.accounts, w) }
 
-// Expire drops windows that ended so long ago that they are of no use any more, at a
-// process that does not hold the duties.
+// Expire deletes the windows that ended more than keepFor ago, at a process that does not hold
+// the duties.
 func (l *Ledger) Expire(now time.Time) {
 	for w := range l.accounts {
 		if now.Sub(w.End(l.Length)) > keepFor {
@@ -216,7 +216,7 @@
 
 func (a *account) open() bool { return a.Closed == nil && !a.Reported }
 
-// complete tells whether each live process has told all of a window that has ended.
+// complete reports whether the counts of an ended window have arrived from each live process.
 func (l *Ledger) complete(w Window, a *account, live []uint64) bool {
 	end := w.End(l.Length)
 	for _, owner := range live {
@@ -227,14 +227,14 @@
 	return true
 }
 
-// pick returns the windows that are picked, oldest first.
-func (l *Ledger) pick(picked func(Window, *account) bool) []Window {
-	var all []Window
+// filter returns the windows for which match returns true, oldest first.
+func (l *Ledger) filter(match func(Window, *account) bool) []Window {
+	var matched []Window
 	for w, a := range l.accounts {
-		if picked(w, a) {
-			all = append(all, w)
+		if match(w, a) {
+			matched = append(matched, w)
 		}
 	}
-	slices.SortFunc(all, func(a, b Window) int { return cmp.Compare(a, b) })
-	return all
+	slices.SortFunc(matched, func(a, b Window) int { return cmp.Compare(a, b) })
+	return matched
 }
--- a/coord/duty/tally.go
+++ b/coord/duty/tally.go
@@ -1,11 +1,11 @@
-// What each process counts of requests that begin to run.
+// The counts of requests that begin to run at one process.
 //
-// Rule: a request counts in the window of true time in which it began. Counts only rise,
-// and each statement tells the whole of a window, so that one that is lost costs nothing
-// once a later one comes. A window is told while it is not over, and for repeatFor after
-// its last change; all that are kept are told to a new holder.
+// Rule: a request counts in the window of true time in which it began. Counts only rise, and each
+// statement holds the full counts of a window, so that a later statement replaces a lost one. A
+// window is stated until its end, and for repeatFor after its last change. A new holder receives
+// all windows that are kept.
 // Inputs: requests that begin, the true time.
-// Never: a request counts in a window that was told to be complete.
+// Never: a request counts in a window that was already stated as complete.
 
 package duty
 
@@ -15,74 +15,74 @@
 )
 
 const (
-	// repeatFor is how long a window is told after it last changed. Some statements, of which
-	// most may be lost.
+	// repeatFor is how long a window is stated after its last change. It covers several
+	// statements, most of which may be lost.
 	repeatFor = 1500 * time.Millisecond
-	// keepFor is how long after its end a process keeps what it counted in a window. Above the
-	// outages of the store that are known.
+	// keepFor is how long a process keeps the counts of a window after its end. It is longer
+	// than the known outages of the store.
 	keepFor = 2 * time.Minute
 )
 
-// Statement is what a process says of the requests that it counted.
+// Statement holds the request counts that one process reports to the others.
 type Statement struct {
 	Owner   uint64    // incarnation of the process
-	Through time.Time // true time up to which all are counted
+	Through time.Time // true time up to which all requests are counted
 	Windows []WindowCounts
 }
 
-// WindowCounts is what one process counted in a window. A part of it may come by itself.
+// WindowCounts are the counts of one process in a window. A message may hold only some teams.
 type WindowCounts struct {
 	Window Window
-	Total  int64 // of all teams
+	Total  int64 // over all teams, also those not in Counts
 	Counts Counts
 }
 
-// Tally counts at one process. Set Length; the zero value has counted nothing. It is not
-// safe for concurrent use.
+// Tally counts the requests of one process. Set Length; the zero value has counted nothing. It is
+// not safe for concurrent use.
 type Tally struct {
-	Owner   uint64
-	Length  time.Duration // of a window
-	windows map[Window]*tallied
-	through time.Time // the latest that was told
+	Owner    uint64        // incarnation of the process
+	Length   time.Duration // of a window
+	windows  map[Window]*windowTally
+	statedAt time.Time // true time of the last statement
 }
 
-// tallied is one window's counts.
-type tallied struct {
-	counts  Counts
-	total   int64
-	changed time.Time
+// windowTally is the counts of one window.
+type windowTally struct {
+	counts    Counts
+	total     int64
+	changedAt time.Time
 }
 
-// Count takes in a request of a team that began to run at a true time.
+// Count counts a request of a team that began to run at a true time.
 func (t *Tally) Count(team string, at time.Time) {
-	if back := t.through.Sub(at); back > 0 && back < t.Length {
-		at = t.through // the window before may have been told to be complete
+	if lag := t.statedAt.Sub(at); lag > 0 && lag < t.Length {
+		at = t.statedAt // the previous window may have been stated as complete
 	}
 	if t.windows == nil {
-		t.windows = map[Window]*tallied{}
+		t.windows = map[Window]*windowTally{}
 	}
 	w := WindowAt(at, t.Length)
 	x := t.windows[w]
 	if x == nil {
-		x = &tallied{counts: Counts{}}
+		x = &windowTally{counts: Counts{}}
 		t.windows[w] = x
 	}
 	x.counts[team]++
 	x.total++
-	x.changed = at
+	x.changedAt = at
 }
 
-// State returns the statement that is due at a true time: of what has changed lately, or of
-// all that is kept. It forgets what is too old.
+// State returns the statement that is due at a true time: of the windows that changed within
+// repeatFor, or of all that are kept. It deletes windows that ended more than keepFor ago.
 func (t *Tally) State(now time.Time, all bool) Statement {
-	t.through = now
+	t.statedAt = now
 	s := Statement{Owner: t.Owner, Through: now}
 	for w, x := range t.windows {
-		over := now.Sub(w.End(t.Length))
+		sinceEnd := now.Sub(w.End(t.Length))
 		switch {
-		case over > keepFor:
+		case sinceEnd > keepFor:
 			delete(t.windows, w)
-		case all || over < 0 || over < repeatFor || now.Sub(x.changed) < repeatFor:
+		case all || sinceEnd < 0 || sinceEnd < repeatFor || now.Sub(x.changedAt) < repeatFor:
 			s.Windows = append(s.Windows, WindowCounts{Window: w, Total: x.total, Counts: maps.Clone(x.counts)})
 		}
 	}
--- a/coord/duty/window.go
+++ b/coord/duty/window.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// Window is the number of a window of true time: window k begins k times its length after
-// the start of 1970.
+// Window is the number of a time window: window k begins k times the window length after the
+// start of 1970, in true time.
 type Window int64
 
-// WindowAt returns the window that a time lies in.
+// WindowAt returns the window that contains t.
 func WindowAt(t time.Time, length time.Duration) Window {
 	ms := t.UnixMilli()
 	w := ms / length.Milliseconds()
 	if ms < 0 {
-		w-- // of times before 1970, for order alone
+		w-- // keeps windows before 1970 in order
 	}
 	return Window(w)
 }
@@ -28,7 +28,7 @@
 // String returns the window's number.
 func (w Window) String() string { return fmt.Sprintf("%d", int64(w)) }
 
-// Counts are the requests of each team that began to run in a window.
+// Counts are the numbers of requests that began to run in a window, by team.
 type Counts map[string]int64
 
 // Total returns the requests of all teams.
@@ -40,7 +40,7 @@
 	return total
 }
 
-// Plus returns the sum of two counts.
+// Plus returns the sum of both counts.
 func (c Counts) Plus(other Counts) Counts {
 	sum := make(Counts, max(len(c), len(other)))
 	maps.Copy(sum, c)
@@ -50,8 +50,8 @@
 	return sum
 }
 
-// Union returns, for each team, the higher of two counts that the same process gave of the
-// same requests.
+// Union returns, for each team, the higher of two counts by the same process of the same
+// requests.
 func (c Counts) Union(other Counts) Counts {
 	both := make(Counts, max(len(c), len(other)))
 	maps.Copy(both, c)
