--- a/internal/direct/duties/bench_test.go
+++ b/internal/direct/duties/bench_test.go
@@ -8,11 +8,11 @@
 	"foxcross.dev/coord/duty"
 )
 
-// BenchmarkHolder measures what a holder does with the counts of a window of 5 s: it takes in
-// one statement of each entry, and writes the window's record. Two requests of an entry are of
-// each team. Measured beside other work, ms of a core to take in and to write, KB of the record:
-// 0.10, 0.37, 20 at 28 entries and 2,500 requests; 0.23, 0.88, 40 at 103 and 5,000; 4.8, 22, 620
-// at 620 and 110,000.
+// BenchmarkHolder measures a holder's work on the counts of a window of 5 s: merging one statement
+// of each entry, and encoding the window's record. Each entry has two requests of each of its teams.
+// Results on a busy machine, as ms of a core to merge, ms to encode, and KB of the record: 0.10,
+// 0.37, 20 at 28 entries and 2,500 requests; 0.23, 0.88, 40 at 103 and 5,000; 4.8, 22, 620 at 620
+// and 110,000.
 func BenchmarkHolder(b *testing.B) {
 	for _, size := range []struct{ entries, requests int }{{28, 2_500}, {103, 5_000}, {620, 110_000}} {
 		ofEntry := size.requests / size.entries
--- a/internal/direct/duties/counting.go
+++ b/internal/direct/duties/counting.go
@@ -7,14 +7,14 @@
 	"foxcross.dev/foxcross/internal/steady"
 )
 
-// tellAllFor is how long all that is kept is told to a new holder. Some statements, of which
-// most may be lost.
-const tellAllFor = 4 * tellInterval
+// stateAllFor is how long statements hold all kept windows after the holder changes. It covers
+// several statements, most of which may be lost.
+const stateAllFor = 4 * statementInterval
 
-// Count takes in a request of a team that began to run now.
+// Count counts a request of a team that begins to run now.
 func (d *Duties) Count(team string) {
 	if team == "" {
-		return // nobody's
+		return // the request belongs to no team
 	}
 	now := d.trueTime()
 	d.mu.Lock()
@@ -22,7 +22,7 @@
 	d.tally.Count(team, now)
 }
 
-// trueTime returns the true time; the own time of day while no other is known.
+// trueTime returns the true time, or the machine's wall clock time while it is unknown.
 func (d *Duties) trueTime() time.Time {
 	if t, ok := d.options.Group.TrueTime(steady.Now()); ok {
 		return t
@@ -30,24 +30,24 @@
 	return steady.Wall()
 }
 
-// TakeStatement takes in what another entry counted.
+// TakeStatement merges the counts of another entry.
 func (d *Duties) TakeStatement(s duty.Statement) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.ledger.Take(s)
 }
 
-// tell tells what this entry counted.
-func (d *Duties) tell() {
+// sendStatement sends the counts of this entry that are due.
+func (d *Duties) sendStatement() {
 	now := d.trueTime()
 	fence, _ := d.options.Group.Holder()
-	reading := steady.Now()
+	steadyNow := steady.Now()
 	d.mu.Lock()
-	if fence != d.told {
-		d.told = fence
-		d.tellAll = reading.Add(tellAllFor)
+	if fence != d.statedFence {
+		d.statedFence = fence
+		d.stateAllUntil = steadyNow.Add(stateAllFor)
 	}
-	s := d.tally.State(now, reading.Before(d.tellAll))
+	s := d.tally.State(now, steadyNow.Before(d.stateAllUntil))
 	d.ledger.Take(s)
 	if d.election.Lease.Fence == 0 {
 		d.ledger.Expire(now)
@@ -56,17 +56,16 @@
 	d.options.Group.TellUsage(s)
 }
 
-// TellLast tells all that this entry counted, before the process ends.
+// TellLast sends all counts of this entry before the process ends.
 func (d *Duties) TellLast() {
 	now := d.trueTime()
 	d.mu.Lock()
 	s := d.tally.State(now, true)
 	d.mu.Unlock()
-	for range lastStatements {
+	for range finalStatements {
 		d.options.Group.TellUsage(s)
 	}
 }
 
-// lastStatements is how often an entry tells its counts at its end. Datagrams are lost now and
-// then.
-const lastStatements = 3
+// finalStatements is how often an entry sends its counts before it ends, as datagrams may be lost.
+const finalStatements = 3
--- a/internal/direct/duties/duties.go
+++ b/internal/direct/duties/duties.go
@@ -1,12 +1,12 @@
-// Package duties makes the calls to the platform that one entry makes at a time: the report
-// of the usage of teams. Package coord/duty decides; here are the loops.
+// Package duties makes the calls to the platform that only one entry makes at a time: the reports
+// of the usage of teams. Package coord/duty has the rules; this package runs the loops.
 //
-// counting.go counts at every entry and tells those that may hold the duties, campaign.go
-// wins and renews the lease, keeping.go writes what has to last, reporting.go sends what was
-// written, record.go has the form of what is written.
+// counting.go counts requests at every entry and sends the counts to the entries that may hold the
+// duties, campaign.go acquires and renews the lease, keeping.go writes the records in the store,
+// reporting.go sends the reports of written windows, record.go encodes the records.
 //
-// Locks: Duties.mu is held for no call and no message. Group's may be taken before it, not
-// while it is held.
+// Locks: Duties.mu is not held during calls or while messages are sent. Group's lock may be
+// acquired before Duties.mu, but not while Duties.mu is held.
 package duties
 
 import (
@@ -25,28 +25,28 @@
 
 var log = logs.For("duties")
 
-// Group is what the duties need of the other entries.
+// Group gives access to the other entries.
 type Group interface {
-	// TrueTime returns the true time at a reading of the steady clock, false if not known.
+	// TrueTime returns the true time at a reading of the steady clock, and false if it is unknown.
 	TrueTime(steady time.Time) (time.Time, bool)
-	// Owners returns the incarnations of the live entries, this one's included.
+	// Owners returns the incarnations of the live entries, including this one.
 	Owners() []uint64
-	// Holder returns the highest fence of a live holder, 0 for none, and whether that is
-	// another entry.
+	// Holder returns the highest fence of a live holder, 0 for none, and whether that holder
+	// is another entry.
 	Holder() (fence uint64, other bool)
-	// SetFence tells with which fence this entry holds the duties, 0 for not.
+	// SetFence announces the fence with which this entry holds the duties, 0 if it does not.
 	SetFence(fence uint64)
-	// TellUsage tells those that may hold the duties what this entry counted.
+	// TellUsage sends the counts of this entry to the entries that may hold the duties.
 	TellUsage(s duty.Statement)
 }
 
-// Store tells how the entry stands to the platform's store.
+// Store reports the state of the entry's connection to the platform's store.
 type Store interface {
 	ReadsStore() bool
 	Following() bool
 }
 
-// Options are what the duties are made of.
+// Options are the parameters of New.
 type Options struct {
 	Name     string // of the process
 	Owner    uint64 // incarnation of the process
@@ -58,35 +58,35 @@
 	Metrics  tally.Scope // nil for none
 }
 
-// Intervals of the loops.
+// Intervals of the loops in Run.
 const (
-	// tellInterval is the time between two statements of an entry. What an entry that dies has
-	// counted since is lost, at 28 entries 0.002 of a window of 5 s.
-	tellInterval = 250 * time.Millisecond
-	// campaignInterval is how often the lease is looked at.
-	campaignInterval = 50 * time.Millisecond
-	// keepInterval is how often the holder looks at what is to be written, and at what is to
-	// be sent.
-	keepInterval = 100 * time.Millisecond
+	// statementInterval is the time between two statements of an entry. If an entry dies, its
+	// counts since the last statement are lost: with 28 entries, 0.002 of a window of 5 s.
+	statementInterval = 250 * time.Millisecond
+	// electionInterval is the time between two checks of the lease.
+	electionInterval = 50 * time.Millisecond
+	// holderInterval is the time between two checks of the holder for records to write, and for
+	// reports to send.
+	holderInterval = 100 * time.Millisecond
 )
 
-// Duties is this entry's part in the duties. Create it with New. It is safe for concurrent
-// use.
+// Duties counts the requests of this entry and performs the duties while the entry holds them.
+// Create it with New. It is safe for concurrent use.
 type Duties struct {
 	options Options
 	metrics tally.Scope
 
-	mu        sync.Mutex
-	tally     duty.Tally
-	ledger    duty.Ledger
-	election  duty.Election
-	leaving   bool
-	told      uint64    // fence of the holder that was told all
-	tellAll   time.Time // until which all is told
-	announced uint64    // fence that other entries were told
+	mu             sync.Mutex
+	tally          duty.Tally
+	ledger         duty.Ledger
+	election       duty.Election
+	leaving        bool
+	statedFence    uint64    // fence of the holder that receives all kept windows
+	stateAllUntil  time.Time // end of the time in which statements hold all kept windows
+	announcedFence uint64    // fence last sent to the other entries
 }
 
-// New returns the duties of an entry. Run does them.
+// New returns the duties of an entry. Call Run to start the loops.
 func New(o Options) *Duties {
 	if o.Metrics == nil {
 		o.Metrics = tally.NoopScope
@@ -102,34 +102,34 @@
 	}
 }
 
-// Run does what is due until ctx is done.
+// Run runs the loops until ctx is done.
 func (d *Duties) Run(ctx context.Context) {
 	var all sync.WaitGroup
-	all.Go(func() { workers.Every(ctx, tellInterval, func(time.Time) { d.tell() }) })
-	all.Go(func() { workers.Every(ctx, campaignInterval, func(time.Time) { d.campaign(ctx) }) })
-	k := keeper{Duties: d}
-	all.Go(func() { workers.Every(ctx, keepInterval, func(time.Time) { k.keep(ctx) }) })
-	r := reporting{Duties: d}
-	all.Go(func() { workers.Every(ctx, keepInterval, func(time.Time) { r.report(ctx) }) })
+	all.Go(func() { workers.Every(ctx, statementInterval, func(time.Time) { d.sendStatement() }) })
+	all.Go(func() { workers.Every(ctx, electionInterval, func(time.Time) { d.runElection(ctx) }) })
+	writer := recordWriter{Duties: d}
+	all.Go(func() { workers.Every(ctx, holderInterval, func(time.Time) { writer.writeDue(ctx) }) })
+	reporter := usageReporter{Duties: d}
+	all.Go(func() { workers.Every(ctx, holderInterval, func(time.Time) { reporter.report(ctx) }) })
 	all.Wait()
 }
 
-// Resign hands the duties over: this entry is leaving.
+// Resign gives up the duties because this entry is leaving.
 func (d *Duties) Resign() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.leaving = true
 }
 
-// lease returns the lease as it is known now.
+// lease returns the current lease, and whether this entry is leaving.
 func (d *Duties) lease() (lease duty.Lease, leaving bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.election.Lease, d.leaving
 }
 
-// lose records that the lease with a fence is over.
-func (d *Duties) lose(fence uint64, why string) {
+// recordLoss records that the lease with the given fence has ended.
+func (d *Duties) recordLoss(fence uint64, reason string) {
 	d.mu.Lock()
 	held := d.election.Lease.Fence == fence
 	if held {
@@ -139,6 +139,6 @@
 	if held {
 		d.announce()
 		d.metrics.Counter("duties_lost").Inc(1)
-		log.With("fence", fence).With("reason", why).Info("The duties are not held any more.")
+		log.With("fence", fence).With("reason", reason).Info("No longer holder of the duties.")
 	}
 }
--- a/internal/direct/duties/giveup_test.go
+++ b/internal/direct/duties/giveup_test.go
@@ -6,11 +6,11 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// TestGivingUpIsCounted cuts the holder off from the store until it gives its lease up: operators
-// are to see that the duties were lost, as where the store says so.
-func TestGivingUpIsCounted(t *testing.T) {
-	const cut, looked = 180, 480 // steps of 50 ms; a lease lasts 1.5 s, and is given up 10 s later
-	lost := func(scope tally.TestScope) int64 {
+// TestGiveUpIsCounted disconnects the holder from the store until it gives up its lease. The metric
+// duties_lost must count this loss as it counts one that the store reports.
+func TestGiveUpIsCounted(t *testing.T) {
+	const disconnectStep, checkStep = 180, 480 // steps of 50 ms; a lease lasts 1.5 s and is given up 10 s after it expires
+	lostCount := func(scope tally.TestScope) int64 {
 		for _, c := range scope.Snapshot().Counters() {
 			if c.Name() == "duties_lost" {
 				return c.Value()
@@ -21,13 +21,13 @@
 	script := func(r *run, step int) {
 		m := r.machines[0]
 		switch step {
-		case cut:
+		case disconnectStep:
 			r.store.mu.Lock()
-			m.cut = true
+			m.disconnected = true
 			r.store.mu.Unlock()
-		case looked:
-			if n := lost(r.plan.metrics.(tally.TestScope)); n != 1 {
-				t.Errorf("the duties were lost %d times", n)
+		case checkStep:
+			if n := lostCount(r.plan.metrics.(tally.TestScope)); n != 1 {
+				t.Errorf("duties_lost is %d, want 1", n)
 			}
 		}
 	}
--- a/internal/direct/duties/keeping.go
+++ b/internal/direct/duties/keeping.go
@@ -12,108 +12,107 @@
 )
 
 const (
-	// recordInterval is the time between two records of what is open. What all count since is
-	// lost if all lose power at once.
-	recordInterval = 500 * time.Millisecond
-	// maxRecordRate bounds the records of what is open, in bytes a second: larger ones are
-	// written less often. A record of 28 entries takes 20 KB, one of 620 entries and 110,000
-	// requests 620 KB.
-	maxRecordRate = 64 << 10
-	// keepRetry is the time until the next call after one that failed.
-	keepRetry = 400 * time.Millisecond
-	// maxWritten is how many windows one update writes. An update has at most 32 entries, two
-	// for each window and one for the holder.
-	maxWritten = 15
+	// openWriteInterval is the time between two writes of the records of open windows. If all
+	// entries lose power at once, the counts since the last write are lost.
+	openWriteInterval = 500 * time.Millisecond
+	// maxRecordBytesPerSecond bounds the writes of open windows: larger records are written less
+	// often. A record of 28 entries takes 20 KB, one of 620 entries and 110,000 requests 620 KB.
+	maxRecordBytesPerSecond = 64 << 10
+	// writeRetryInterval is the time after a failed call until the next one.
+	writeRetryInterval = 400 * time.Millisecond
+	// maxAccountsPerUpdate is the most windows of one update. An update has at most 32
+	// conditions and operations, two for each window and one for the holder.
+	maxAccountsPerUpdate = 15
 )
 
-// keeper writes what has to last, while this entry holds the duties. It belongs to one
+// recordWriter writes the records of windows while this entry holds the duties. It is used by one
 // goroutine.
-type keeper struct {
+type recordWriter struct {
 	*Duties
-	fence     uint64                 // for which the records were read, 0 for none
-	revisions map[duty.Window]uint64 // of the records
-	nextWrite time.Time              // of what is open
-	retryAt   time.Time
+	loadedFence   uint64                 // fence under which the records were read, 0 for none
+	revisions     map[duty.Window]uint64 // of the records
+	nextOpenWrite time.Time              // next write of open windows
+	retryAt       time.Time
 }
 
-// keep writes what is due.
-func (k *keeper) keep(ctx context.Context) {
+// writeDue writes the records that are due.
+func (r *recordWriter) writeDue(ctx context.Context) {
 	now := steady.Now()
-	lease, leaving := k.lease()
+	lease, leaving := r.lease()
 	if !lease.Held(now) {
-		k.fence = 0
+		r.loadedFence = 0
 		return
 	}
-	if now.Before(k.retryAt) {
+	if now.Before(r.retryAt) {
 		return
 	}
-	if err := k.step(ctx, lease, leaving, now); err != nil {
-		k.fence = 0 // what is written may have changed: it is read anew
-		k.retryAt = steady.Now().Add(keepRetry)
-		log.With("reason", err.Error()).Limited("keep", "Records of usage can't be read or written; it is tried again.")
+	if err := r.step(ctx, lease, leaving, now); err != nil {
+		r.loadedFence = 0 // the records may have changed: load them again
+		r.retryAt = steady.Now().Add(writeRetryInterval)
+		log.With("reason", err.Error()).Limited("keep", "Cannot read or write the usage records; retrying.")
 		if errors.Is(err, driver.ErrConflict) {
-			k.checkHolder(ctx, lease)
+			r.checkHolder(ctx, lease)
 		}
 	}
 }
 
-// step reads the records of an earlier holder once, and writes what has changed. A leaving
-// entry writes all, and ends the lease.
-func (k *keeper) step(ctx context.Context, lease duty.Lease, leaving bool, now time.Time) error {
-	if k.fence != lease.Fence {
-		if err := k.load(ctx); err != nil {
+// step loads the records of an earlier holder once, and writes the changed accounts. An entry that
+// is leaving writes all of them at once and ends the lease.
+func (r *recordWriter) step(ctx context.Context, lease duty.Lease, leaving bool, now time.Time) error {
+	if r.loadedFence != lease.Fence {
+		if err := r.load(ctx); err != nil {
 			return err
 		}
-		k.fence = lease.Fence
+		r.loadedFence = lease.Fence
 	}
-	if err := k.write(ctx, lease, leaving || !now.Before(k.nextWrite)); err != nil {
+	if err := r.write(ctx, lease, leaving || !now.Before(r.nextOpenWrite)); err != nil {
 		return err
 	}
 	if leaving {
-		err := k.options.Records.End(ctx, lease.ID)
-		k.lose(lease.Fence, "this entry is leaving")
+		err := r.options.Records.End(ctx, lease.ID)
+		r.recordLoss(lease.Fence, "this entry is leaving")
 		return err
 	}
 	return nil
 }
 
-// load reads what an earlier holder has written.
-func (k *keeper) load(ctx context.Context) error {
-	all, err := k.options.Records.List(ctx, usagePrefix)
+// load reads the records that an earlier holder has written.
+func (r *recordWriter) load(ctx context.Context) error {
+	all, err := r.options.Records.List(ctx, usagePrefix)
 	if err != nil {
 		return err
 	}
-	k.revisions = map[duty.Window]uint64{}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for _, r := range all {
-		w, err := windowOf(r.Key)
+	r.revisions = map[duty.Window]uint64{}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, record := range all {
+		w, err := windowOf(record.Key)
 		if err != nil {
-			log.With("key", r.Key).With("reason", err.Error()).Limited("key", "A record of usage has no window and is left out.")
+			log.With("key", record.Key).With("reason", err.Error()).Limited("key", "Ignoring a usage record whose key holds no window.")
 			continue
 		}
-		k.revisions[w] = r.Revision
-		a, err := decodeAccount(r.Value)
+		r.revisions[w] = record.Revision
+		a, err := decodeAccount(record.Value)
 		if err != nil {
-			log.With("window", w.String()).With("reason", err.Error()).Limited("record", "A record of usage can't be read; what entries say of the window counts.")
+			log.With("window", w.String()).With("reason", err.Error()).Limited("record", "Cannot decode a usage record; using the counts that entries state for the window.")
 			continue
 		}
-		k.ledger.Restore(w, a)
+		r.ledger.Restore(w, a)
 	}
 	return nil
 }
 
-// written is a window's account on its way to the store.
-type written struct {
-	window  duty.Window
-	account duty.Account
-	closes  bool
+// accountWrite is the write of a window's account to the store.
+type accountWrite struct {
+	window    duty.Window
+	account   duty.Account
+	isClosing bool
 }
 
-// write writes the windows that are to be closed, and, if open is set, what has changed of
-// the others.
-func (k *keeper) write(ctx context.Context, lease duty.Lease, open bool) error {
-	due, finished := k.due(open)
+// write closes the windows that may be closed and, if withOpen is set, writes the changed accounts
+// of the others.
+func (r *recordWriter) write(ctx context.Context, lease duty.Lease, withOpen bool) error {
+	due, finished := r.due(withOpen)
 	if len(due) == 0 && len(finished) == 0 {
 		return nil
 	}
@@ -126,75 +125,74 @@
 		}
 		bytes += len(value)
 		key := usageKey(x.window)
-		u.Conditions = append(u.Conditions, driver.Condition{Key: key, Revision: k.revisions[x.window]})
+		u.Conditions = append(u.Conditions, driver.Condition{Key: key, Revision: r.revisions[x.window]})
 		u.Put = append(u.Put, driver.Record{Key: key, Value: value})
 	}
 	for _, w := range finished {
 		u.Remove = append(u.Remove, usageKey(w))
 	}
-	began := steady.Now()
-	revision, err := k.options.Records.Update(ctx, u)
+	startedAt := steady.Now()
+	revision, err := r.options.Records.Update(ctx, u)
 	if err != nil {
 		return err
 	}
-	if open {
-		k.nextWrite = began.Add(max(recordInterval, time.Duration(bytes)*time.Second/maxRecordRate))
+	if withOpen {
+		r.nextOpenWrite = startedAt.Add(max(openWriteInterval, time.Duration(bytes)*time.Second/maxRecordBytesPerSecond))
 	}
-	k.record(due, finished, revision)
+	r.applyUpdate(due, finished, revision)
 	return nil
 }
 
-// due returns the accounts that are to be written now, and the windows whose records are of
-// no use any more.
-func (k *keeper) due(open bool) (due []written, finished []duty.Window) {
-	now := k.trueTime()
-	live := k.options.Group.Owners()
-	k.mu.Lock()
-	defer k.mu.Unlock()
+// due returns the accounts to write now, and the windows whose records are no longer needed.
+func (r *recordWriter) due(withOpen bool) (due []accountWrite, finished []duty.Window) {
+	now := r.trueTime()
+	live := r.options.Group.Owners()
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	closing := map[duty.Window]bool{}
-	for _, w := range k.ledger.Ripe(now, live) {
+	for _, w := range r.ledger.Ripe(now, live) {
 		closing[w] = true
-		due = append(due, written{window: w, account: duty.Account{Closed: k.ledger.Account(w).Sum()}, closes: true})
+		due = append(due, accountWrite{window: w, account: duty.Account{Closed: r.ledger.Account(w).Sum()}, isClosing: true})
 	}
-	if open {
-		for _, w := range k.ledger.Unwritten() {
+	if withOpen {
+		for _, w := range r.ledger.Unwritten() {
 			if !closing[w] {
-				due = append(due, written{window: w, account: k.ledger.Account(w).Clone()})
+				due = append(due, accountWrite{window: w, account: r.ledger.Account(w).Clone()})
 			}
 		}
 	}
-	finished = k.ledger.Finished(now)
-	return due[:min(len(due), maxWritten)], finished[:min(len(finished), maxWritten-min(len(due), maxWritten))]
+	finished = r.ledger.Finished(now)
+	return due[:min(len(due), maxAccountsPerUpdate)], finished[:min(len(finished), maxAccountsPerUpdate-min(len(due), maxAccountsPerUpdate))]
 }
 
-// record takes in that an update was made.
-func (k *keeper) record(due []written, finished []duty.Window, revision uint64) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+// applyUpdate records the result of a successful update.
+func (r *recordWriter) applyUpdate(due []accountWrite, finished []duty.Window, revision uint64) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	for _, x := range due {
-		k.revisions[x.window] = revision
-		if !x.closes {
-			k.ledger.Written(x.window, x.account)
+		r.revisions[x.window] = revision
+		if !x.isClosing {
+			r.ledger.Written(x.window, x.account)
 			continue
 		}
-		k.ledger.Close(x.window, x.account.Closed)
-		k.metrics.Counter("usage_windows_written").Inc(1)
+		r.ledger.Close(x.window, x.account.Closed)
+		r.metrics.Counter("usage_windows_written").Inc(1)
 		log.With("window", x.window.String()).With("teams", len(x.account.Closed)).With("requests", x.account.Closed.Total()).
-			Info("The usage of a window is written.")
+			Info("Wrote the usage of a window.")
 	}
 	for _, w := range finished {
-		delete(k.revisions, w)
-		k.ledger.Forget(w)
+		delete(r.revisions, w)
+		r.ledger.Forget(w)
 	}
 }
 
-// checkHolder gives the duties up if the holder's record is not this entry's any more.
-func (k *keeper) checkHolder(ctx context.Context, lease duty.Lease) {
-	found, err := k.options.Records.Read(ctx, holderKey)
+// checkHolder gives up the duties if the holder's record is no longer that of this entry.
+func (r *recordWriter) checkHolder(ctx context.Context, lease duty.Lease) {
+	found, err := r.options.Records.Read(ctx, holderKey)
 	switch {
 	case errors.Is(err, storeerr.ErrNotFound):
-		k.lose(lease.Fence, "the holder's record is gone")
+		r.recordLoss(lease.Fence, "the holder's record no longer exists")
 	case err == nil && found.Revision != lease.Fence:
-		k.lose(lease.Fence, "another entry holds them")
+		r.recordLoss(lease.Fence, "another entry holds the duties")
 	}
 }
--- a/internal/direct/duties/model_test.go
+++ b/internal/direct/duties/model_test.go
@@ -13,49 +13,49 @@
 	"foxcross.dev/foxcross/internal/storeerr"
 )
 
-// modelStore is a store in memory. Its calls take time; faults lose answers, carry calls out
-// late, and turn calls away.
-type modelStore struct {
-	mu       sync.Mutex
-	random   *rand.Rand
-	revision uint64
-	items    map[string]driver.Record
-	leases   map[string]*modelLease
-	last     int
-	down     bool    // turns all calls away
-	lost     float64 // share of calls whose answer is lost
-	late     float64 // share of calls that are carried out late, unanswered
-
-	ignoreConditions bool // planted fault
+// memoryStore is a store in memory. Its calls take time. Faults lose answers, execute calls late, or
+// refuse calls.
+type memoryStore struct {
+	mu          sync.Mutex
+	random      *rand.Rand
+	revision    uint64
+	items       map[string]driver.Record
+	leases      map[string]*memoryLease
+	lastLease   int
+	unavailable bool    // refuses all calls
+	lossRate    float64 // fraction of calls whose answer is lost
+	lateRate    float64 // fraction of calls that are executed late and get no answer
+
+	ignoreConditions bool // deliberate fault
 }
 
-type modelLease struct {
+type memoryLease struct {
 	ttl   time.Duration
 	until time.Time
 }
 
-// view is the store as one entry reaches it.
-type view struct {
-	*modelStore
-	cut *bool // this entry is turned away; guarded by modelStore.mu
+// storeClient is the connection of one entry to the store.
+type storeClient struct {
+	*memoryStore
+	disconnected *bool // refuses the calls of this entry; guarded by memoryStore.mu
 }
 
-func newModelStore(random *rand.Rand) *modelStore {
-	return &modelStore{random: random, items: map[string]driver.Record{}, leases: map[string]*modelLease{}}
+func newMemoryStore(random *rand.Rand) *memoryStore {
+	return &memoryStore{random: random, items: map[string]driver.Record{}, leases: map[string]*memoryLease{}}
 }
 
-var errUnanswered = errors.New("no answer")
+var errNoAnswer = errors.New("no answer")
 
-// call carries out do as a call of the store.
-func (v view) call(ctx context.Context, do func() error) error {
+// call executes do as a call of the store.
+func (sc storeClient) call(ctx context.Context, do func() error) error {
 	if ctx.Err() != nil {
 		return ctx.Err() // a killed entry sends nothing
 	}
-	s := v.modelStore
+	s := sc.memoryStore
 	s.mu.Lock()
-	way := time.Duration(1+s.random.IntN(8)) * time.Millisecond
-	lost := s.random.Float64() < s.lost
-	late := s.random.Float64() < s.late
+	latency := time.Duration(1+s.random.IntN(8)) * time.Millisecond
+	lost := s.random.Float64() < s.lossRate
+	late := s.random.Float64() < s.lateRate
 	delay := time.Duration(s.random.IntN(4000)) * time.Millisecond
 	s.mu.Unlock()
 	if late {
@@ -63,30 +63,30 @@
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			s.expire()
-			_ = do() // nobody hears
+			_ = do() // the caller gets no answer
 		})
 		time.Sleep(800 * time.Millisecond)
-		return errors.Join(storeerr.ErrUnavailable, errUnanswered)
+		return errors.Join(storeerr.ErrUnavailable, errNoAnswer)
 	}
-	time.Sleep(way)
+	time.Sleep(latency)
 	s.mu.Lock()
-	if s.down || *v.cut {
+	if s.unavailable || *sc.disconnected {
 		s.mu.Unlock()
 		return storeerr.ErrUnavailable
 	}
 	s.expire()
 	err := do()
 	s.mu.Unlock()
-	time.Sleep(way)
+	time.Sleep(latency)
 	if lost {
 		time.Sleep(800 * time.Millisecond)
-		return errors.Join(storeerr.ErrUnavailable, errUnanswered)
+		return errors.Join(storeerr.ErrUnavailable, errNoAnswer)
 	}
 	return err
 }
 
-// expire ends the leases that are over. The store is locked.
-func (s *modelStore) expire() {
+// expire deletes the expired leases and their records. The store must be locked.
+func (s *memoryStore) expire() {
 	now := time.Now()
 	for name, l := range s.leases {
 		if now.Before(l.until) {
@@ -102,12 +102,12 @@
 	}
 }
 
-// Results are handed over only with an answer: a call that is carried out late has none.
+// The following calls return results only with an answer. A call that is executed late has none.
 
-func (v view) Read(ctx context.Context, key string) (driver.Record, error) {
+func (sc storeClient) Read(ctx context.Context, key string) (driver.Record, error) {
 	var found driver.Record
-	err := v.call(ctx, func() error {
-		i, ok := v.items[key]
+	err := sc.call(ctx, func() error {
+		i, ok := sc.items[key]
 		if !ok {
 			return storeerr.ErrNotFound
 		}
@@ -120,10 +120,10 @@
 	return found, nil
 }
 
-func (v view) List(ctx context.Context, prefix string) ([]driver.Record, error) {
+func (sc storeClient) List(ctx context.Context, prefix string) ([]driver.Record, error) {
 	var all []driver.Record
-	err := v.call(ctx, func() error {
-		for key, i := range v.items {
+	err := sc.call(ctx, func() error {
+		for key, i := range sc.items {
 			if strings.HasPrefix(key, prefix) {
 				all = append(all, i)
 			}
@@ -136,28 +136,28 @@
 	return all, nil
 }
 
-func (v view) Update(ctx context.Context, u driver.Update) (uint64, error) {
+func (sc storeClient) Update(ctx context.Context, u driver.Update) (uint64, error) {
 	var revision uint64
-	err := v.call(ctx, func() error {
+	err := sc.call(ctx, func() error {
 		for _, c := range u.Conditions {
-			if v.items[c.Key].Revision != c.Revision && !v.ignoreConditions {
+			if sc.items[c.Key].Revision != c.Revision && !sc.ignoreConditions {
 				return driver.ErrConflict
 			}
 		}
 		for _, p := range u.Put {
-			if p.Lease != "" && v.leases[p.Lease] == nil {
+			if p.Lease != "" && sc.leases[p.Lease] == nil {
 				return storeerr.ErrNotFound
 			}
 		}
-		v.revision++
+		sc.revision++
 		for _, p := range u.Put {
-			p.Revision = v.revision
-			v.items[p.Key] = p
+			p.Revision = sc.revision
+			sc.items[p.Key] = p
 		}
 		for _, key := range u.Remove {
-			delete(v.items, key)
+			delete(sc.items, key)
 		}
-		revision = v.revision
+		revision = sc.revision
 		return nil
 	})
 	if err != nil {
@@ -166,12 +166,12 @@
 	return revision, nil
 }
 
-func (v view) Grant(ctx context.Context, ttl time.Duration) (string, error) {
+func (sc storeClient) Grant(ctx context.Context, ttl time.Duration) (string, error) {
 	var lease string
-	err := v.call(ctx, func() error {
-		v.last++
-		lease = "lease-" + time.Duration(v.last).String()
-		v.leases[lease] = &modelLease{ttl: ttl, until: time.Now().Add(ttl)}
+	err := sc.call(ctx, func() error {
+		sc.lastLease++
+		lease = "lease-" + time.Duration(sc.lastLease).String()
+		sc.leases[lease] = &memoryLease{ttl: ttl, until: time.Now().Add(ttl)}
 		return nil
 	})
 	if err != nil {
@@ -180,9 +180,9 @@
 	return lease, nil
 }
 
-func (v view) Renew(ctx context.Context, lease string) error {
-	return v.call(ctx, func() error {
-		l := v.leases[lease]
+func (sc storeClient) Renew(ctx context.Context, lease string) error {
+	return sc.call(ctx, func() error {
+		l := sc.leases[lease]
 		if l == nil {
 			return storeerr.ErrNotFound
 		}
@@ -191,19 +191,19 @@
 	})
 }
 
-func (v view) End(ctx context.Context, lease string) error {
-	return v.call(ctx, func() error {
-		if l := v.leases[lease]; l != nil {
+func (sc storeClient) End(ctx context.Context, lease string) error {
+	return sc.call(ctx, func() error {
+		if l := sc.leases[lease]; l != nil {
 			l.until = time.Time{}
 		}
-		v.expire()
+		sc.expire()
 		return nil
 	})
 }
 
-// report is one call that reached the platform.
+// report is a call that reached the platform.
 type report struct {
-	sentAt  time.Time // by an entry that believed that it may act
+	sentAt  time.Time // time of the call, when the entry's lease allowed it to act
 	machine string
 	fence   uint64
 	window  int64
@@ -212,56 +212,56 @@
 	arrived time.Time
 }
 
-// modelPlatform takes reports. Faults lose answers and carry calls out late, as does an entry
-// that stands still between its look at the lease and the call.
-type modelPlatform struct {
-	mu      sync.Mutex
-	random  *rand.Rand
-	fences  bool // refuses a lower fence than it has seen
-	highest uint64
-	reports []report
-	lost    float64
-	late    float64
-	down    bool
+// fakePlatform records reports. Faults lose answers and execute calls late, as if the entry had been
+// suspended between the check of its lease and the call.
+type fakePlatform struct {
+	mu          sync.Mutex
+	random      *rand.Rand
+	fences      bool // refuses fences lower than the highest seen
+	highest     uint64
+	reports     []report
+	lossRate    float64
+	lateRate    float64
+	unavailable bool
 }
 
-// reporterOf is the platform as one entry reaches it.
-type reporterOf struct {
-	*modelPlatform
+// platformClient is the connection of one entry to the platform.
+type platformClient struct {
+	*fakePlatform
 	machine string
 }
 
-func (r reporterOf) ReportUsage(ctx context.Context, h driver.Holder, window int64, counts map[string]int64) error {
+func (r platformClient) ReportUsage(ctx context.Context, h driver.Holder, window int64, counts map[string]int64) error {
 	if ctx.Err() != nil {
 		return ctx.Err() // a killed entry sends nothing
 	}
-	p := r.modelPlatform
+	p := r.fakePlatform
 	x := report{sentAt: time.Now(), machine: r.machine, fence: h.Fence, window: window, counts: duty.Counts(counts).Plus(nil)}
 	p.mu.Lock()
-	lost := p.random.Float64() < p.lost
-	late := p.random.Float64() < p.late
-	down := p.down
+	lost := p.random.Float64() < p.lossRate
+	late := p.random.Float64() < p.lateRate
+	unavailable := p.unavailable
 	delay := time.Duration(p.random.IntN(6000)) * time.Millisecond
 	p.mu.Unlock()
 	switch {
-	case down:
+	case unavailable:
 		time.Sleep(100 * time.Millisecond)
-		return errUnanswered
+		return errNoAnswer
 	case late:
-		time.AfterFunc(delay, func() { _ = p.take(x) })
+		time.AfterFunc(delay, func() { _ = p.receive(x) })
 		time.Sleep(1500 * time.Millisecond)
-		return errUnanswered
+		return errNoAnswer
 	}
 	time.Sleep(2 * time.Millisecond)
-	err := p.take(x)
+	err := p.receive(x)
 	if lost {
 		time.Sleep(1500 * time.Millisecond)
-		return errUnanswered
+		return errNoAnswer
 	}
 	return err
 }
 
-func (p *modelPlatform) take(x report) error {
+func (p *fakePlatform) receive(x report) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	x.arrived = time.Now()
@@ -274,76 +274,78 @@
 	return nil
 }
 
-// modelGroup lets entries of one process hear each other.
-type modelGroup struct {
+// memoryGroup connects the simulated entries with each other.
+type memoryGroup struct {
 	mu      sync.Mutex
-	members map[uint64]*modelMember
+	members map[uint64]*memoryMember
 }
 
-// modelMember is one entry as the others hear it.
-type modelMember struct {
-	group  *modelGroup
-	owner  uint64
-	fence  uint64
-	deaf   bool // hears nobody, and is not heard
-	skew   time.Duration
-	duties *Duties
+// memoryMember is one entry in a memoryGroup.
+type memoryMember struct {
+	group       *memoryGroup
+	owner       uint64
+	fence       uint64
+	isolated    bool // exchanges no messages with other entries
+	clockOffset time.Duration
+	duties      *Duties
 }
 
-func (m *modelMember) TrueTime(steady time.Time) (time.Time, bool) { return steady.Add(m.skew), true }
+func (m *memoryMember) TrueTime(steady time.Time) (time.Time, bool) {
+	return steady.Add(m.clockOffset), true
+}
 
-func (m *modelMember) setDeaf(deaf bool) {
+func (m *memoryMember) setIsolated(isolated bool) {
 	m.group.mu.Lock()
 	defer m.group.mu.Unlock()
-	m.deaf = deaf
+	m.isolated = isolated
 }
 
-func (m *modelMember) Owners() []uint64 {
+func (m *memoryMember) Owners() []uint64 {
 	m.group.mu.Lock()
 	defer m.group.mu.Unlock()
 	var all []uint64
 	for owner, o := range m.group.members {
-		if o == m || !o.deaf && !m.deaf {
+		if o == m || !o.isolated && !m.isolated {
 			all = append(all, owner)
 		}
 	}
 	return all
 }
 
-func (m *modelMember) Holder() (uint64, bool) {
+func (m *memoryMember) Holder() (uint64, bool) {
 	m.group.mu.Lock()
 	defer m.group.mu.Unlock()
 	fence, other := m.fence, false
 	for _, o := range m.group.members {
-		if o != m && !o.deaf && !m.deaf && o.fence > fence {
+		if o != m && !o.isolated && !m.isolated && o.fence > fence {
 			fence, other = o.fence, true
 		}
 	}
 	return fence, other
 }
 
-func (m *modelMember) SetFence(fence uint64) {
+func (m *memoryMember) SetFence(fence uint64) {
 	m.group.mu.Lock()
 	defer m.group.mu.Unlock()
 	m.fence = fence
 }
 
-func (m *modelMember) TellUsage(s duty.Statement) {
+func (m *memoryMember) TellUsage(s duty.Statement) {
 	m.group.mu.Lock()
-	var to []*Duties
+	var recipients []*Duties
 	for _, o := range m.group.members {
-		if o != m && !o.deaf && !m.deaf {
-			to = append(to, o.duties)
+		if o != m && !o.isolated && !m.isolated {
+			recipients = append(recipients, o.duties)
 		}
 	}
 	m.group.mu.Unlock()
-	for _, d := range to {
+	for _, d := range recipients {
 		d.TakeStatement(s)
 	}
 }
 
-// reads is a Store that is always followed.
-type reads struct{}
+// followedStore is a Store that is always followed.
+type followedStore struct{}
 
-func (reads) ReadsStore() bool { return true }
-func (reads) Following() bool  { return true }
+func (followedStore) ReadsStore() bool { return true }
+func (followedStore) Following() bool  { return true }
--- a/internal/direct/duties/record.go
+++ b/internal/direct/duties/record.go
@@ -11,19 +11,19 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// usagePrefix is below which the windows' records are, each under its number.
+// usagePrefix is the prefix of the keys of usage records. The window's number follows.
 const usagePrefix = "usage/"
 
-// usageKey returns the key of a window's record.
+// usageKey returns the key of the usage record of a window.
 func usageKey(w duty.Window) string { return usagePrefix + w.String() }
 
-// windowOf returns the window of a key.
+// windowOf returns the window of the key of a usage record.
 func windowOf(key string) (duty.Window, error) {
 	n, err := strconv.ParseInt(strings.TrimPrefix(key, usagePrefix), 10, 64)
 	return duty.Window(n), err
 }
 
-// usageRecord is a window's account as it is written. Names of teams stand once.
+// usageRecord is the stored form of a window's account. Each team name is stored once.
 type usageRecord struct {
 	Teams    []string   `cbor:"1,keyasint,omitempty"`
 	Open     []ownerRow `cbor:"2,keyasint,omitempty"`
@@ -32,40 +32,40 @@
 	Reported bool       `cbor:"5,keyasint,omitempty"`
 }
 
-// ownerRow is what one entry counted.
+// ownerRow holds the counts of one entry.
 type ownerRow struct {
 	_      struct{} `cbor:",toarray"`
 	Owner  uint64
 	Counts []count
 }
 
-// count is a team, as a place in the list of teams, and its requests.
+// count is the number of requests of a team. Team is an index into usageRecord.Teams.
 type count struct {
 	_        struct{} `cbor:",toarray"`
 	Team     int
 	Requests int64
 }
 
-// encodeAccount returns a window's account as it is written.
+// encodeAccount returns the stored form of a window's account.
 func encodeAccount(a duty.Account) ([]byte, error) {
-	places := map[string]int{}
+	indexes := map[string]int{}
 	r := usageRecord{IsClosed: a.Closed != nil && !a.Reported, Reported: a.Reported}
 	rows := func(c duty.Counts) []count {
 		var all []count
 		for team, n := range c {
-			place, known := places[team]
+			index, known := indexes[team]
 			if !known {
-				place = len(r.Teams)
-				places[team] = place
+				index = len(r.Teams)
+				indexes[team] = index
 				r.Teams = append(r.Teams, team)
 			}
-			all = append(all, count{Team: place, Requests: n})
+			all = append(all, count{Team: index, Requests: n})
 		}
 		slices.SortFunc(all, func(a, b count) int { return a.Team - b.Team })
 		return all
 	}
 	switch {
-	case a.Reported: // what was sent is of no use any more
+	case a.Reported: // the counts are no longer needed
 	case a.Closed != nil:
 		r.Closed = rows(a.Closed)
 	default:
@@ -80,7 +80,7 @@
 	return data, nil
 }
 
-// decodeAccount reads a written account.
+// decodeAccount returns the account of a stored usage record.
 func decodeAccount(data []byte) (duty.Account, error) {
 	var r usageRecord
 	if err := cbor.Unmarshal(data, &r); err != nil {
@@ -108,7 +108,7 @@
 	c := make(duty.Counts, len(rows))
 	for _, row := range rows {
 		if row.Team < 0 || row.Team >= len(r.Teams) {
-			return nil, fmt.Errorf("duties: decode an account: no team %d of %d", row.Team, len(r.Teams))
+			return nil, fmt.Errorf("duties: decode an account: team index %d out of range of %d teams", row.Team, len(r.Teams))
 		}
 		c[r.Teams[row.Team]] = row.Requests
 	}
--- a/internal/direct/duties/reporting.go
+++ b/internal/direct/duties/reporting.go
@@ -10,30 +10,31 @@
 	"foxcross.dev/foxcross/internal/steady"
 )
 
-// reportRetry is the time until a report that failed is made again.
-const reportRetry = 400 * time.Millisecond
+// reportRetryInterval is the time after a failed report until it is sent again.
+const reportRetryInterval = 400 * time.Millisecond
 
-// reporting sends what is written. It belongs to one goroutine.
-type reporting struct {
+// usageReporter sends the reports of written windows. It is used by one goroutine.
+type usageReporter struct {
 	*Duties
 	retryAt time.Time
 }
 
 // report sends the reports that are due, oldest first, until one fails.
-func (r *reporting) report(ctx context.Context) {
+func (r *usageReporter) report(ctx context.Context) {
 	if steady.Now().Before(r.retryAt) {
 		return
 	}
 	for _, w := range r.unreported() {
 		if err := r.send(ctx, w); err != nil {
-			r.retryAt = steady.Now().Add(reportRetry)
+			r.retryAt = steady.Now().Add(reportRetryInterval)
 			return
 		}
 	}
 }
 
-// unreported returns the windows that are written and not reported.
-func (r *reporting) unreported() []duty.Window {
+// unreported returns the windows that are written and not reported, none while this entry may not
+// act as the holder.
+func (r *usageReporter) unreported() []duty.Window {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.election.Lease.MayAct(steady.Now()) {
@@ -42,10 +43,10 @@
 	return r.ledger.Unreported()
 }
 
-// send sends the report of one window. The lease is looked at right before, and again when a
-// connection is there, by a reading of the clock that is never behind: a holder whose machine was
-// suspended before either must not send (TestSuspendedHolderSendsNothing).
-func (r *reporting) send(ctx context.Context, w duty.Window) error {
+// send sends the report of one window. The lease is checked right before the call, and again once a
+// connection is established, by a reading of the clock that is never behind: a holder whose machine
+// was suspended before either check must not send (TestSuspendedHolderSendsNothing).
+func (r *usageReporter) send(ctx context.Context, w duty.Window) error {
 	r.mu.Lock()
 	lease := r.election.Lease
 	counts := r.ledger.Account(w).Closed
@@ -56,25 +57,25 @@
 	}
 	r.metrics.Counter("usage_reports_sent").Inc(1)
 	err := r.options.Reporter.ReportUsage(ctx, driver.Holder{Name: r.options.Name, Fence: lease.Fence, MayAct: mayAct}, int64(w), counts)
-	line := log.With("window", w.String()).With("fence", lease.Fence)
+	logger := log.With("window", w.String()).With("fence", lease.Fence)
 	switch {
 	case err == nil:
 		r.mu.Lock()
 		r.ledger.Report(w)
 		r.mu.Unlock()
 		r.metrics.Counter("usage_reports_accepted").Inc(1)
-		line.With("requests", counts.Total()).With("after_ms", r.trueTime().Sub(w.End(r.options.Terms.UsageWindow)).Milliseconds()).
-			Info("The usage of a window is reported.")
+		logger.With("requests", counts.Total()).With("after_ms", r.trueTime().Sub(w.End(r.options.Terms.UsageWindow)).Milliseconds()).
+			Info("Reported the usage of a window.")
 	case errors.Is(err, driver.ErrFenced):
 		r.metrics.Counter("usage_reports_fenced").Inc(1)
-		line.Warnf("The platform has seen a higher fence; the duties are given up.")
+		logger.Warnf("The platform has seen a higher fence; giving up the duties.")
 		if err := r.options.Records.End(ctx, lease.ID); err != nil {
-			line.With("reason", err.Error()).Warnf("The lease of the duties can't be ended; it runs out.")
+			logger.With("reason", err.Error()).Warnf("Cannot end the lease of the duties; waiting for it to expire.")
 		}
-		r.lose(lease.Fence, "the platform has seen a higher fence")
+		r.recordLoss(lease.Fence, "the platform has seen a higher fence")
 	default:
 		r.metrics.Counter("usage_reports_failed").Inc(1)
-		line.With("reason", err.Error()).Limited("report", "The usage of a window can't be reported; it is tried again.")
+		logger.With("reason", err.Error()).Limited("report", "Cannot report the usage of a window; retrying.")
 	}
 	return err
 }
--- a/internal/direct/duties/simulation_test.go
+++ b/internal/direct/duties/simulation_test.go
@@ -17,63 +17,63 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// Bounds of the simulated deployments.
+// Parameters of the simulated deployments.
 const (
 	longWindow  = 5 * time.Second
-	shortWindow = 500 * time.Millisecond // so that a holder acts often
+	shortWindow = 500 * time.Millisecond // makes a holder act often
 	alternate   = 3 * time.Second
 	thaw        = 300 * time.Millisecond
-	dueAfter    = 10 * time.Second // of a window's end
+	dueAfter    = 10 * time.Second // after a window's end
 )
 
-// plan says what strikes a simulated deployment.
+// plan describes a simulated deployment and its faults.
 type plan struct {
 	machines int
 	faults   bool
-	unfenced bool // the platform does not look at fences
+	unfenced bool // the platform does not check fences
 	window   time.Duration
 
-	ignoreConditions bool // planted fault of the store
+	ignoreConditions bool // deliberate fault of the store
 	terms            func(duty.Terms) duty.Terms
-	script           func(r *run, step int) // strikes in place of random faults
-	metrics          tally.Scope            // of all entries, nil for none
+	script           func(r *run, step int) // injects faults in place of the random ones
+	metrics          tally.Scope            // shared by all entries, nil for none
 }
 
 // run is a simulated deployment.
 type run struct {
-	t        *testing.T
-	plan     plan
-	random   *rand.Rand
-	store    *modelStore
-	platform *modelPlatform
-	group    *modelGroup
-	machines []*machine
-	began    map[duty.Window]duty.Counts     // the truth
-	counters map[duty.Window]map[uint64]bool // entries that counted something in it
-	nextID   uint64
+	t          *testing.T
+	plan       plan
+	random     *rand.Rand
+	store      *memoryStore
+	platform   *fakePlatform
+	group      *memoryGroup
+	machines   []*machine
+	wantCounts map[duty.Window]duty.Counts     // requests that were counted
+	countedBy  map[duty.Window]map[uint64]bool // entries that counted requests in the window
+	nextID     uint64
 }
 
-// machine runs an entry, or does not.
+// machine is a machine that runs at most one entry.
 type machine struct {
-	name   string
-	cut    bool
-	member *modelMember
-	stop   context.CancelFunc // nil while it is down
+	name         string
+	disconnected bool
+	member       *memoryMember
+	stop         context.CancelFunc // nil while no entry runs
 }
 
 func (r *run) start(m *machine) {
 	r.nextID++
 	ctx, cancel := context.WithCancel(r.t.Context())
 	m.stop = cancel
-	m.member = &modelMember{group: r.group, owner: r.nextID, skew: time.Duration(r.random.IntN(20)) * time.Millisecond}
+	m.member = &memoryMember{group: r.group, owner: r.nextID, clockOffset: time.Duration(r.random.IntN(20)) * time.Millisecond}
 	d := New(Options{
 		Name:     m.name,
 		Owner:    r.nextID,
 		Terms:    driver.Duties{Usage: true, UsageWindow: r.plan.window, Alternate: alternate, Thaw: thaw, MinLeaseTime: time.Second},
 		Group:    m.member,
-		Store:    reads{},
-		Records:  view{r.store, &m.cut},
-		Reporter: reporterOf{r.platform, m.name},
+		Store:    followedStore{},
+		Records:  storeClient{r.store, &m.disconnected},
+		Reporter: platformClient{r.platform, m.name},
 		Metrics:  r.plan.metrics,
 	})
 	if r.plan.terms != nil {
@@ -86,7 +86,7 @@
 	go d.Run(ctx)
 }
 
-// kill ends an entry without a word.
+// kill ends an entry without notice to the others.
 func (r *run) kill(m *machine) {
 	m.stop()
 	m.stop = nil
@@ -95,7 +95,7 @@
 	r.group.mu.Unlock()
 }
 
-// count lets requests begin at all entries that run.
+// count starts a request at each running entry.
 func (r *run) count(now time.Time) {
 	for _, m := range r.machines {
 		if m.stop == nil {
@@ -103,20 +103,20 @@
 		}
 		team := fmt.Sprint("team-", r.random.IntN(5))
 		m.member.duties.Count(team)
-		w := duty.WindowAt(now.Add(m.member.skew), r.plan.window)
-		if r.began[w] == nil {
-			r.began[w] = duty.Counts{}
+		w := duty.WindowAt(now.Add(m.member.clockOffset), r.plan.window)
+		if r.wantCounts[w] == nil {
+			r.wantCounts[w] = duty.Counts{}
 		}
-		r.began[w][team]++
-		if r.counters[w] == nil {
-			r.counters[w] = map[uint64]bool{}
+		r.wantCounts[w][team]++
+		if r.countedBy[w] == nil {
+			r.countedBy[w] = map[uint64]bool{}
 		}
-		r.counters[w][m.member.owner] = true
+		r.countedBy[w][m.member.owner] = true
 	}
 }
 
-// strike lets one fault begin or end.
-func (r *run) strike() {
+// injectFault starts or ends a random fault.
+func (r *run) injectFault() {
 	m := r.machines[r.random.IntN(len(r.machines))]
 	s, p := r.store, r.platform
 	switch r.random.IntN(9) {
@@ -132,44 +132,44 @@
 		}
 	case 3:
 		s.mu.Lock()
-		m.cut = !m.cut
+		m.disconnected = !m.disconnected
 		s.mu.Unlock()
 	case 4:
-		m.member.setDeaf(r.random.IntN(2) == 0)
+		m.member.setIsolated(r.random.IntN(2) == 0)
 	case 5:
 		s.mu.Lock()
-		s.down = !s.down
+		s.unavailable = !s.unavailable
 		s.mu.Unlock()
 	case 6:
 		s.mu.Lock()
-		s.lost, s.late = r.random.Float64()*0.4, r.random.Float64()*0.3
+		s.lossRate, s.lateRate = r.random.Float64()*0.4, r.random.Float64()*0.3
 		s.mu.Unlock()
 	case 7:
 		p.mu.Lock()
-		p.lost, p.late = r.random.Float64()*0.4, r.random.Float64()*0.4
+		p.lossRate, p.lateRate = r.random.Float64()*0.4, r.random.Float64()*0.4
 		p.mu.Unlock()
 	case 8:
 		p.mu.Lock()
-		p.down = !p.down
+		p.unavailable = !p.unavailable
 		p.mu.Unlock()
 	}
 }
 
-// calm ends all faults.
-func (r *run) calm() {
+// clearFaults ends all faults.
+func (r *run) clearFaults() {
 	r.store.mu.Lock()
-	r.store.down, r.store.lost, r.store.late = false, 0, 0
+	r.store.unavailable, r.store.lossRate, r.store.lateRate = false, 0, 0
 	for _, m := range r.machines {
-		m.cut = false
+		m.disconnected = false
 	}
 	r.store.mu.Unlock()
 	r.platform.mu.Lock()
-	r.platform.lost, r.platform.late, r.platform.down = 0, 0, false
+	r.platform.lossRate, r.platform.lateRate, r.platform.unavailable = 0, 0, false
 	r.platform.mu.Unlock()
 	for _, m := range r.machines {
 		if m.stop != nil {
 			if _, leaving := m.member.duties.lease(); !leaving {
-				m.member.setDeaf(false)
+				m.member.setIsolated(false)
 				continue
 			}
 			r.kill(m)
@@ -178,17 +178,17 @@
 	}
 }
 
-// simulate plays a plan and returns the broken invariants.
-func simulate(t *testing.T, seed uint64, p plan) (broken []string) {
+// simulate runs a plan and returns the violations of the invariants.
+func simulate(t *testing.T, seed uint64, p plan) (violations []string) {
 	synctest.Test(t, func(t *testing.T) {
 		random := rand.New(rand.NewPCG(seed, 7))
 		r := &run{
 			t: t, plan: p, random: random,
-			store:    newModelStore(rand.New(rand.NewPCG(seed, 8))),
-			platform: &modelPlatform{random: rand.New(rand.NewPCG(seed, 9)), fences: !p.unfenced},
-			group:    &modelGroup{members: map[uint64]*modelMember{}},
-			began:    map[duty.Window]duty.Counts{},
-			counters: map[duty.Window]map[uint64]bool{},
+			store:      newMemoryStore(rand.New(rand.NewPCG(seed, 8))),
+			platform:   &fakePlatform{random: rand.New(rand.NewPCG(seed, 9)), fences: !p.unfenced},
+			group:      &memoryGroup{members: map[uint64]*memoryMember{}},
+			wantCounts: map[duty.Window]duty.Counts{},
+			countedBy:  map[duty.Window]map[uint64]bool{},
 		}
 		r.store.ignoreConditions = p.ignoreConditions
 		for n := range p.machines {
@@ -199,10 +199,10 @@
 		const step = 50 * time.Millisecond
 		for n := range 1200 { // a minute
 			if p.faults && p.script == nil && n < 800 && r.random.IntN(20) == 0 {
-				r.strike()
+				r.injectFault()
 			}
 			if p.faults && n == 800 {
-				r.calm()
+				r.clearFaults()
 			}
 			if p.script != nil {
 				p.script(r, n)
@@ -213,15 +213,15 @@
 		}
 		last := duty.WindowAt(time.Now(), p.window)
 		time.Sleep(dueAfter)
-		broken = r.check(last)
+		violations = r.check(last)
 		for _, m := range r.machines {
 			if m.stop != nil {
 				r.kill(m)
 			}
 		}
-		time.Sleep(dueAfter) // what is under way ends
+		time.Sleep(dueAfter) // lets calls in flight finish
 	})
-	return broken
+	return violations
 }
 
 func TestMain(m *testing.M) {
@@ -231,46 +231,46 @@
 	os.Exit(m.Run())
 }
 
-// survives tells whether an entry that counted in a window lives.
+// survives reports whether an entry that counted in a window is live.
 func (r *run) survives(w duty.Window) bool {
 	for _, m := range r.machines {
-		if m.stop != nil && r.counters[w][m.member.owner] {
+		if m.stop != nil && r.countedBy[w][m.member.owner] {
 			return true
 		}
 	}
 	return false
 }
 
-// seeds is how many seeds of each plan the tests play.
-const seeds = 40
+// seedsPerPlan is the number of seeds with which the tests run each plan.
+const seedsPerPlan = 40
 
-func TestCalmDutiesAreExact(t *testing.T) {
+func TestReportsAreExactWithoutFaults(t *testing.T) {
 	for seed := range uint64(5) {
 		for machines := 1; machines <= 3; machines++ {
-			if broken := simulate(t, seed, plan{machines: machines, window: longWindow}); len(broken) > 0 {
-				t.Errorf("seed %d, %d machines: %s", seed, machines, strings.Join(broken, "; "))
+			if violations := simulate(t, seed, plan{machines: machines, window: longWindow}); len(violations) > 0 {
+				t.Errorf("seed %d, %d machines: %s", seed, machines, strings.Join(violations, "; "))
 			}
 		}
 	}
 }
 
-// TestDutiesUnderFaults plays kills, resignations, cuts from the store and from other
-// entries, outages, lost answers and calls that are carried out late.
+// TestDutiesUnderFaults simulates kills, resignations, disconnections from the store and from other
+// entries, outages, lost answers and calls that are executed late.
 func TestDutiesUnderFaults(t *testing.T) {
-	for seed := range uint64(seeds) {
+	for seed := range uint64(seedsPerPlan) {
 		for _, p := range []plan{
 			{machines: 2, faults: true, window: longWindow},
 			{machines: 3, faults: true, window: shortWindow},
 			{machines: 3, faults: true, window: shortWindow, unfenced: true},
 		} {
-			if broken := simulate(t, seed, p); len(broken) > 0 {
-				t.Errorf("seed %d, %+v: %s", seed, p, strings.Join(broken, "; "))
+			if violations := simulate(t, seed, p); len(violations) > 0 {
+				t.Errorf("seed %d, %+v: %s", seed, p, strings.Join(violations, "; "))
 			}
 		}
 	}
 }
 
-// holder returns the machine that believes to hold the duties, nil for none.
+// holder returns the machine whose entry holds the duties by its own lease, nil for none.
 func (r *run) holder() *machine {
 	for _, m := range r.machines {
 		if m.stop == nil {
@@ -283,8 +283,8 @@
 	return nil
 }
 
-// passAround lets each holder resign soon after it has won, and start again soon after that.
-func passAround(r *run, step int) {
+// rotateHolder makes each holder resign soon after it became holder, and restarts it soon after.
+func rotateHolder(r *run, step int) {
 	if step%12 == 0 {
 		if m := r.holder(); m != nil {
 			m.member.duties.Resign()
@@ -300,62 +300,62 @@
 	}
 }
 
-// isolateHolder cuts the holder off from the store and from the other entries while the
-// platform is down, so that it has reports to send when another entry has some, too.
+// isolateHolder disconnects the holder from the store and from the other entries while the platform
+// is unavailable, so that it has reports to send at the same time as another entry.
 func isolateHolder(r *run, step int) {
 	if step == 150 || step == 330 {
 		r.platform.mu.Lock()
-		r.platform.down = step == 150
+		r.platform.unavailable = step == 150
 		r.platform.mu.Unlock()
 	}
 	if m := r.holder(); step == 200 && m != nil {
 		r.store.mu.Lock()
-		m.cut = true
+		m.disconnected = true
 		r.store.mu.Unlock()
-		m.member.setDeaf(true)
+		m.member.setIsolated(true)
 	}
 }
 
-// hideOne lets one entry hear nobody.
-func hideOne(r *run, step int) {
+// isolateOne disconnects one entry from the other entries.
+func isolateOne(r *run, step int) {
 	if step == 200 {
-		r.machines[0].member.setDeaf(true)
+		r.machines[0].member.setIsolated(true)
 	}
 }
 
-// TestPlantedFaultsAreCaught lets each invariant be broken by a fault that it is there for,
-// and plays the same without it.
-func TestPlantedFaultsAreCaught(t *testing.T) {
+// TestInvariantsDetectFaults checks that deliberate faults violate the invariants that guard against
+// them, and that the same plans without the faults do not.
+func TestInvariantsDetectFaults(t *testing.T) {
 	for _, c := range []struct {
 		name, invariant string
 		plan            plan
-		plant           func(*plan)
+		addFault        func(*plan)
 	}{
-		{"a store that ignores conditions", "same counts", plan{script: hideOne, unfenced: true},
+		{"store ignores conditions", "consistent counts", plan{script: isolateOne, unfenced: true},
 			func(p *plan) { p.ignoreConditions = true }},
-		{"no handover", "alternation", plan{script: passAround},
+		{"no handover", "alternation", plan{script: rotateHolder},
 			func(p *plan) { p.terms = func(t duty.Terms) duty.Terms { t.Handover = 0; return t } }},
-		{"a lease that its holder believes for too long", "alternation", plan{script: isolateHolder, unfenced: true},
+		{"holder counts its lease for too long", "alternation", plan{script: isolateHolder, unfenced: true},
 			func(p *plan) { p.terms = func(t duty.Terms) duty.Terms { t.Margin = -10 * time.Second; return t } }},
 	} {
 		c.plan.machines = 3
 		c.plan.window = shortWindow
-		c.plan.faults = true // what is late is no breach
-		planted := c.plan
-		c.plant(&planted)
-		caught := false
-		for seed := range uint64(seeds / 4) {
+		c.plan.faults = true // late reports are no violations
+		faulty := c.plan
+		c.addFault(&faulty)
+		detected := false
+		for seed := range uint64(seedsPerPlan / 4) {
 			for _, b := range simulate(t, seed, c.plan) {
 				if strings.HasPrefix(b, c.invariant) {
-					t.Errorf("%s, not planted, seed %d: %s", c.name, seed, b)
+					t.Errorf("%s, without the fault, seed %d: %s", c.name, seed, b)
 				}
 			}
-			for _, b := range simulate(t, seed, planted) {
-				caught = caught || strings.HasPrefix(b, c.invariant)
+			for _, b := range simulate(t, seed, faulty) {
+				detected = detected || strings.HasPrefix(b, c.invariant)
 			}
 		}
-		if !caught {
-			t.Errorf("%s: %q did not catch it", c.name, c.invariant)
+		if !detected {
+			t.Errorf("%s: invariant %q did not detect it", c.name, c.invariant)
 		}
 	}
 }
--- a/internal/direct/duties/suspension_test.go
+++ b/internal/direct/duties/suspension_test.go
@@ -8,49 +8,50 @@
 	"foxcross.dev/foxcross/internal/testing/suspension"
 )
 
-// TestSuspendedHolderSendsNothing suspends the machine of the holder for far longer than its
-// lease. Go's steady clock does not count that time, so that the lease seemed to be held on
-// waking, and the holder sent with a fence that another entry may have replaced long ago.
-func TestSuspendedHolderSendsNothing(t *testing.T) { suspendHolder(t, suspension.Suspend) }
+// TestSuspendedHolderSendsNothing suspends the machine of the holder for much longer than its lease.
+// Go's monotonic clock does not count that time, so the lease seems held on resuming, and the holder
+// would send with a fence that another entry may have replaced.
+func TestSuspendedHolderSendsNothing(t *testing.T) { testSuspendedHolder(t, suspension.Suspend) }
 
-// TestWakingHolderSendsNothing holds the same within the millisecond after it has woken, in which a
-// comparison of the clocks from before still holds for readings that are not exact.
-func TestWakingHolderSendsNothing(t *testing.T) { suspendHolder(t, suspension.Waken) }
+// TestResumedHolderSendsNothing checks the same within the millisecond after resuming, in which
+// readings that are not exact still rely on a comparison of the clocks from before the suspension.
+func TestResumedHolderSendsNothing(t *testing.T) { testSuspendedHolder(t, suspension.Waken) }
 
-// suspendHolder suspends the machine of a holder that has reports to send.
-func suspendHolder(t *testing.T, suspend func(time.Duration) (undo func())) {
+// testSuspendedHolder suspends the machine of a holder that has reports to send, and checks that it
+// sends none on resuming.
+func testSuspendedHolder(t *testing.T, suspend func(time.Duration) (undo func())) {
 	t.Helper()
-	const down, suspended, looked = 180, 200, 220 // steps of 50 ms; a lease lasts 1.5 s
-	var woke time.Time
+	const outageStep, suspendStep, checkStep = 180, 200, 220 // steps of 50 ms; a lease lasts 1.5 s
+	var resumedAt time.Time
 	script := func(r *run, step int) {
 		m := r.machines[0]
 		switch step {
-		case down: // reports that are written and not sent wait
+		case outageStep: // leaves reports that are written and not sent
 			r.platform.mu.Lock()
-			r.platform.down = true
+			r.platform.unavailable = true
 			r.platform.mu.Unlock()
-		case suspended:
+		case suspendStep:
 			if l, _ := m.member.duties.lease(); !l.MayAct(steady.Now()) {
 				t.Error("there is no holder to suspend")
 			}
 			r.store.mu.Lock()
-			m.cut = true // it can't look at its lease, which was over for long
+			m.disconnected = true // prevents a check of the lease, which expired long ago
 			r.store.mu.Unlock()
 			r.platform.mu.Lock()
-			r.platform.down = false
+			r.platform.unavailable = false
 			r.platform.mu.Unlock()
 			t.Cleanup(suspend(10 * time.Second))
-			woke = time.Now()
-		case looked:
+			resumedAt = time.Now()
+		case checkStep:
 			r.platform.mu.Lock()
 			for _, x := range r.platform.reports {
-				if x.sentAt.After(woke) {
-					t.Errorf("%s sent with fence %d, %v after it woke", x.machine, x.fence, x.sentAt.Sub(woke))
+				if x.sentAt.After(resumedAt) {
+					t.Errorf("%s sent with fence %d, %v after resuming", x.machine, x.fence, x.sentAt.Sub(resumedAt))
 				}
 			}
 			r.platform.mu.Unlock()
 			r.store.mu.Lock()
-			m.cut = false
+			m.disconnected = false
 			r.store.mu.Unlock()
 		}
 	}
