--- a/coord/affinity/affinity.go
+++ b/coord/affinity/affinity.go
@@ -1,5 +1,5 @@
-// Package affinity remembers which endpoint last saw the beginning of a
-// prompt, so that a prompt with the same beginning can use its cache.
+// Package affinity records which endpoint last received each prompt prefix, so that a prompt with
+// the same prefix can use that endpoint's cache.
 package affinity
 
 import (
@@ -13,22 +13,22 @@
 const (
 	// blockBytes is the size of a block, about 256 tokens.
 	blockBytes = 1024
-	// maxBlocks bounds the blocks of a prompt that are hashed.
+	// maxBlocks is the most blocks of a prompt that are hashed.
 	maxBlocks = 32
-	// defaultBound is how many hashes a zero Table keeps.
+	// defaultBound is the most hashes in a Table without a Bound.
 	defaultBound = 8192
 )
 
-// Chain returns the chain hash of the prompt's whole blocks: each value stands
-// for all blocks up to its own.
+// Chain returns the chain hashes of the prompt's complete blocks. Each hash covers all blocks up to
+// and including its own.
 func Chain(prompt []byte) []uint64 {
 	count := min(len(prompt)/blockBytes, maxBlocks)
 	chain := make([]uint64, 0, count)
 	var previous [8]byte
 	for b := range count {
 		d := xxhash.New()
-		_, _ = d.Write(previous[:])                             // xxhash never fails
-		_, _ = d.Write(prompt[b*blockBytes : (b+1)*blockBytes]) // the same
+		_, _ = d.Write(previous[:])                             // xxhash returns no errors
+		_, _ = d.Write(prompt[b*blockBytes : (b+1)*blockBytes]) // as above
 		sum := d.Sum64()
 		binary.LittleEndian.PutUint64(previous[:], sum)
 		chain = append(chain, sum)
@@ -36,10 +36,10 @@
 	return chain
 }
 
-// Table maps hashes to holders and forgets the least recently used. The zero
+// Table maps hashes to holders and evicts the least recently used hashes. The zero
 // value holds up to defaultBound hashes.
 type Table struct {
-	Bound int
+	Bound int // most hashes, defaultBound if 0 or less
 
 	entries map[uint64]*list.Element
 	order   list.List
@@ -50,23 +50,23 @@
 	holder string
 }
 
-// Put notes that the holder has seen the chain.
+// Put records that the holder has received the prompt of the chain.
 func (t *Table) Put(chain []uint64, holder string) {
 	if t.entries == nil {
 		t.entries = map[uint64]*list.Element{}
 	}
-	for _, h := range slices.Backward(chain) { // the first block is forgotten last
+	for _, h := range slices.Backward(chain) { // so that the first block is evicted last
 		if e, ok := t.entries[h]; ok {
 			e.Value.(*entry).holder = holder
 			t.order.MoveToFront(e)
 			continue
 		}
 		t.entries[h] = t.order.PushFront(&entry{hash: h, holder: holder})
-		t.trim()
+		t.evict()
 	}
 }
 
-func (t *Table) trim() {
+func (t *Table) evict() {
 	bound := t.Bound
 	if bound <= 0 {
 		bound = defaultBound
@@ -74,29 +74,29 @@
 	if t.order.Len() <= bound {
 		return
 	}
-	last := t.order.Back()
-	delete(t.entries, last.Value.(*entry).hash)
-	t.order.Remove(last)
+	oldest := t.order.Back()
+	delete(t.entries, oldest.Value.(*entry).hash)
+	t.order.Remove(oldest)
 }
 
-// Longest returns, per holder, how many leading blocks of the chain it has seen.
+// Longest returns, for each holder, how many leading blocks of the chain it has received.
 func (t *Table) Longest(chain []uint64) map[string]int {
 	if len(t.entries) == 0 {
 		return nil
 	}
-	var seen map[string]int
+	var longest map[string]int
 	for n, h := range chain {
 		e, ok := t.entries[h]
 		if !ok {
-			return seen
+			return longest
 		}
-		if seen == nil {
-			seen = map[string]int{}
+		if longest == nil {
+			longest = map[string]int{}
 		}
-		seen[e.Value.(*entry).holder] = n + 1
+		longest[e.Value.(*entry).holder] = n + 1
 	}
-	return seen
+	return longest
 }
 
-// BlockTokens is about how many tokens one block stands for.
+// BlockTokens is the approximate number of tokens of a block.
 const BlockTokens = blockBytes / 4
--- a/coord/affinity/affinity_test.go
+++ b/coord/affinity/affinity_test.go
@@ -11,7 +11,7 @@
 )
 
 var _ = Describe("Table", func() {
-	It("finds the longest beginning that was seen", func() {
+	It("finds the longest known prefix", func() {
 		prompt := bytes.Repeat([]byte("abcdefgh"), 1024)
 		other := append(bytes.Clone(prompt[:4096]), bytes.Repeat([]byte("x"), 4096)...)
 		var t affinity.Table
@@ -19,7 +19,7 @@
 		Expect(t.Longest(affinity.Chain(other))).To(Equal(map[string]int{"a": 4}))
 	})
 
-	It("stays within its bound", func() {
+	It("evicts hashes beyond its bound", func() {
 		t := affinity.Table{Bound: 4}
 		t.Put([]uint64{1, 2, 3, 4, 5}, "a")
 		Expect(t.Longest([]uint64{5})).To(BeEmpty())
--- a/coord/heaps/heaps.go
+++ b/coord/heaps/heaps.go
@@ -1,19 +1,18 @@
-// Package heaps holds a heap whose items know their place, so that any of them
+// Package heaps implements a heap whose items track their index, so that any item
 // can be moved or removed in logarithmic time.
 package heaps
 
 import "container/heap"
 
-// Item is something in a heap.
+// Item is an item of a heap.
 type Item[T any] interface {
-	// Before tells whether the item comes out before another.
+	// Before reports whether the item is ordered before other.
 	Before(other T) bool
-	// Moved notes the item's place, -1 when it has left.
-	Moved(place int)
+	// Moved is called with the item's new index, -1 when it has been removed.
+	Moved(index int)
 }
 
-// Heap is a heap of items; the first comes out before all others. The zero
-// value is empty.
+// Heap is a min-heap of items by Before. The zero value is empty.
 type Heap[T Item[T]] struct {
 	items items[T]
 }
@@ -21,19 +20,19 @@
 // Len returns the number of items.
 func (h *Heap[T]) Len() int { return len(h.items) }
 
-// First returns the first item; the heap must not be empty.
+// First returns the first item. The heap must not be empty.
 func (h *Heap[T]) First() T { return h.items[0] }
 
 // Push adds an item.
 func (h *Heap[T]) Push(i T) { heap.Push(&h.items, i) }
 
-// Fix moves the item at a place whose order has changed.
-func (h *Heap[T]) Fix(place int) { heap.Fix(&h.items, place) }
+// Fix restores the order of the heap after the item at index has changed.
+func (h *Heap[T]) Fix(index int) { heap.Fix(&h.items, index) }
 
-// Remove takes out the item at a place.
-func (h *Heap[T]) Remove(place int) T { return heap.Remove(&h.items, place).(T) }
+// Remove removes and returns the item at index.
+func (h *Heap[T]) Remove(index int) T { return heap.Remove(&h.items, index).(T) }
 
-// items is what container/heap works on.
+// items implements heap.Interface.
 type items[T Item[T]] []T
 
 func (s items[T]) Len() int           { return len(s) }
@@ -44,19 +43,19 @@
 	s[b].Moved(b)
 }
 
-// Push is for container/heap.
+// Push implements heap.Interface.
 func (s *items[T]) Push(x any) {
 	i := x.(T)
 	i.Moved(len(*s))
 	*s = append(*s, i)
 }
 
-// Pop is for container/heap.
+// Pop implements heap.Interface.
 func (s *items[T]) Pop() any {
 	last := len(*s) - 1
 	i := (*s)[last]
-	var none T
-	(*s)[last] = none
+	var zero T
+	(*s)[last] = zero
 	*s = (*s)[:last]
 	i.Moved(-1)
 	return i
--- a/coord/heaps/heaps_test.go
+++ b/coord/heaps/heaps_test.go
@@ -6,15 +6,15 @@
 	"foxcross.dev/coord/heaps"
 )
 
-// job is an item by its time.
+// job is an item that is ordered by its time.
 type job struct {
 	name  string
 	at    int
-	place int
+	index int
 }
 
 func (j *job) Before(o *job) bool { return j.at < o.at }
-func (j *job) Moved(place int)    { j.place = place }
+func (j *job) Moved(index int)    { j.index = index }
 
 func ExampleHeap() {
 	var h heaps.Heap[*job]
@@ -23,10 +23,10 @@
 	h.Push(early)
 	fmt.Println(h.First().name)
 	late.at = 0
-	h.Fix(late.place)
+	h.Fix(late.index)
 	fmt.Println(h.First().name)
-	h.Remove(late.place)
-	fmt.Println(h.First().name, h.Len(), late.place)
+	h.Remove(late.index)
+	fmt.Println(h.First().name, h.Len(), late.index)
 	// Output:
 	// early
 	// late
--- a/coord/memory/cache.go
+++ b/coord/memory/cache.go
@@ -6,71 +6,71 @@
 )
 
 const (
-	// defaultMemory bounds a cache, in tokens, if the engine's memory is unknown.
-	defaultMemory = 200_000
-	// minCacheShare is the part of an engine's memory that is always taken to be left for
-	// cached prefixes, as one part in so many.
-	minCacheShare = 8
-	// maxParts bounds the parts that are remembered of one endpoint.
-	maxParts = 4096
+	// defaultCacheTokens is the size of a cache, in tokens, if the engine's memory is unknown.
+	defaultCacheTokens = 200_000
+	// minCacheDivisor divides an engine's memory to give the least size of its cache: running
+	// requests never reduce the cache below that.
+	minCacheDivisor = 8
+	// maxCachedParts is the most parts in the cache of one endpoint.
+	maxCachedParts = 4096
 )
 
-// Cache is what an engine is believed to cache: the parts used last, within
-// the memory that its running requests leave. The zero value is empty.
+// Cache is an estimate of the prompt parts that an engine caches: the most recently used ones
+// within the memory that its running requests leave free. The zero value is empty.
 type Cache struct {
-	order  list.List // of *cached, the most recent first
+	order  list.List // of *cachedPart, most recently used first
 	byID   map[uint64]*list.Element
 	tokens int
 }
 
-// cached is a part in a cache.
-type cached struct {
+// cachedPart is a part in a cache.
+type cachedPart struct {
 	Part
-	pending bool // the prompt that brings it has had no first event
+	pending bool // the prompt that adds it has had no event yet
 }
 
-// Tokens returns the tokens of all parts that are believed to be cached.
+// Tokens returns the number of tokens of all cached parts.
 func (c *Cache) Tokens() int { return c.tokens }
 
-// Uncached returns how many tokens of the prompt have to be computed: all but
-// those of its first parts up to the first that is missing.
+// Uncached returns how many tokens of the prompt have to be computed: all except
+// those of the parts before the first missing part.
 func (c *Cache) Uncached(p Prompt) int {
-	cached := 0
+	cachedPart := 0
 	for _, part := range p.Parts {
 		if !c.Has(part.ID) {
 			break
 		}
-		cached += part.Tokens
+		cachedPart += part.Tokens
 	}
-	return p.Tokens - min(cached, p.Tokens)
+	return p.Tokens - min(cachedPart, p.Tokens)
 }
 
-// UncachedShared is Uncached for the prompt's shared parts alone.
+// UncachedShared returns how many tokens of the prompt's shared parts have to be computed.
 func (c *Cache) UncachedShared(p Prompt) int {
 	tokens := 0
-	cached := true
+	cachedPart := true
 	for _, part := range p.Shared() {
-		cached = cached && c.Has(part.ID)
-		if !cached {
+		cachedPart = cachedPart && c.Has(part.ID)
+		if !cachedPart {
 			tokens += part.Tokens
 		}
 	}
 	return tokens
 }
 
-// Has tells whether a part is cached.
+// Has reports whether a part is cached.
 func (c *Cache) Has(id uint64) bool {
 	_, ok := c.byID[id]
 	return ok
 }
 
-// Fetchable returns how many first tokens of the prompt other engines can fetch: those of
-// its first parts up to the first that is missing or still being computed.
+// Fetchable returns the length of the prompt's prefix, in tokens, that other engines can fetch: the
+// parts before the first part that is missing or still being computed.
 func (c *Cache) Fetchable(p Prompt) int {
 	tokens := 0
 	for _, part := range p.Parts {
 		e, ok := c.byID[part.ID]
-		if !ok || e.Value.(*cached).pending {
+		if !ok || e.Value.(*cachedPart).pending {
 			break
 		}
 		tokens += part.Tokens
@@ -79,75 +79,75 @@
 }
 
 // Use records that a prompt was sent to the engine, and evicts the least recently used
-// parts beyond the memory, in tokens. It returns the parts that the prompt brings: they
-// are pending until Settle or Forget is told what became of it.
-func (c *Cache) Use(p Prompt, memory int) (brought []uint64) {
+// parts beyond the memory, in tokens. It returns the ids of the parts that the prompt adds. They
+// are pending until a call of Settle or Forget.
+func (c *Cache) Use(p Prompt, memory int) (added []uint64) {
 	if c.byID == nil {
 		c.byID = map[uint64]*list.Element{}
 	}
-	for n := len(p.Parts) - 1; n >= 0; n-- { // the first part becomes the most recent
+	for n := len(p.Parts) - 1; n >= 0; n-- { // so that the first part becomes the most recently used
 		part := p.Parts[n]
 		if e, ok := c.byID[part.ID]; ok {
 			c.order.MoveToFront(e)
 			continue
 		}
-		c.byID[part.ID] = c.order.PushFront(&cached{Part: part, pending: true})
+		c.byID[part.ID] = c.order.PushFront(&cachedPart{Part: part, pending: true})
 		c.tokens += part.Tokens
-		brought = append(brought, part.ID)
+		added = append(added, part.ID)
 	}
-	for c.order.Len() > 0 && (c.tokens > memory || c.order.Len() > maxParts) {
+	for c.order.Len() > 0 && (c.tokens > memory || c.order.Len() > maxCachedParts) {
 		c.remove(c.order.Back())
 	}
-	return brought
+	return added
 }
 
-// Settled returns the parts that are there, the most recently used first.
+// Settled returns the parts that are not pending, most recently used first.
 func (c *Cache) Settled() iter.Seq[Part] {
 	return func(yield func(Part) bool) {
 		for e := c.order.Front(); e != nil; e = e.Next() {
-			if x := e.Value.(*cached); !x.pending && !yield(x.Part) {
+			if x := e.Value.(*cachedPart); !x.pending && !yield(x.Part) {
 				return
 			}
 		}
 	}
 }
 
-// Add records that a part is there as the most recently used one, within the memory, in
-// tokens.
+// Add adds a part that is not pending as the most recently used one, and evicts parts beyond the
+// memory, in tokens.
 func (c *Cache) Add(p Part, memory int) {
 	c.Settle(c.Use(Prompt{Parts: []Part{p}}, memory))
 }
 
 func (c *Cache) remove(e *list.Element) {
-	part := e.Value.(*cached)
+	part := e.Value.(*cachedPart)
 	c.order.Remove(e)
 	delete(c.byID, part.ID)
 	c.tokens -= part.Tokens
 }
 
-// Settle records that parts are there: the prompt that brought them has had an event.
-func (c *Cache) Settle(brought []uint64) {
-	for _, id := range brought {
+// Settle marks parts as cached: the prompt that added them has had an event.
+func (c *Cache) Settle(added []uint64) {
+	for _, id := range added {
 		if e, ok := c.byID[id]; ok {
-			e.Value.(*cached).pending = false
+			e.Value.(*cachedPart).pending = false
 		}
 	}
 }
 
-// Forget records that the prompt that was to bring parts ended before they were there.
-func (c *Cache) Forget(brought []uint64) {
-	for _, id := range brought {
-		if e, ok := c.byID[id]; ok && e.Value.(*cached).pending {
+// Forget removes pending parts: the prompt that added them ended without an event.
+func (c *Cache) Forget(added []uint64) {
+	for _, id := range added {
+		if e, ok := c.byID[id]; ok && e.Value.(*cachedPart).pending {
 			c.remove(e)
 		}
 	}
 }
 
-// Room returns the tokens that cached parts may take beside those of the open
-// attempts. A memory of 0 is unknown.
+// Room returns the size of a cache, in tokens, beside the tokens of the open attempts. A
+// memory of 0 means unknown.
 func Room(memory, open int) int {
 	if memory <= 0 {
-		return defaultMemory
+		return defaultCacheTokens
 	}
-	return max(memory-open, memory/minCacheShare)
+	return max(memory-open, memory/minCacheDivisor)
 }
--- a/coord/memory/doc.go
+++ b/coord/memory/doc.go
@@ -1,11 +1,11 @@
-// Package memory keeps what engines hold of prompts, and decides how a prompt's parts
-// come to an engine that lacks them.
+// Package memory estimates which parts of prompts engines cache, and decides whether an engine
+// fetches missing parts from another engine or computes them.
 //
-//   - prompt.go: a prompt as its parts, which requests may share;
-//   - cache.go: which parts an engine is believed to keep;
-//   - move.go: how long it takes to move them, beside other moves;
-//   - fetch.go: whether an engine fetches what it lacks, and from where;
-//   - trust.go: how often a source had let go of what it was believed to keep.
+//   - prompt.go: prompts and their parts, which requests may share;
+//   - cache.go: the parts that an engine is estimated to cache;
+//   - move.go: the duration of transfers between engines, with other transfers in progress;
+//   - fetch.go: whether an engine fetches missing parts, and from which engine;
+//   - trust.go: how often a source had evicted the parts that it was estimated to cache.
 //
 // Nothing here does I/O, starts a goroutine or reads a clock.
 package memory
--- a/coord/memory/example_test.go
+++ b/coord/memory/example_test.go
@@ -12,7 +12,7 @@
 	// Output: 300 40
 }
 
-// Of two engines that keep the prompt, the one whose link is free is fetched from.
+// If two engines cache the prompt, the source is the one whose link is free.
 func ExampleBest() {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	rate := memory.Rate{TokenBytes: 163_840, LinkMbps: 260_000}
--- a/coord/memory/fetch.go
+++ b/coord/memory/fetch.go
@@ -1,27 +1,27 @@
-// Whether an engine fetches the parts of a prompt that it lacks, and from where.
+// The choice whether an engine fetches the missing parts of a prompt, and from which engine.
 //
-// Rule: of the engines of the service that keep more of the prompt, the one from which
-// the missing tokens are there the soonest is the source, if that gains minFetch tokens
-// and is sooner than computing them. The chance that a source has let go of them counts:
-// they are computed then, after the try.
-// Inputs: what each engine is believed to keep, the moves under way at both ends, the
-// time that a token takes to compute, what earlier fetches from the source brought.
+// Rule: among the engines of the service that cache more of the prompt, the source is the one whose
+// fetch saves the most time over computing the tokens, if it saves any and brings at least
+// minFetchTokens. The saving allows for the probability that the source has evicted the tokens: they
+// are computed then, after the failed fetch.
+// Inputs: the estimated cache of each engine, the transfers in progress at both ends, the
+// time to compute a token, the results of earlier fetches from the source.
 // Units: tokens, milliseconds.
-// Never: the caller leaves out sources that are leaving, failing, silent or slow.
+// Never: a source is leaving, failing, silent or slow; the caller leaves those out.
 
 package memory
 
 import "time"
 
-// minFetch is the fewest tokens that are worth a fetch. 64 tokens take 1 to 1.5 ms to compute
-// at the engines known so far, less than a move's set-up.
-const minFetch = 64
+// minFetchTokens is the fewest tokens that are fetched. 64 tokens take 1 to 1.5 ms to compute at
+// known engines, less than the set-up of a transfer.
+const minFetchTokens = 64
 
 // Source is an engine from which parts of a prompt may be fetched.
 type Source struct {
 	ID         string
 	Address    string
-	Kept       int // first tokens of the prompt that it is believed to keep
+	Kept       int // length of the cached prefix of the prompt, in tokens, as estimated
 	DataCentre string
 	Link       *Link
 	Trust      *Trust
@@ -31,39 +31,39 @@
 type Target struct {
 	ID         string
 	DataCentre string
-	Kept       int // first tokens of the prompt that it is believed to keep
+	Kept       int // length of the cached prefix of the prompt, in tokens, as estimated
 	Link       *Link
-	ComputeMS  float64 // that a token of a prompt takes there
+	ComputeMS  float64 // time to compute a prompt token
 }
 
-// Fetch is what an engine fetches for a prompt before it computes the rest. The zero
+// Fetch describes what an engine fetches for a prompt before it computes the rest. The zero
 // value fetches nothing.
 type Fetch struct {
 	Source  string  `cbor:"1,keyasint"` // id of an engine
 	Tokens  int     `cbor:"2,keyasint"`
-	MoveMS  float64 `cbor:"3,keyasint"` // without the wait for the links
+	MoveMS  float64 `cbor:"3,keyasint"` // duration of the transfer, without the wait for the links
 	Address string  `cbor:"-"`          // of the source
 	WaitMS  float64 `cbor:"-"`          // until the links are free
-	Missing float64 `cbor:"-"`          // chance that the source has let go, 0 to 1
+	Missing float64 `cbor:"-"`          // probability that the source has evicted the tokens, 0 to 1
 }
 
-// Any tells whether something is fetched.
+// Any reports whether anything is fetched.
 func (f Fetch) Any() bool { return f.Tokens > 0 }
 
-// ExpectedMiss returns how many of the tokens are expected not to come.
+// ExpectedMiss returns the expected number of tokens that the source has evicted.
 func (f Fetch) ExpectedMiss() float64 { return f.Missing * float64(f.Tokens) }
 
-// MS returns how long the fetch is expected to take.
+// MS returns the expected duration of the fetch.
 func (f Fetch) MS() float64 { return f.WaitMS + f.MoveMS }
 
-// Best returns the fetch that brings an engine the missing tokens of a prompt the
-// soonest, the zero value if computing them is no slower.
+// Best returns the fetch that saves the most time over computing the missing tokens of a prompt,
+// the zero value if no fetch saves time.
 func Best(now time.Time, r Rate, sources []Source, to Target) Fetch {
 	best := Fetch{}
 	bestGain := 0.0
 	for _, s := range sources {
 		tokens := s.Kept - to.Kept
-		if tokens < minFetch || s.ID == to.ID {
+		if tokens < minFetchTokens || s.ID == to.ID {
 			continue
 		}
 		f := Fetch{
--- a/coord/memory/trust.go
+++ b/coord/memory/trust.go
@@ -1,40 +1,39 @@
 package memory
 
 const (
-	// trustDecay is the weight of the newest fetch in a source's share of misses.
-	trustDecay = 0.2
-	// tellingMS is how long the fetched tokens would take to compute, in ms, for a late first
-	// event to say that they were not fetched. Above what the way to an engine and back varies
-	// by.
-	tellingMS = 30.0
-	// missShare is the share of that time by which a first event must be late. Half way
-	// between a fetch and computing.
-	missShare = 0.5
+	// newestWeight is the weight of the newest fetch in the moving average of a source's misses.
+	newestWeight = 0.2
+	// minComputeMS is the least time to compute the fetched tokens, in ms, for which a late first
+	// event indicates a miss. It is longer than the variation of the round trip to an engine.
+	minComputeMS = 30.0
+	// missFraction is the fraction of that time by which a first event must be late to indicate
+	// a miss. It lies half way between a fetch and computing.
+	missFraction = 0.5
 )
 
-// Trust is how often fetches from an engine did not bring what it was believed to keep.
-// The zero value is full trust.
+// Trust is the miss rate of fetches from an engine: how often the engine had evicted the tokens
+// that it was estimated to cache. The zero value has no misses.
 type Trust struct {
-	missing float64 // decayed share
+	missRate float64 // exponentially weighted moving average
 }
 
-// Missing returns the chance that the next fetch brings nothing.
-func (t *Trust) Missing() float64 { return t.missing }
+// Missing returns the probability that the next fetch misses.
+func (t *Trust) Missing() float64 { return t.missRate }
 
-// Learn takes in by how many ms a first event came later than expected, after a fetch of
-// tokens that would have taken so many ms to compute. It tells whether the fetch missed.
+// Learn adds the result of a fetch and reports whether the fetch missed. lateMS is the delay of the
+// first event over the expected time, computeMS the time to compute the fetched tokens.
 func (t *Trust) Learn(lateMS, computeMS float64) bool {
-	if computeMS < tellingMS {
+	if computeMS < minComputeMS {
 		return false
 	}
-	missed := lateMS > missShare*computeMS
+	missed := lateMS > missFraction*computeMS
 	newest := 0.0
 	if missed {
 		newest = 1
 	}
-	t.missing += trustDecay * (newest - t.missing)
+	t.missRate += newestWeight * (newest - t.missRate)
 	return missed
 }
 
-// Restore takes over what another table has learned, if it is worse.
-func (t *Trust) Restore(missing float64) { t.missing = max(t.missing, min(missing, 1)) }
+// Restore adopts the miss rate of another table if it is higher.
+func (t *Trust) Restore(missRate float64) { t.missRate = max(t.missRate, min(missRate, 1)) }
--- a/coord/rendezvous/rendezvous.go
+++ b/coord/rendezvous/rendezvous.go
@@ -1,6 +1,5 @@
-// Package rendezvous ranks members for a key, so that all who know the same
-// members find the same order without talking (rendezvous hashing, Thaler and
-// Ravishankar, 1998).
+// Package rendezvous ranks members for a key, so that all processes with the same member list
+// compute the same order without communication (rendezvous hashing, Thaler and Ravishankar, 1998).
 package rendezvous
 
 import "github.com/cespare/xxhash/v2"
@@ -11,8 +10,7 @@
 // Rank returns the rank of a member for a key, both as hashes.
 func Rank(key, member uint64) uint64 { return mix(key ^ member) }
 
-// mix spreads the bits of a value (the finaliser of splitmix64, Steele and
-// others, OOPSLA 2014).
+// mix distributes the bits of a value (the finaliser of splitmix64, Steele et al., OOPSLA 2014).
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
--- a/coord/rendezvous/rendezvous_test.go
+++ b/coord/rendezvous/rendezvous_test.go
@@ -7,7 +7,7 @@
 	"foxcross.dev/coord/rendezvous"
 )
 
-// Losing a member moves only the keys that it came first for.
+// Removing a member reassigns only the keys for which it ranked first.
 func ExampleRank() {
 	first := func(key string, members []string) string {
 		return slices.MinFunc(members, func(a, b string) int {
--- a/coord/subset/subset.go
+++ b/coord/subset/subset.go
@@ -1,7 +1,6 @@
-// Package subset chooses which agents an entry keeps connections to, so that
-// neither side's connections grow with the fleet. Every process that sees the
-// same list comes to the same choice, and a change of the list by one agent
-// changes few choices.
+// Package subset chooses the agents to which an entry keeps connections, so that the number of
+// connections of entries and agents does not grow with the deployment. All processes with the same
+// agent list compute the same choice, and adding or removing one agent changes few choices.
 package subset
 
 import (
@@ -11,60 +10,60 @@
 	"foxcross.dev/coord/rendezvous"
 )
 
-// Default is the most agents of an entry if its settings say nothing.
+// Default is the most agents of an entry if its settings name no limit.
 const Default = 64
 
-// nearShare and parts are the share of the agents that is taken from the entry's own data
-// centre.
+// localNumerator and localDenominator give the fraction of the agents that is chosen from the
+// entry's own data centre.
 const (
-	nearShare = 3
-	parts     = 4
+	localNumerator   = 3
+	localDenominator = 4
 )
 
-// Agent is an agent of the member list.
+// Agent is an agent in the member list.
 type Agent struct {
 	Name       string
 	DataCentre string
 }
 
-// ranked is an agent and its place in an entry's order.
+// ranked is an agent and its rank for an entry.
 type ranked struct {
 	Agent
 	rank uint64
 }
 
 // Choose returns up to limit agents for an entry: three quarters from its own
-// data centre, the others spread over the other data centres. What one side
-// can't fill the other does.
+// data centre, the others spread over the other data centres. If one of the two groups has too few
+// agents, the other group fills the rest.
 func Choose(entry, dataCentre string, agents []Agent, limit int) []Agent {
 	if len(agents) <= limit {
 		return slices.Clone(agents)
 	}
-	near, far := split(entry, dataCentre, agents)
-	wantNear := min(len(near), limit*nearShare/parts)
-	wantFar := min(len(far), limit-wantNear)
-	wantNear = min(len(near), limit-wantFar)
+	local, remote := split(entry, dataCentre, agents)
+	localCount := min(len(local), limit*localNumerator/localDenominator)
+	remoteCount := min(len(remote), limit-localCount)
+	localCount = min(len(local), limit-remoteCount)
 	chosen := make([]Agent, 0, limit)
-	for _, r := range near[:wantNear] {
+	for _, r := range local[:localCount] {
 		chosen = append(chosen, r.Agent)
 	}
-	return append(chosen, spread(far, wantFar)...)
+	return append(chosen, spread(remote, remoteCount)...)
 }
 
-// split ranks the agents of the own data centre and of the others.
-func split(entry, dataCentre string, agents []Agent) (near, far []ranked) {
+// split returns the agents of the entry's own data centre and those of the others, each by rank.
+func split(entry, dataCentre string, agents []Agent) (local, remote []ranked) {
 	key := rendezvous.Hash(entry)
 	for _, a := range agents {
 		r := ranked{Agent: a, rank: rendezvous.Rank(key, rendezvous.Hash(a.Name))}
 		if a.DataCentre == dataCentre {
-			near = append(near, r)
+			local = append(local, r)
 		} else {
-			far = append(far, r)
+			remote = append(remote, r)
 		}
 	}
-	slices.SortFunc(near, byRank)
-	slices.SortFunc(far, byRank)
-	return near, far
+	slices.SortFunc(local, byRank)
+	slices.SortFunc(remote, byRank)
+	return local, remote
 }
 
 func byRank(a, b ranked) int {
@@ -78,21 +77,21 @@
 	}
 }
 
-// spread takes agents in order of rank, one from each data centre at a time.
+// spread returns count agents in order of rank, one from each data centre per round.
 func spread(agents []ranked, count int) []Agent {
-	taken := map[string]int{}
-	type turn struct {
+	rounds := map[string]int{}
+	type roundAgent struct {
 		Agent
 		round int
 	}
-	turns := make([]turn, 0, len(agents))
+	ordered := make([]roundAgent, 0, len(agents))
 	for _, r := range agents {
-		turns = append(turns, turn{r.Agent, taken[r.DataCentre]})
-		taken[r.DataCentre]++
+		ordered = append(ordered, roundAgent{r.Agent, rounds[r.DataCentre]})
+		rounds[r.DataCentre]++
 	}
-	slices.SortStableFunc(turns, func(a, b turn) int { return a.round - b.round })
+	slices.SortStableFunc(ordered, func(a, b roundAgent) int { return a.round - b.round })
 	chosen := make([]Agent, 0, count)
-	for _, t := range turns[:count] {
+	for _, t := range ordered[:count] {
 		chosen = append(chosen, t.Agent)
 	}
 	return chosen
--- a/coord/subset/subset_test.go
+++ b/coord/subset/subset_test.go
@@ -16,69 +16,69 @@
 	RunSpecs(t, "subset")
 }
 
-// The size to design for.
+// The design size of a deployment.
 const (
-	entries = 620
-	runners = 1600
-	centres = 13
-	most    = 24
+	entryCount  = 620
+	agentCount  = 1600
+	dataCentres = 13
+	limit       = 24
 )
 
-func fleet() []subset.Agent {
+func allAgents() []subset.Agent {
 	var all []subset.Agent
-	for n := range runners {
-		all = append(all, subset.Agent{Name: fmt.Sprint("runner-", n), DataCentre: fmt.Sprint("dc-", n%centres)})
+	for n := range agentCount {
+		all = append(all, subset.Agent{Name: fmt.Sprint("runner-", n), DataCentre: fmt.Sprint("dc-", n%dataCentres)})
 	}
 	return all
 }
 
 func chosenBy(n int, agents []subset.Agent) []subset.Agent {
-	return subset.Choose(fmt.Sprint("entry-", n), fmt.Sprint("dc-", n%centres), agents, most)
+	return subset.Choose(fmt.Sprint("entry-", n), fmt.Sprint("dc-", n%dataCentres), agents, limit)
 }
 
 var _ = Describe("Choose", func() {
-	It("takes all agents of a small fleet", func() {
-		Expect(subset.Choose("e", "dc-0", fleet()[:20], most)).To(HaveLen(20))
+	It("chooses all agents of a small deployment", func() {
+		Expect(subset.Choose("e", "dc-0", allAgents()[:20], limit)).To(HaveLen(20))
 	})
 
-	It("is bounded, without repeats, mostly near, and reaches other data centres", func() {
-		for n := range entries {
-			chosen := chosenBy(n, fleet())
-			near := 0
+	It("chooses distinct agents, mostly local, within the limit, and from several other data centres", func() {
+		for n := range entryCount {
+			chosen := chosenBy(n, allAgents())
+			local := 0
 			seen := map[string]bool{}
 			reached := map[string]bool{}
 			for _, a := range chosen {
 				seen[a.Name] = true
 				reached[a.DataCentre] = true
-				if a.DataCentre == fmt.Sprint("dc-", n%centres) {
-					near++
+				if a.DataCentre == fmt.Sprint("dc-", n%dataCentres) {
+					local++
 				}
 			}
-			Expect(seen).To(HaveLen(most))
-			Expect(near).To(Equal(18))
+			Expect(seen).To(HaveLen(limit))
+			Expect(local).To(Equal(18))
 			Expect(reached).To(HaveLen(7))
 		}
 	})
 
-	It("gives every agent entries, none far too many", func() {
+	It("assigns entries to every agent, and to none far more than the average", func() {
 		counts := map[string]int{}
-		for n := range entries {
-			for _, a := range chosenBy(n, fleet()) {
+		for n := range entryCount {
+			for _, a := range chosenBy(n, allAgents()) {
 				counts[a.Name]++
 			}
 		}
-		Expect(counts).To(HaveLen(runners))
+		Expect(counts).To(HaveLen(agentCount))
 		largest := 0
 		for _, c := range counts {
 			largest = max(largest, c)
 		}
-		Expect(largest).To(BeNumerically("<=", 3*entries*most/runners))
+		Expect(largest).To(BeNumerically("<=", 3*entryCount*limit/agentCount))
 	})
 
-	It("changes little when an agent goes", func() {
-		all := fleet()
+	It("changes few choices when an agent is removed", func() {
+		all := allAgents()
 		changed := 0
-		for n := range entries {
+		for n := range entryCount {
 			before := chosenBy(n, all)
 			after := chosenBy(n, slices.Delete(slices.Clone(all), 7, 8))
 			for _, a := range after {
@@ -87,16 +87,16 @@
 				}
 			}
 		}
-		Expect(changed).To(BeNumerically("<=", 4*entries*most/runners))
+		Expect(changed).To(BeNumerically("<=", 4*entryCount*limit/agentCount))
 	})
 
-	It("fills up from afar when the own data centre is lost", func() {
-		var left []subset.Agent
-		for _, a := range fleet() {
+	It("chooses remote agents if the own data centre has none", func() {
+		var remaining []subset.Agent
+		for _, a := range allAgents() {
 			if a.DataCentre != "dc-0" {
-				left = append(left, a)
+				remaining = append(remaining, a)
 			}
 		}
-		Expect(chosenBy(0, left)).To(HaveLen(most))
+		Expect(chosenBy(0, remaining)).To(HaveLen(limit))
 	})
 })
