--- a/coord/dispatch/action.go
+++ b/coord/dispatch/action.go
@@ -1,7 +1,7 @@
-// Package dispatch is the decision part of an agent: one queue per target
-// before the local endpoints, learned limits, held slots, preemption and the
-// clean stop. It does no I/O and starts no goroutine; the clock is passed in.
-// The caller serialises the calls and carries out the returned actions.
+// Package dispatch implements the decisions of an agent: one queue per target
+// for the local endpoints, learned limits, held slots, preemption and the
+// graceful shutdown. It does no I/O and starts no goroutine; the clock is passed in.
+// The caller serialises the calls and executes the returned actions.
 package dispatch
 
 import (
@@ -10,7 +10,7 @@
 	"foxcross.dev/coord/result"
 )
 
-// Action is something the caller has to do.
+// Action is an operation that the caller executes.
 type Action interface{ action() }
 
 // Reply sends a control message to the owner of an offer.
@@ -20,7 +20,7 @@
 }
 
 // Run starts work on an endpoint. The caller must call Ended exactly once for
-// it, also after a Stop.
+// the work, also after a Stop.
 type Run struct {
 	Key      queue.Key
 	Endpoint string
@@ -29,8 +29,8 @@
 	Start    message.Start
 }
 
-// Stop cancels running work on its endpoint. A Finish for the owner comes with
-// it, unless the owner is gone.
+// Stop cancels running work on its endpoint. The same actions hold a Finish for
+// the owner, unless the owner is lost.
 type Stop struct {
 	Key      queue.Key
 	Endpoint string
--- a/coord/dispatch/core.go
+++ b/coord/dispatch/core.go
@@ -9,25 +9,25 @@
 )
 
 const (
-	// DefaultHold is how long a slot waits for its start. Well above a round trip.
+	// DefaultHold is how long a slot is held for its start by default. It is well above a round trip.
 	DefaultHold = 250 * time.Millisecond
-	// idleTick is when a core without anything due wants to be called.
-	idleTick = 500 * time.Millisecond
+	// maxTickInterval is the longest time between two calls of Tick.
+	maxTickInterval = 500 * time.Millisecond
 )
 
-// Core decides for one agent. The zero value has no endpoints; add them first.
+// Core makes the decisions of one agent. The zero value has no endpoints; add them first.
 type Core struct {
-	Hold  time.Duration // how long a slot waits for its start
+	Hold  time.Duration // how long a slot is held for its start, DefaultHold if 0
 	Bound int           // most queued offers per target
 
 	pools   map[string]*pool
-	names   []string // targets in the order they were added
+	targets []string // in the order of Add
 	work    map[queue.Key]*work
 	leaving bool
-	out     []Action
+	actions []Action
 }
 
-// Add makes a local endpoint known.
+// Add adds a local endpoint.
 func (c *Core) Add(d Endpoint) {
 	if c.pools == nil {
 		c.pools = map[string]*pool{}
@@ -38,7 +38,7 @@
 		p = &pool{target: d.Target, classes: map[string]int{}}
 		p.queue = queue.Queue{Bound: c.Bound}
 		c.pools[d.Target] = p
-		c.names = append(c.names, d.Target)
+		c.targets = append(c.targets, d.Target)
 	}
 	p.endpoints = append(p.endpoints, &endpoint{
 		Endpoint: d,
@@ -47,16 +47,16 @@
 	})
 }
 
-// take returns the collected actions.
-func (c *Core) take() []Action {
-	out := c.out
-	c.out = nil
+// takeActions returns and clears the collected actions.
+func (c *Core) takeActions() []Action {
+	out := c.actions
+	c.actions = nil
 	return out
 }
 
-func (c *Core) emit(a Action) { c.out = append(c.out, a) }
+func (c *Core) emit(a Action) { c.actions = append(c.actions, a) }
 
-// Offer takes an offer into the queue or declines it.
+// Offer queues an offer or declines it.
 func (c *Core) Offer(now time.Time, owner uint64, o message.Offer) []Action {
 	key := queue.Key{Owner: owner, Request: o.Request}
 	p, ok := c.pools[o.Target]
@@ -71,7 +71,7 @@
 		c.enqueue(now, p, key, o)
 		c.fill(now, p)
 	}
-	return c.take()
+	return c.takeActions()
 }
 
 func (c *Core) enqueue(now time.Time, p *pool, key queue.Key, o message.Offer) {
@@ -90,7 +90,7 @@
 	c.emit(Reply{Owner: k.Owner, Message: message.Declined{Request: k.Request, Attempt: a, Code: code}})
 }
 
-// release gives a slot back.
+// release frees the slot of work and returns its pool.
 func (c *Core) release(w *work) *pool {
 	p := c.pools[w.item.Offer.Target]
 	class := w.item.Offer.Terms.Class
@@ -103,25 +103,25 @@
 	return p
 }
 
-// Withdraw takes an offer back, queued or held.
+// Withdraw removes an offer that is queued or holds a slot.
 func (c *Core) Withdraw(now time.Time, owner uint64, m message.Withdraw) []Action {
 	key := queue.Key{Owner: owner, Request: m.Request}
 	if w := c.work[key]; w != nil {
 		if w.state == held && w.item.Offer.Attempt == m.Attempt {
 			c.fill(now, c.release(w))
 		}
-		return c.take()
+		return c.takeActions()
 	}
-	for _, n := range c.names {
+	for _, n := range c.targets {
 		p := c.pools[n]
 		if i := p.queue.Get(key); i != nil && i.Offer.Attempt == m.Attempt {
 			p.queue.Remove(key)
 		}
 	}
-	return c.take()
+	return c.takeActions()
 }
 
-// Progress notes tokens of running work, or bytes of a service with tokens 0.
+// Progress records new tokens of running work. For the bytes of a service, tokens is 0.
 func (c *Core) Progress(now time.Time, k queue.Key, tokens int) {
 	w := c.work[k]
 	if w == nil || w.state != running {
@@ -129,53 +129,53 @@
 	}
 	p := c.pools[w.item.Offer.Target]
 	if w.tokens == 0 && tokens > 0 {
-		p.first.add(now.Sub(w.started))
+		p.firstToken.add(now.Sub(w.started))
 	} else if tokens > 0 {
-		gap := now.Sub(w.last) / time.Duration(tokens)
-		p.between.add(gap)
+		gap := now.Sub(w.lastToken) / time.Duration(tokens)
+		p.betweenTokens.add(gap)
 		w.endpoint.learned.Observe(w.endpoint.active, gap)
 	}
 	w.tokens += tokens
-	w.last = now
+	w.lastToken = now
 }
 
-// Ended notes that an endpoint has finished or given up work. The end goes to
-// the owner unless it was told of the end before.
+// Ended records that an endpoint has finished or abandoned work. The end is sent to
+// the owner unless an end was sent before.
 func (c *Core) Ended(now time.Time, k queue.Key, end message.End) []Action {
 	w := c.work[k]
 	if w == nil {
-		return c.take()
+		return c.takeActions()
 	}
 	p := c.release(w)
 	if w.state != stopping {
-		c.judge(now, p, w, end)
+		c.recordOutcome(now, p, w, end)
 		end.Request = k.Request
 		end.Attempt = w.item.Offer.Attempt
 		c.emit(Finish{Key: k, End: end})
 	}
 	c.fill(now, p)
-	return c.take()
+	return c.takeActions()
 }
 
-// judge learns from an end that the endpoint itself brought about.
-func (c *Core) judge(now time.Time, p *pool, w *work, end message.End) {
+// recordOutcome updates the endpoint's statistics by an end that the endpoint itself caused.
+func (c *Core) recordOutcome(now time.Time, p *pool, w *work, end message.End) {
 	if end.Code != result.OK {
-		p.blame(now, w.endpoint)
+		p.recordFailure(now, w.endpoint)
 		return
 	}
 	w.endpoint.circuit.Succeeded(now)
-	p.span.add(now.Sub(w.started))
+	p.duration.add(now.Sub(w.started))
 	if w.item.Offer.Terms.BetweenTokens == 0 {
 		w.endpoint.learned.Observe(w.endpoint.active+1, now.Sub(w.started))
 	}
 }
 
-// Cancel stops an attempt because its owner asks for it.
+// Cancel stops an attempt at the request of its owner.
 func (c *Core) Cancel(now time.Time, owner uint64, m message.Cancel) []Action {
 	key := queue.Key{Owner: owner, Request: m.Request}
 	w := c.work[key]
 	if w == nil || w.item.Offer.Attempt != m.Attempt {
-		return c.take()
+		return c.takeActions()
 	}
 	switch w.state {
 	case held:
@@ -184,15 +184,15 @@
 		c.stop(w, result.Cancelled)
 	case stopping:
 	}
-	return c.take()
+	return c.takeActions()
 }
 
-// Leaving tells whether the agent takes no new work.
+// Leaving reports whether the agent accepts no new work.
 func (c *Core) Leaving() bool { return c.leaving }
 
-// Idle tells whether nothing is queued, held or running.
+// Idle reports whether no work is queued, held or running.
 func (c *Core) Idle() bool {
-	for _, n := range c.names {
+	for _, n := range c.targets {
 		if c.pools[n].queue.Len() > 0 {
 			return false
 		}
@@ -200,44 +200,44 @@
 	return len(c.work) == 0
 }
 
-// Tick gives back slots whose start did not come, ends stalled work and looks
-// at the queues again.
+// Tick releases slots whose start did not arrive in time, stops stalled work and
+// processes the queues.
 func (c *Core) Tick(now time.Time) []Action {
-	for _, w := range c.pick(func(w *work) bool { return w.state == held && !w.until.After(now) }) {
+	for _, w := range c.filter(func(w *work) bool { return w.state == held && !w.heldUntil.After(now) }) {
 		c.release(w)
 		c.decline(w.item.Key, w.item.Offer.Attempt, result.SlotGone)
 	}
-	for _, w := range c.pick(func(w *work) bool { return w.state == running && w.stalled(now) }) {
+	for _, w := range c.filter(func(w *work) bool { return w.state == running && w.stalled(now) }) {
 		c.stop(w, result.Stalled)
-		c.pools[w.item.Offer.Target].blame(now, w.endpoint)
+		c.pools[w.item.Offer.Target].recordFailure(now, w.endpoint)
 	}
 	c.fillAll(now)
-	return c.take()
+	return c.takeActions()
 }
 
 func (w *work) stalled(now time.Time) bool {
-	bound := w.item.Offer.Terms.StallAfter
-	return bound > 0 && now.Sub(w.last) >= bound
+	maxGap := w.item.Offer.Terms.StallAfter
+	return maxGap > 0 && now.Sub(w.lastToken) >= maxGap
 }
 
-// Next returns when Tick has something to do at the latest.
+// Next returns the latest time for the next call of Tick.
 func (c *Core) Next(now time.Time) time.Time {
-	next := now.Add(idleTick)
+	next := now.Add(maxTickInterval)
 	for _, w := range c.work {
-		if w.state == held && w.until.Before(next) {
-			next = w.until
+		if w.state == held && w.heldUntil.Before(next) {
+			next = w.heldUntil
 		}
 	}
-	for _, n := range c.names {
-		next = c.pools[n].nextLook(now, next)
+	for _, n := range c.targets {
+		next = c.pools[n].nextUrgent(now, next)
 	}
 	return next
 }
 
-// Loads describes every target to entries.
+// Loads returns the load of every target, as reported to entries.
 func (c *Core) Loads(now time.Time) []message.Load {
-	loads := make([]message.Load, 0, len(c.names))
-	for _, n := range c.names {
+	loads := make([]message.Load, 0, len(c.targets))
+	for _, n := range c.targets {
 		loads = append(loads, c.pools[n].load(now))
 	}
 	return loads
--- a/coord/dispatch/dispatch_test.go
+++ b/coord/dispatch/dispatch_test.go
@@ -19,9 +19,9 @@
 	owner  = 7
 )
 
-func newCore(most int) *dispatch.Core {
+func newCore(maxWork int) *dispatch.Core {
 	c := &dispatch.Core{}
-	c.Add(dispatch.Endpoint{Name: "e", Target: target, Most: most})
+	c.Add(dispatch.Endpoint{Name: "e", Target: target, Most: maxWork})
 	return c
 }
 
@@ -50,7 +50,8 @@
 	return all
 }
 
-func of[T dispatch.Action](actions []dispatch.Action) []T {
+// actionsOf returns the actions of one type.
+func actionsOf[T dispatch.Action](actions []dispatch.Action) []T {
 	var all []T
 	for _, a := range actions {
 		if t, ok := a.(T); ok {
@@ -64,31 +65,31 @@
 	return c.Start(now, owner, message.Start{Request: id, Attempt: 1})
 }
 
-func ok() message.End { return message.End{Code: result.OK, Run: result.Ran} }
+func okEnd() message.End { return message.End{Code: result.OK, Run: result.Ran} }
 
 var _ = Describe("Core", func() {
 	It("holds a slot for an offer and runs its start once", func() {
 		c := newCore(1)
 		Expect(replies[message.Ready](c.Offer(now, owner, offer(1, terms(0))))).To(HaveLen(1))
-		Expect(of[dispatch.Run](start(c, 1))).To(HaveLen(1))
+		Expect(actionsOf[dispatch.Run](start(c, 1))).To(HaveLen(1))
 		Expect(start(c, 1)).To(BeEmpty())
 	})
 
-	It("gives a slot back when the start does not come, and ends a late start as not run", func() {
+	It("releases a slot whose start does not arrive in time, and ends a late start as not run", func() {
 		c := newCore(1)
 		c.Offer(now, owner, offer(1, terms(0)))
 		c.Offer(now, owner, offer(2, terms(0)))
-		later := now.Add(dispatch.DefaultHold)
-		actions := c.Tick(later)
+		holdExpired := now.Add(dispatch.DefaultHold)
+		actions := c.Tick(holdExpired)
 		Expect(replies[message.Declined](actions)).To(HaveLen(1))
 		Expect(replies[message.Ready](actions)).To(HaveLen(1))
-		finish := of[dispatch.Finish](start(c, 1))
+		finish := actionsOf[dispatch.Finish](start(c, 1))
 		Expect(finish).To(HaveLen(1))
 		Expect(finish[0].End.Run).To(Equal(result.NotRun))
 		Expect(finish[0].End.Code).To(Equal(result.SlotGone))
 	})
 
-	It("preempts only when the start comes, only a lower tier, least work first", func() {
+	It("preempts only when the start arrives, only a lower tier, fewest tokens first", func() {
 		c := newCore(2)
 		for id := message.RequestID(1); id <= 2; id++ {
 			c.Offer(now, owner, offer(id, terms(2)))
@@ -98,24 +99,24 @@
 			c.Progress(now, queue.Key{Owner: owner, Request: 1}, 1)
 		}
 		actions := c.Offer(now, owner, offer(3, terms(0)))
-		Expect(of[dispatch.Stop](actions)).To(BeEmpty())
+		Expect(actionsOf[dispatch.Stop](actions)).To(BeEmpty())
 		ready := replies[message.Ready](actions)
-		soon := now.Add(990 * time.Millisecond)
-		for at := now; len(ready) == 0 && at.Before(soon); at = at.Add(10 * time.Millisecond) {
+		justBeforeTarget := now.Add(990 * time.Millisecond)
+		for at := now; len(ready) == 0 && at.Before(justBeforeTarget); at = at.Add(10 * time.Millisecond) {
 			actions := c.Tick(at)
-			Expect(of[dispatch.Stop](actions)).To(BeEmpty())
+			Expect(actionsOf[dispatch.Stop](actions)).To(BeEmpty())
 			ready = replies[message.Ready](actions)
 		}
 		Expect(ready).To(HaveLen(1))
 		Expect(ready[0].Preempt).To(BeTrue())
 		actions = start(c, 3)
-		stops := of[dispatch.Stop](actions)
+		stops := actionsOf[dispatch.Stop](actions)
 		Expect(stops).To(HaveLen(1))
 		Expect(stops[0].Key.Request).To(Equal(message.RequestID(2)))
-		Expect(of[dispatch.Run](actions)).To(HaveLen(1))
+		Expect(actionsOf[dispatch.Run](actions)).To(HaveLen(1))
 	})
 
-	It("never preempts the same tier, nor what may not be repeated", func() {
+	It("never preempts the same tier or work that is not repeatable", func() {
 		for _, t := range []message.Terms{terms(1), {Class: "x", Tier: 2, BetweenTokens: time.Second, FirstToken: time.Second}} {
 			c := newCore(1)
 			c.Offer(now, owner, offer(1, t))
@@ -127,7 +128,7 @@
 		}
 	})
 
-	It("declines everything that waits when it leaves, and lets running work end", func() {
+	It("declines all queued offers when it leaves, and lets running work finish", func() {
 		c := newCore(1)
 		c.Offer(now, owner, offer(1, terms(0)))
 		start(c, 1)
@@ -135,7 +136,7 @@
 		Expect(replies[message.Declined](c.Leave(now))).To(HaveLen(1))
 		Expect(replies[message.Declined](c.Offer(now, owner, offer(3, terms(0))))).To(HaveLen(1))
 		Expect(c.Idle()).To(BeFalse())
-		finish := of[dispatch.Finish](c.Ended(now, queue.Key{Owner: owner, Request: 1}, ok()))
+		finish := actionsOf[dispatch.Finish](c.Ended(now, queue.Key{Owner: owner, Request: 1}, okEnd()))
 		Expect(finish).To(HaveLen(1))
 		Expect(finish[0].End.Code).To(Equal(result.OK))
 		Expect(c.Idle()).To(BeTrue())
@@ -143,45 +144,45 @@
 
 	It("stops repeatable work of a lost owner and lets the rest run", func() {
 		c := newCore(2)
-		once := terms(0)
-		once.Repeatable = false
+		notRepeatable := terms(0)
+		notRepeatable.Repeatable = false
 		c.Offer(now, owner, offer(1, terms(0)))
-		c.Offer(now, owner, offer(2, once))
+		c.Offer(now, owner, offer(2, notRepeatable))
 		start(c, 1)
 		start(c, 2)
-		stops := of[dispatch.Stop](c.OwnerLost(now, owner))
+		stops := actionsOf[dispatch.Stop](c.OwnerLost(now, owner))
 		Expect(stops).To(HaveLen(1))
 		Expect(stops[0].Key.Request).To(Equal(message.RequestID(1)))
 	})
 
-	It("ends work that stalls", func() {
+	It("stops stalled work", func() {
 		c := newCore(1)
 		c.Offer(now, owner, offer(1, terms(0)))
 		start(c, 1)
 		Expect(c.Tick(now.Add(4 * time.Second))).To(BeEmpty())
-		finish := of[dispatch.Finish](c.Tick(now.Add(5 * time.Second)))
+		finish := actionsOf[dispatch.Finish](c.Tick(now.Add(5 * time.Second)))
 		Expect(finish).To(HaveLen(1))
 		Expect(finish[0].End.Code).To(Equal(result.Stalled))
 	})
 
-	It("serves tiers in order when a slot falls free", func() {
+	It("serves tiers in order when a slot becomes free", func() {
 		c := newCore(1)
 		c.Offer(now, owner, offer(1, terms(0)))
 		start(c, 1)
 		c.Offer(now, owner, offer(2, terms(2)))
 		c.Offer(now, owner, offer(3, terms(0)))
-		ready := replies[message.Ready](c.Ended(now, queue.Key{Owner: owner, Request: 1}, ok()))
+		ready := replies[message.Ready](c.Ended(now, queue.Key{Owner: owner, Request: 1}, okEnd()))
 		Expect(ready).To(HaveLen(1))
 		Expect(ready[0].Request).To(Equal(message.RequestID(3)))
 	})
 
-	It("gives a slot that falls free to the start it promised to preempt for", func() {
+	It("assigns a slot that becomes free to the held preempting start", func() {
 		c := newCore(1)
 		c.Offer(now, owner, offer(1, terms(1)))
 		start(c, 1)
 		c.Offer(now, owner, offer(2, terms(2)))
 		Expect(replies[message.Ready](c.Offer(now, owner, offer(3, terms(0))))).To(HaveLen(1))
-		Expect(replies[message.Ready](c.Ended(now, queue.Key{Owner: owner, Request: 1}, ok()))).To(BeEmpty())
-		Expect(of[dispatch.Run](start(c, 3))).To(HaveLen(1))
+		Expect(replies[message.Ready](c.Ended(now, queue.Key{Owner: owner, Request: 1}, okEnd()))).To(BeEmpty())
+		Expect(actionsOf[dispatch.Run](start(c, 3))).To(HaveLen(1))
 	})
 })
--- a/coord/dispatch/dump.go
+++ b/coord/dispatch/dump.go
@@ -8,7 +8,7 @@
 	"foxcross.dev/coord/message"
 )
 
-// Dump is the state of a Core at one moment.
+// Dump is a snapshot of the state of a Core.
 type Dump struct {
 	Leaving   bool           `json:"leaving"`
 	Targets   []TargetDump   `json:"targets"`
@@ -16,7 +16,7 @@
 	Work      []WorkDump     `json:"work"`
 }
 
-// TargetDump is the queue before one target.
+// TargetDump is the state of one target and its queue.
 type TargetDump struct {
 	Target     string             `json:"target"`
 	Queued     [message.Tiers]int `json:"queued_by_tier"`
@@ -27,7 +27,7 @@
 	QueueBound int                `json:"queue_bound"`
 }
 
-// EndpointDump is one endpoint.
+// EndpointDump is the state of one endpoint.
 type EndpointDump struct {
 	Name     string         `json:"name"`
 	Target   string         `json:"target"`
@@ -38,7 +38,7 @@
 	Until    *time.Time     `json:"ejected_until,omitempty"`
 }
 
-// WorkDump is a held or running piece of work.
+// WorkDump is the state of held, running or stopping work.
 type WorkDump struct {
 	Owner    uint64            `json:"owner"`
 	Request  message.RequestID `json:"request"`
@@ -52,10 +52,10 @@
 
 var stateNames = [...]string{held: "held", running: "running", stopping: "stopping"}
 
-// Dump returns the state.
+// Dump returns a snapshot of the state.
 func (c *Core) Dump(now time.Time) Dump {
 	d := Dump{Leaving: c.leaving}
-	for _, n := range c.names {
+	for _, n := range c.targets {
 		p := c.pools[n]
 		l := p.load(now)
 		d.Targets = append(d.Targets, TargetDump{
--- a/coord/dispatch/endpoint.go
+++ b/coord/dispatch/endpoint.go
@@ -12,65 +12,65 @@
 // Endpoint describes one local engine or service.
 type Endpoint struct {
 	Name   string
-	Target string // model or service it serves
-	Most   int    // most work at once, 0 for none but the learned limit
+	Target string // model or service that it serves
+	Most   int    // most concurrent work, 0 for the learned limit only
 }
 
 // endpoint is the state of one local engine or service.
 type endpoint struct {
 	Endpoint
-	learned limit.Learned
-	circuit health.Circuit
-	cached  affinity.Table
-	work    map[queue.Key]*work // held, running and stopping
-	targets map[time.Duration]int
-	pending int // held work whose start is to stop other work; it takes no slot yet
-	active  int // work on the endpoint, not held
+	learned            limit.Learned
+	circuit            health.Circuit
+	prefixes           affinity.Table
+	work               map[queue.Key]*work // held, running and stopping
+	targets            map[time.Duration]int
+	pendingPreemptions int // held work whose start will stop other work; it occupies no slot yet
+	active             int // work on the endpoint: running or stopping
 }
 
-// state of a piece of work.
+// state is the state of work.
 type state uint8
 
 const (
-	held     state = iota // ready was sent, the start has not come
-	running               // on the endpoint
-	stopping              // cancelled, the endpoint has not confirmed
+	held     state = iota // the ready message was sent, the start has not arrived
+	running               // running on the endpoint
+	stopping              // cancelled, not confirmed by the endpoint
 )
 
 // work is an offer that has left the queue.
 type work struct {
-	item     *queue.Item
-	endpoint *endpoint
-	state    state
-	preempt  bool // its start stops lower-tier work
-	guarded  bool // started by the starvation guard: never preempted
-	until    time.Time
-	started  time.Time
-	last     time.Time // last token
-	tokens   int
+	item      *queue.Item
+	endpoint  *endpoint
+	state     state
+	preempt   bool // its start stops work of a lower tier
+	guarded   bool // held by the starvation guard: never preempted
+	heldUntil time.Time
+	started   time.Time
+	lastToken time.Time // time of the last token
+	tokens    int
 }
 
-// sampleTarget is the time that the limit is learned against: between tokens
-// for a model, the whole answer for a plain service.
-func sampleTarget(i *queue.Item) time.Duration {
+// latencyTarget returns the target of the learned limit: the time between tokens
+// for a model, the time of the whole answer for a plain service.
+func latencyTarget(i *queue.Item) time.Duration {
 	if i.Offer.Terms.BetweenTokens > 0 {
 		return i.Offer.Terms.BetweenTokens
 	}
 	return i.Offer.Terms.FirstToken
 }
 
-// occupied counts the slots in use. Work that is being stopped still counts.
-func (e *endpoint) occupied() int { return len(e.work) - e.pending }
+// occupied returns the number of slots in use, including those of stopping work.
+func (e *endpoint) occupied() int { return len(e.work) - e.pendingPreemptions }
 
-// promote gives a slot to held work that was to stop other work.
+// promote assigns a slot to held work whose start would have stopped other work.
 func (e *endpoint) promote(w *work) {
 	if w.preempt {
 		w.preempt = false
-		e.pending--
+		e.pendingPreemptions--
 	}
 }
 
-// limit returns how much work may run once work with the target is added.
+// limit returns the most concurrent work if work with the given target is added.
 func (e *endpoint) limit(target time.Duration) int {
 	most := e.learned.For(target)
 	for d := range e.targets {
@@ -82,19 +82,20 @@
 	return most
 }
 
-// strictest returns the strictest target that runs, or zero.
-func (e *endpoint) strictest() time.Duration {
-	var least time.Duration
+// strictestTarget returns the shortest target of the endpoint's work, 0 for none.
+func (e *endpoint) strictestTarget() time.Duration {
+	var shortest time.Duration
 	for d := range e.targets {
-		if least == 0 || d < least {
-			least = d
+		if shortest == 0 || d < shortest {
+			shortest = d
 		}
 	}
-	return least
+	return shortest
 }
 
-// room returns how many more pieces of work with the target fit.
-func (e *endpoint) room(now time.Time, target time.Duration) int {
+// freeSlots returns how many more requests with the target the endpoint may run. It may be
+// negative.
+func (e *endpoint) freeSlots(now time.Time, target time.Duration) int {
 	occupied := e.occupied()
 	if !e.circuit.Allows(now, occupied) {
 		return 0
@@ -103,16 +104,16 @@
 }
 
 func (e *endpoint) add(w *work) {
-	target := sampleTarget(w.item)
+	target := latencyTarget(w.item)
 	e.work[w.item.Key] = w
 	e.targets[target]++
 	if w.preempt {
-		e.pending++
+		e.pendingPreemptions++
 	}
 }
 
 func (e *endpoint) remove(w *work) {
-	target := sampleTarget(w.item)
+	target := latencyTarget(w.item)
 	delete(e.work, w.item.Key)
 	e.promote(w)
 	if w.state != held {
@@ -124,28 +125,28 @@
 	}
 }
 
-// victim returns the running work of the lowest tier below the given one that
-// has produced least, or nil. Work that may not be repeated is never chosen.
+// victim returns the running work to preempt for the given tier: of the lowest tier below it
+// the work with the fewest tokens, nil for none. Work that is not repeatable is never chosen.
 func (e *endpoint) victim(tier int) *work {
 	var best *work
 	for _, w := range e.work {
-		if w.state != running || !w.mayStop(tier) {
+		if w.state != running || !w.mayBePreempted(tier) {
 			continue
 		}
-		if best == nil || w.worseThan(best) {
+		if best == nil || w.lowerPriorityThan(best) {
 			best = w
 		}
 	}
 	return best
 }
 
-func (w *work) mayStop(tier int) bool {
+func (w *work) mayBePreempted(tier int) bool {
 	t := w.item.Offer.Terms
 	return t.Tier > tier && t.Preemptible && t.Repeatable && !w.guarded
 }
 
-// worseThan orders victims; the key makes the order the same in every run.
-func (w *work) worseThan(o *work) bool {
+// lowerPriorityThan reports whether w is preempted before o. The key makes the order deterministic.
+func (w *work) lowerPriorityThan(o *work) bool {
 	a, b := w.item.Offer.Terms.Tier, o.item.Offer.Terms.Tier
 	if a != b {
 		return a > b
@@ -162,10 +163,10 @@
 	return w.item.Key.Request > o.item.Key.Request
 }
 
-// firstPreempting returns the held work of the highest tier whose start would
+// firstPreempting returns the held work with the highest priority whose start would
 // stop other work, or nil.
 func (e *endpoint) firstPreempting() *work {
-	if e.pending == 0 {
+	if e.pendingPreemptions == 0 {
 		return nil
 	}
 	var first *work
@@ -173,21 +174,21 @@
 		if w.state != held || !w.preempt {
 			continue
 		}
-		if first == nil || first.worseThan(w) {
+		if first == nil || first.lowerPriorityThan(w) {
 			first = w
 		}
 	}
 	return first
 }
 
-// stoppable counts running work that a start of the tier may stop, less what
-// held preempting slots already count on.
-func (e *endpoint) stoppable(tier int) int {
+// preemptible returns how much running work a start of the tier may stop, less the work that
+// is claimed by held preempting slots.
+func (e *endpoint) preemptible(tier int) int {
 	count := 0
 	for _, w := range e.work {
-		if w.state == running && w.mayStop(tier) {
+		if w.state == running && w.mayBePreempted(tier) {
 			count++
 		}
 	}
-	return count - e.pending
+	return count - e.pendingPreemptions
 }
--- a/coord/dispatch/example_test.go
+++ b/coord/dispatch/example_test.go
@@ -8,8 +8,8 @@
 	"foxcross.dev/coord/message"
 )
 
-// An offer that finds a free slot is answered at once; the slot is held until the
-// start comes.
+// An offer for which a slot is free is answered at once. The slot is held until the
+// start arrives.
 func ExampleCore() {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	var c dispatch.Core
--- a/coord/dispatch/fill.go
+++ b/coord/dispatch/fill.go
@@ -1,14 +1,14 @@
-// Which waiting offer gets which slot, and when lower-tier work is to make room.
+// The assignment of slots to queued offers, and the preemption of lower-tier work.
 //
-// Rule: while an endpoint has room, the offer that the queue puts first is held a
-// slot at the endpoint that suits it best. Without room, an offer that would miss
-// its target by waiting for a slot, and meets it by starting now, is held a slot on
-// work of a lower tier; that work is stopped when the start comes, not before
-// (start.go), and a slot that falls free meanwhile is taken instead.
+// Rule: while an endpoint has a free slot, the first offer of the queue holds a
+// slot at the endpoint that suits it best. Without a free slot, an offer that would miss
+// its target by waiting for a slot, and meets it by starting now, holds the slot of
+// work of a lower tier. That work is stopped when the start arrives, not before
+// (start.go). A slot that becomes free before the start is used instead.
 // Inputs: the queue, the endpoints' learned limits, health and work, the time.
 // Units: slots; times since the entry accepted the request.
-// Never: work is not stopped for an offer of its own tier or below, nor if its class
-// may not be preempted or repeated, nor if the starvation guard started it.
+// Never: work is stopped for an offer of its own or a lower tier, if its class
+// is not preemptible and repeatable, or if the starvation guard started it.
 
 package dispatch
 
@@ -19,16 +19,16 @@
 	"foxcross.dev/coord/queue"
 )
 
-// preemptLead is how long before its deadline a request preempts, in the mean time between two
-// slots that fall free.
+// preemptLead is how long before its deadline a request may preempt, as a multiple of the mean
+// time between two slots becoming free.
 const preemptLead = 1.5
 
-// fill holds slots for the offers that are next, as far as there is room.
+// fill assigns free slots to the next offers of the queue, and then preempting slots.
 func (c *Core) fill(now time.Time, p *pool) {
-	p.settle(now)
+	p.promotePreempting(now)
 	for p.queue.Len() > 0 {
-		item := p.queue.Peek(now, p.roomFor())
-		e := p.roomiest(now, item)
+		item := p.queue.Peek(now, p.capacity())
+		e := p.bestEndpoint(now, item)
 		if e == nil {
 			c.preempt(now, p)
 			return
@@ -37,11 +37,11 @@
 	}
 }
 
-// settle gives slots that have fallen free to starts that were to preempt.
-func (p *pool) settle(now time.Time) {
+// promotePreempting assigns free slots to held work whose start would have stopped other work.
+func (p *pool) promotePreempting(now time.Time) {
 	for _, e := range p.endpoints {
 		for w := e.firstPreempting(); w != nil; w = e.firstPreempting() {
-			if e.room(now, sampleTarget(w.item)) <= 0 {
+			if e.freeSlots(now, latencyTarget(w.item)) <= 0 {
 				break
 			}
 			e.promote(w)
@@ -49,8 +49,8 @@
 	}
 }
 
-// preempt holds slots on lower-tier work for offers that would else miss their
-// target. Nothing is stopped before the start comes.
+// preempt holds the slots of lower-tier work for offers that would otherwise miss their
+// target. The work is not stopped before the start arrives.
 func (c *Core) preempt(now time.Time, p *pool) {
 	for tier := range message.Tiers - 1 {
 		for {
@@ -58,7 +58,7 @@
 			if item == nil || !p.urgent(now, item) {
 				break
 			}
-			e := p.withMostStoppable(now, tier)
+			e := p.mostPreemptible(now, tier)
 			if e == nil {
 				break
 			}
@@ -67,8 +67,8 @@
 	}
 }
 
-// urgent tells whether the item misses its target if it waits for a slot, and
-// still meets it if it starts now.
+// urgent reports whether the item would miss its target by waiting for a slot, and
+// would meet it by starting now.
 func (p *pool) urgent(now time.Time, i *queue.Item) bool {
 	return !now.Before(p.preemptAt(i)) && !i.Deadline.Before(now)
 }
@@ -77,14 +77,14 @@
 	return i.Deadline.Add(-time.Duration(preemptLead * float64(p.slotInterval())))
 }
 
-func (p *pool) withMostStoppable(now time.Time, tier int) *endpoint {
+func (p *pool) mostPreemptible(now time.Time, tier int) *endpoint {
 	var best *endpoint
 	most := 0
 	for _, e := range p.endpoints {
 		if !e.circuit.Allows(now, e.occupied()) {
 			continue
 		}
-		if s := e.stoppable(tier); s > most {
+		if s := e.preemptible(tier); s > most {
 			most = s
 			best = e
 		}
@@ -94,7 +94,7 @@
 
 func (c *Core) hold(now time.Time, p *pool, e *endpoint, i *queue.Item, preempt bool) {
 	at, bounded := i.StarveAt()
-	w := &work{item: i, endpoint: e, preempt: preempt, until: now.Add(c.holdTime())}
+	w := &work{item: i, endpoint: e, preempt: preempt, heldUntil: now.Add(c.holdTime())}
 	w.guarded = bounded && !at.After(now)
 	p.queue.Take(i)
 	p.classes[i.Offer.Terms.Class]++
@@ -115,8 +115,8 @@
 	return DefaultHold
 }
 
-// nextLook returns when a waiting offer becomes urgent, if before next.
-func (p *pool) nextLook(now, next time.Time) time.Time {
+// nextUrgent returns the earlier of next and the time at which a queued offer becomes urgent.
+func (p *pool) nextUrgent(now, next time.Time) time.Time {
 	for tier := range message.Tiers - 1 {
 		i := p.queue.PeekTier(tier, now)
 		if i == nil {
--- a/coord/dispatch/leave.go
+++ b/coord/dispatch/leave.go
@@ -7,10 +7,10 @@
 	"foxcross.dev/coord/result"
 )
 
-// OwnerLost drops the offers of a connection that is gone, and stops its
-// repeatable work. Work that may not be repeated runs to its end.
+// OwnerLost removes the offers of a lost connection and stops its
+// repeatable work. Work that is not repeatable runs to its end.
 func (c *Core) OwnerLost(now time.Time, owner uint64) []Action {
-	for _, n := range c.names {
+	for _, n := range c.targets {
 		p := c.pools[n]
 		for _, i := range p.queue.Items() {
 			if i.Key.Owner == owner {
@@ -18,7 +18,7 @@
 			}
 		}
 	}
-	for _, w := range c.pick(func(w *work) bool { return w.item.Key.Owner == owner }) {
+	for _, w := range c.filter(func(w *work) bool { return w.item.Key.Owner == owner }) {
 		switch {
 		case w.state == held:
 			c.release(w)
@@ -27,46 +27,46 @@
 		}
 	}
 	c.fillAll(now)
-	return c.take()
+	return c.takeActions()
 }
 
 func (c *Core) fillAll(now time.Time) {
-	for _, n := range c.names {
+	for _, n := range c.targets {
 		c.fill(now, c.pools[n])
 	}
 }
 
-// pick returns the work that matches, in an order that is the same each run.
-func (c *Core) pick(match func(*work) bool) []*work {
-	var all []*work
+// filter returns the work for which match returns true, in a deterministic order.
+func (c *Core) filter(match func(*work) bool) []*work {
+	var matched []*work
 	for _, w := range c.work {
 		if match(w) {
-			all = append(all, w)
+			matched = append(matched, w)
 		}
 	}
-	slices.SortFunc(all, func(a, b *work) int {
-		if a.worseThan(b) {
+	slices.SortFunc(matched, func(a, b *work) int {
+		if a.lowerPriorityThan(b) {
 			return -1
 		}
 		return 1
 	})
-	return all
+	return matched
 }
 
-// Leave makes the agent take no new work. Queued offers and held slots are
-// declined; running work goes on.
+// Leave makes the agent decline new work, queued offers and held slots. Running work
+// continues.
 func (c *Core) Leave(time.Time) []Action {
 	c.leaving = true
-	for _, n := range c.names {
+	for _, n := range c.targets {
 		p := c.pools[n]
 		for _, i := range p.queue.Items() {
 			p.queue.Remove(i.Key)
 			c.decline(i.Key, i.Offer.Attempt, result.AgentLeaving)
 		}
 	}
-	for _, w := range c.pick(func(w *work) bool { return w.state == held }) {
+	for _, w := range c.filter(func(w *work) bool { return w.state == held }) {
 		c.release(w)
 		c.decline(w.item.Key, w.item.Offer.Attempt, result.AgentLeaving)
 	}
-	return c.take()
+	return c.takeActions()
 }
--- a/coord/dispatch/pool.go
+++ b/coord/dispatch/pool.go
@@ -8,17 +8,17 @@
 	"foxcross.dev/coord/queue"
 )
 
-// The running means.
+// Parameters of the moving averages.
 const (
-	// meanWeight is the weight of the newest value in a decayed mean.
-	meanWeight = 0.1
-	// firstGuess is the time to a first token before any is seen.
-	firstGuess = 200 * time.Millisecond
-	// spanGuess is how long a piece of work takes before any is seen.
-	spanGuess = 2 * time.Second
+	// newestWeight is the weight of the newest value in a moving average.
+	newestWeight = 0.1
+	// defaultFirstToken is the assumed time to the first token before any is measured.
+	defaultFirstToken = 200 * time.Millisecond
+	// defaultDuration is the assumed duration of work before any is measured.
+	defaultDuration = 2 * time.Second
 )
 
-// mean is an exponentially weighted running mean.
+// mean is an exponentially weighted moving average.
 type mean struct {
 	value time.Duration
 	known bool
@@ -30,28 +30,28 @@
 		m.known = true
 		return
 	}
-	m.value += time.Duration(meanWeight * float64(d-m.value))
+	m.value += time.Duration(newestWeight * float64(d-m.value))
 }
 
-func (m *mean) or(guess time.Duration) time.Duration {
+func (m *mean) orDefault(d time.Duration) time.Duration {
 	if m.known {
 		return m.value
 	}
-	return guess
+	return d
 }
 
 // pool is the queue and the endpoints of one target.
 type pool struct {
-	target    string
-	queue     queue.Queue
-	endpoints []*endpoint
-	first     mean // from start to first token
-	between   mean // between tokens
-	span      mean // from start to end
-	classes   map[string]int
+	target        string
+	queue         queue.Queue
+	endpoints     []*endpoint
+	firstToken    mean // from start to first token
+	betweenTokens mean // between two tokens
+	duration      mean // from start to end
+	classes       map[string]int
 }
 
-// slots returns how much work the endpoints allow at their present mix.
+// slots returns the most concurrent work of the endpoints with their current mix of targets.
 func (p *pool) slots() int {
 	sum := 0
 	for _, e := range p.endpoints {
@@ -60,57 +60,57 @@
 	return max(1, sum)
 }
 
-// slotInterval is the expected time between two slots that fall free.
+// slotInterval returns the expected time between two slots becoming free.
 func (p *pool) slotInterval() time.Duration {
-	return p.span.or(spanGuess) / time.Duration(p.slots())
+	return p.duration.orDefault(defaultDuration) / time.Duration(p.slots())
 }
 
 func (p *pool) runningOf(class string) int { return p.classes[class] }
 
-func (p *pool) roomFor() queue.Room {
+func (p *pool) capacity() queue.Room {
 	return queue.Room{Slots: p.slots(), NextFree: p.slotInterval(), Running: p.runningOf}
 }
 
 // latestStart returns the latest start that still meets the offer's target.
 func (p *pool) latestStart(arrived time.Time, t message.Terms) time.Time {
 	if t.BetweenTokens == 0 {
-		return arrived.Add(t.FirstToken - min(t.FirstToken/2, p.span.or(0)))
+		return arrived.Add(t.FirstToken - min(t.FirstToken/2, p.duration.orDefault(0)))
 	}
-	return arrived.Add(t.FirstToken - min(t.FirstToken*3/4, p.first.or(firstGuess)))
+	return arrived.Add(t.FirstToken - min(t.FirstToken*3/4, p.firstToken.orDefault(defaultFirstToken)))
 }
 
-// fit is how well an endpoint suits an item.
+// fit describes how well an endpoint suits an item.
 type fit struct {
-	room    int
-	seen    int // blocks of the prompt's beginning that it has seen
-	suspect bool
+	freeSlots    int
+	cachedBlocks int // leading blocks of the prompt that the endpoint has received
+	suspect      bool
 }
 
-// betterThan prefers endpoints that did not fail last, then those that have
-// seen most of the prompt's beginning, then those with most room.
+// betterThan reports whether f is preferred to o: healthy endpoints first, then those with the
+// longest cached prefix, then those with the most free slots.
 func (f fit) betterThan(o fit) bool {
 	if f.suspect != o.suspect {
 		return o.suspect
 	}
-	if f.seen != o.seen {
-		return f.seen > o.seen
+	if f.cachedBlocks != o.cachedBlocks {
+		return f.cachedBlocks > o.cachedBlocks
 	}
-	return f.room > o.room
+	return f.freeSlots > o.freeSlots
 }
 
-// roomiest returns the endpoint with room that suits the item best, or nil.
-func (p *pool) roomiest(now time.Time, i *queue.Item) *endpoint {
+// bestEndpoint returns the endpoint with a free slot that suits the item best, or nil.
+func (p *pool) bestEndpoint(now time.Time, i *queue.Item) *endpoint {
 	var best *endpoint
 	var bestFit fit
 	for _, e := range p.endpoints {
-		room := e.room(now, sampleTarget(i))
-		if room <= 0 {
+		free := e.freeSlots(now, latencyTarget(i))
+		if free <= 0 {
 			continue
 		}
 		f := fit{
-			room:    room,
-			seen:    e.cached.Longest(i.Offer.Prefix)[e.Name],
-			suspect: e.circuit.State() != health.Healthy,
+			freeSlots:    free,
+			cachedBlocks: e.prefixes.Longest(i.Offer.Prefix)[e.Name],
+			suspect:      e.circuit.State() != health.Healthy,
 		}
 		if best == nil || f.betterThan(bestFit) {
 			best = e
@@ -120,8 +120,9 @@
 	return best
 }
 
-// blame counts a failure against an endpoint, within the bound on ejected ones.
-func (p *pool) blame(now time.Time, e *endpoint) {
+// recordFailure records a failure of an endpoint, which may eject it within the bound on ejected
+// endpoints.
+func (p *pool) recordFailure(now time.Time, e *endpoint) {
 	e.circuit.Failed(now, health.MayEject(p.ejected(), len(p.endpoints)))
 }
 
@@ -135,19 +136,19 @@
 	return count
 }
 
-// load describes the pool to entries.
+// load returns the load of the pool, as reported to entries.
 func (p *pool) load(now time.Time) message.Load {
 	l := message.Load{
 		Target:        p.target,
 		Slots:         p.slots(),
 		SlotInterval:  p.slotInterval(),
-		FirstToken:    p.first.or(firstGuess),
-		BetweenTokens: p.between.or(0),
+		FirstToken:    p.firstToken.orDefault(defaultFirstToken),
+		BetweenTokens: p.betweenTokens.orDefault(0),
 	}
 	for _, e := range p.endpoints {
-		l.Free += max(0, e.room(now, e.strictest()))
+		l.Free += max(0, e.freeSlots(now, e.strictestTarget()))
 		for tier := range l.Preemptible {
-			l.Preemptible[tier] += max(0, e.stoppable(tier))
+			l.Preemptible[tier] += max(0, e.preemptible(tier))
 		}
 	}
 	ahead := 0
--- a/coord/dispatch/start.go
+++ b/coord/dispatch/start.go
@@ -8,37 +8,37 @@
 	"foxcross.dev/coord/result"
 )
 
-// Start runs an attempt in the slot held for it. Without such a slot the
+// Start runs an attempt in the slot that is held for it. Without such a slot the
 // attempt ends as not run.
 func (c *Core) Start(now time.Time, owner uint64, m message.Start) []Action {
 	key := queue.Key{Owner: owner, Request: m.Request}
 	w := c.work[key]
 	if w != nil && w.item.Offer.Attempt == m.Attempt && w.state != held {
-		return c.take() // a copy of a start that was obeyed
+		return c.takeActions() // a duplicate of a start that was executed
 	}
 	if w == nil || w.item.Offer.Attempt != m.Attempt {
 		c.finish(key, m.Attempt, result.SlotGone, result.NotRun)
-		return c.take()
+		return c.takeActions()
 	}
 	if c.leaving {
 		c.release(w)
 		c.finish(key, m.Attempt, result.AgentLeaving, result.NotRun)
-		return c.take()
+		return c.takeActions()
 	}
-	if w.preempt && !c.makeRoom(now, w) {
+	if w.preempt && !c.preemptVictim(now, w) {
 		p := c.release(w)
 		c.finish(key, m.Attempt, result.SlotGone, result.NotRun)
 		c.fill(now, p)
-		return c.take()
+		return c.takeActions()
 	}
 	c.run(now, w, m)
-	return c.take()
+	return c.takeActions()
 }
 
-// makeRoom stops lower-tier work for a preempting start, unless a slot has
-// fallen free meanwhile.
-func (c *Core) makeRoom(now time.Time, w *work) bool {
-	if w.endpoint.room(now, sampleTarget(w.item)) > 0 {
+// preemptVictim stops lower-tier work for a preempting start, unless a slot has
+// become free. It reports whether the start may run.
+func (c *Core) preemptVictim(now time.Time, w *work) bool {
+	if w.endpoint.freeSlots(now, latencyTarget(w.item)) > 0 {
 		return true
 	}
 	v := w.endpoint.victim(w.item.Offer.Terms.Tier)
@@ -64,8 +64,8 @@
 	w.endpoint.active++
 	w.endpoint.promote(w)
 	w.started = now
-	w.last = now
+	w.lastToken = now
 	o := w.item.Offer
-	w.endpoint.cached.Put(o.Prefix, w.endpoint.Name)
+	w.endpoint.prefixes.Put(o.Prefix, w.endpoint.Name)
 	c.emit(Run{Key: w.item.Key, Endpoint: w.endpoint.Name, Terms: o.Terms, Target: o.Target, Start: m})
 }
--- a/coord/queue/class.go
+++ b/coord/queue/class.go
@@ -7,34 +7,34 @@
 	"foxcross.dev/coord/heaps"
 )
 
-// idleTeams is how many teams without items a class remembers before it forgets those that
-// hold no lead over the others.
-const idleTeams = 64
+// maxIdleTeams is how many teams without items a class keeps before it deletes those whose
+// virtual start is not ahead of the virtual time.
+const maxIdleTeams = 64
 
-// class holds the items of one class, shared fairly between its teams.
+// class holds the items of one class, with weighted fair queueing over its teams.
 type class struct {
-	name    string
-	tier    int
-	teams   map[string]*team
-	ready   [2]heaps.Heap[inList] // teams with fresh and with late items
-	due     heaps.Heap[byDeadline]
-	oldest  heaps.Heap[byArrival]
-	virtual float64 // virtual time of the last pick
+	name        string
+	tier        int
+	teams       map[string]*team
+	teamHeaps   [2]heaps.Heap[listedTeam] // teams with on-time items and with late items
+	byDeadline  heaps.Heap[byDeadline]
+	byArrival   heaps.Heap[byArrival]
+	virtualTime float64 // virtual time of the last served item
 }
 
-// team is one team's items in a class.
+// team holds the items of one team in a class.
 type team struct {
-	name    string
-	virtual float64 // virtual start of the team's next item
-	lists   [2]list.List
-	index   [2]int // place in the class's fresh and late heaps, -1 when absent
+	name         string
+	virtualStart float64 // virtual start of the team's next item
+	lists        [2]list.List
+	index        [2]int // index in each of the class's teamHeaps, -1 when absent
 }
 
 // The lists of a team.
 const (
-	// freshList holds the items that can still meet their target.
-	freshList = 0
-	// lateList holds those that can't.
+	// onTimeList holds the items that can still meet their target.
+	onTimeList = 0
+	// lateList holds the items that can no longer meet it.
 	lateList = 1
 )
 
@@ -42,7 +42,7 @@
 	if late {
 		return lateList
 	}
-	return freshList
+	return onTimeList
 }
 
 func newClass(name string, tier int) *class {
@@ -53,12 +53,12 @@
 	i.class = c
 	i.team = c.teamOf(i.Offer.Terms.Team)
 	i.late = i.Deadline.Before(now)
-	i.due = -1
+	i.deadlineIndex = -1
 	c.link(i)
 	if !i.late {
-		c.due.Push(byDeadline{i})
+		c.byDeadline.Push(byDeadline{i})
 	}
-	c.oldest.Push(byArrival{i})
+	c.byArrival.Push(byArrival{i})
 }
 
 func (c *class) teamOf(name string) *team {
@@ -66,53 +66,54 @@
 	if ok {
 		return t
 	}
-	c.forgetIdle()
-	t = &team{name: name, virtual: c.virtual, index: [2]int{-1, -1}}
+	c.deleteIdleTeams()
+	t = &team{name: name, virtualStart: c.virtualTime, index: [2]int{-1, -1}}
 	c.teams[name] = t
 	return t
 }
 
-// forgetIdle drops teams that have no items and no lead to be held against them.
-func (c *class) forgetIdle() {
-	active := c.ready[freshList].Len() + c.ready[lateList].Len()
-	if len(c.teams) < 2*active+idleTeams {
+// deleteIdleTeams deletes teams that have no items and whose virtual start is not ahead of the
+// virtual time.
+func (c *class) deleteIdleTeams() {
+	active := c.teamHeaps[onTimeList].Len() + c.teamHeaps[lateList].Len()
+	if len(c.teams) < 2*active+maxIdleTeams {
 		return
 	}
 	for n, t := range c.teams {
-		if t.lists[freshList].Len()+t.lists[lateList].Len() == 0 && t.virtual <= c.virtual {
+		if t.lists[onTimeList].Len()+t.lists[lateList].Len() == 0 && t.virtualStart <= c.virtualTime {
 			delete(c.teams, n)
 		}
 	}
 }
 
-// link puts the item at the end of its team's list.
+// link appends the item to its team's list.
 func (c *class) link(i *Item) {
 	t := i.team
-	if t.lists[freshList].Len()+t.lists[lateList].Len() == 0 {
-		t.virtual = max(t.virtual, c.virtual)
+	if t.lists[onTimeList].Len()+t.lists[lateList].Len() == 0 {
+		t.virtualStart = max(t.virtualStart, c.virtualTime)
 	}
 	list := listOf(i.late)
 	i.element = t.lists[list].PushBack(i)
 	if t.index[list] < 0 {
-		c.ready[list].Push(inList{t, list})
+		c.teamHeaps[list].Push(listedTeam{t, list})
 	}
 }
 
-// unlink takes the item out of its team's list.
+// unlink removes the item from its team's list.
 func (c *class) unlink(i *Item) {
 	t := i.team
 	list := listOf(i.late)
 	t.lists[list].Remove(i.element)
 	i.element = nil
 	if t.lists[list].Len() == 0 {
-		c.ready[list].Remove(t.index[list])
+		c.teamHeaps[list].Remove(t.index[list])
 	}
 }
 
-// expire moves items past their deadline to the late lists.
+// expire moves the items whose deadline has passed to the late lists.
 func (c *class) expire(now time.Time) {
-	for c.due.Len() > 0 && c.due.First().Deadline.Before(now) {
-		i := c.due.Remove(0).Item
+	for c.byDeadline.Len() > 0 && c.byDeadline.First().Deadline.Before(now) {
+		i := c.byDeadline.Remove(0).Item
 		c.unlink(i)
 		i.late = true
 		c.link(i)
@@ -121,47 +122,47 @@
 
 func (c *class) remove(i *Item) {
 	c.unlink(i)
-	if i.due >= 0 {
-		c.due.Remove(i.due)
+	if i.deadlineIndex >= 0 {
+		c.byDeadline.Remove(i.deadlineIndex)
 	}
-	c.oldest.Remove(i.starve)
+	c.byArrival.Remove(i.arrivalIndex)
 }
 
-// charge moves the team of a served item back in the order.
+// charge advances the virtual start of the team of a served item by the inverse of its weight.
 func (c *class) charge(i *Item) {
 	t := i.team
-	c.virtual = max(c.virtual, t.virtual)
-	t.virtual += 1 / float64(max(1, i.Offer.Terms.Weight))
+	c.virtualTime = max(c.virtualTime, t.virtualStart)
+	t.virtualStart += 1 / float64(max(1, i.Offer.Terms.Weight))
 	for list := range t.index {
 		if t.index[list] >= 0 {
-			c.ready[list].Fix(t.index[list])
+			c.teamHeaps[list].Fix(t.index[list])
 		}
 	}
 }
 
-func (c *class) len() int { return c.oldest.Len() }
+func (c *class) len() int { return c.byArrival.Len() }
 
-// inList is a team in the order of its fresh or its late items.
-type inList struct {
+// listedTeam is a team in the heap for its on-time or its late items.
+type listedTeam struct {
 	*team
 	list int
 }
 
-// Before puts the team first that has had least for its weight.
-func (t inList) Before(o inList) bool {
-	if t.virtual != o.virtual {
-		return t.virtual < o.virtual
+// Before orders the team first that has been served least for its weight.
+func (t listedTeam) Before(o listedTeam) bool {
+	if t.virtualStart != o.virtualStart {
+		return t.virtualStart < o.virtualStart
 	}
 	return t.name < o.name
 }
 
-// Moved notes the place.
-func (t inList) Moved(place int) { t.index[t.list] = place }
+// Moved records the index in the heap.
+func (t listedTeam) Moved(index int) { t.index[t.list] = index }
 
-// head returns the next fresh or late item of the team that is served first.
+// head returns the next on-time or late item of the team that is served first.
 func (c *class) head(list int) *Item {
-	if c.ready[list].Len() == 0 {
+	if c.teamHeaps[list].Len() == 0 {
 		return nil
 	}
-	return c.ready[list].First().lists[list].Front().Value.(*Item)
+	return c.teamHeaps[list].First().lists[list].Front().Value.(*Item)
 }
--- a/coord/queue/example_test.go
+++ b/coord/queue/example_test.go
@@ -8,7 +8,7 @@
 	"foxcross.dev/coord/queue"
 )
 
-// The higher tier is served first, whoever came first.
+// The higher tier is served first, in whatever order the items arrived.
 func ExampleQueue() {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	var q queue.Queue
--- a/coord/queue/item.go
+++ b/coord/queue/item.go
@@ -1,7 +1,7 @@
-// Package queue orders the offers that wait before the endpoints of one target.
+// Package queue orders the queued offers for the endpoints of one target.
 //
 // Order: the starvation guard, then the tier, then within a tier the offers
-// that can still meet their target by earliest deadline, then the late ones,
+// that can still meet their target by earliest deadline, then the late offers,
 // and within a class weighted fairness over teams. All times are passed in.
 package queue
 
@@ -12,31 +12,31 @@
 	"foxcross.dev/coord/message"
 )
 
-// Key names an offer: the connection it came over and the entry's number.
+// Key identifies an offer by the connection on which it arrived and the entry's request number.
 type Key struct {
 	Owner   uint64
 	Request message.RequestID
 }
 
-// Item is a waiting offer.
+// Item is a queued offer.
 type Item struct {
 	Key      Key
 	Offer    message.Offer
-	Arrived  time.Time // when the entry accepted the request, on this clock
-	Queued   time.Time // when the offer came here
+	Arrived  time.Time // time at which the entry accepted the request, on the local clock
+	Queued   time.Time // time at which the offer was queued
 	Deadline time.Time // latest start that still meets the target
 
-	class   *class
-	team    *team
-	element *list.Element // in the team's fresh or late list
-	recent  *list.Element // in the tier's order of arrival
-	late    bool
-	due     int // place in the class's heap by deadline, -1 once late
-	starve  int // place in the class's heap by starvation bound
+	class         *class
+	team          *team
+	element       *list.Element // in the team's on-time or late list
+	tierElement   *list.Element // in the list of the tier
+	late          bool
+	deadlineIndex int // index in the class's heap by deadline, -1 once late
+	arrivalIndex  int // index in the class's heap by arrival
 }
 
-// StarveAt returns when the item passes its class's starvation bound; ok is
-// false where the class has none.
+// StarveAt returns the time at which the item exceeds its class's starvation bound. ok is
+// false if the class has none.
 func (i *Item) StarveAt() (at time.Time, ok bool) {
 	if i.Offer.Terms.StarveAfter <= 0 {
 		return time.Time{}, false
@@ -44,25 +44,25 @@
 	return i.Arrived.Add(i.Offer.Terms.StarveAfter), true
 }
 
-// starveLimit returns when the guard no longer waits for higher tiers.
+// starveLimit returns the time after which the starvation guard no longer gives way to higher tiers.
 func (i *Item) starveLimit() time.Time {
 	return i.Arrived.Add(2 * i.Offer.Terms.StarveAfter)
 }
 
-// byDeadline orders a class's items that are not late.
+// byDeadline is an item in the heap of the on-time items of a class.
 type byDeadline struct{ *Item }
 
-// Before puts the earliest deadline first.
+// Before orders by deadline, earliest first.
 func (d byDeadline) Before(o byDeadline) bool { return d.Deadline.Before(o.Deadline) }
 
-// Moved notes the place.
-func (d byDeadline) Moved(place int) { d.due = place }
+// Moved records the index in the heap.
+func (d byDeadline) Moved(index int) { d.deadlineIndex = index }
 
-// byArrival orders all items of a class, the longest waiting first.
+// byArrival is an item in the heap of all items of a class.
 type byArrival struct{ *Item }
 
-// Before puts the earliest arrival first.
+// Before orders by arrival, earliest first.
 func (a byArrival) Before(o byArrival) bool { return a.Arrived.Before(o.Arrived) }
 
-// Moved notes the place.
-func (a byArrival) Moved(place int) { a.starve = place }
+// Moved records the index in the heap.
+func (a byArrival) Moved(index int) { a.arrivalIndex = index }
--- a/coord/queue/queue.go
+++ b/coord/queue/queue.go
@@ -6,33 +6,33 @@
 	"time"
 )
 
-// DefaultBound is the length of a queue whose Bound is zero.
+// DefaultBound is the bound of a queue whose Bound is 0 or less.
 const DefaultBound = 4096
 
-// Queue holds the waiting offers of one target. The zero value is an empty
+// Queue holds the queued offers of one target. The zero value is an empty
 // queue with the default bound. It is not safe for concurrent use.
 type Queue struct {
-	Bound int // most items held
+	Bound int // most items in the queue
 
 	items   map[Key]*Item
 	classes []*class // by tier, then by name
 	byName  map[string]*class
-	recent  map[int]*list.List // per tier, in order of arrival here
+	byTier  map[int]*list.List // items of each tier, in the order of Push
 }
 
-// Room is what the guard needs to know of the endpoints.
+// Room is the capacity of the endpoints, an input of the starvation guard.
 type Room struct {
-	Slots    int                    // concurrent work the endpoints allow
-	NextFree time.Duration          // expected time between two slots that fall free
-	Running  func(class string) int // running work of the class, held slots included
+	Slots    int                    // most concurrent work of the endpoints
+	NextFree time.Duration          // expected time between two slots becoming free
+	Running  func(class string) int // running work of the class, including held slots
 }
 
-// Len returns the number of waiting offers.
+// Len returns the number of queued offers.
 func (q *Queue) Len() int { return len(q.items) }
 
-// LenTier returns the number of waiting offers of one tier.
+// LenTier returns the number of queued offers of one tier.
 func (q *Queue) LenTier(tier int) int {
-	if l, ok := q.recent[tier]; ok {
+	if l, ok := q.byTier[tier]; ok {
 		return l.Len()
 	}
 	return 0
@@ -41,7 +41,7 @@
 // Get returns the item with the key, or nil.
 func (q *Queue) Get(k Key) *Item { return q.items[k] }
 
-// Items returns every waiting item in no order.
+// Items returns all items in no particular order.
 func (q *Queue) Items() []*Item {
 	all := make([]*Item, 0, len(q.items))
 	for _, i := range q.items {
@@ -50,8 +50,8 @@
 	return all
 }
 
-// Push adds an item. A full queue evicts the latest arrival of its lowest
-// tier, if that is lower than the item's; else it refuses the item.
+// Push adds an item. A full queue evicts the last item of its lowest
+// tier if that tier is lower than the item's; otherwise it refuses the item.
 func (q *Queue) Push(i *Item, now time.Time) (evicted *Item, accepted bool) {
 	if len(q.items) >= q.bound() {
 		evicted = q.evictBelow(i.Offer.Terms.Tier)
@@ -74,20 +74,20 @@
 	if q.items == nil {
 		q.items = map[Key]*Item{}
 		q.byName = map[string]*class{}
-		q.recent = map[int]*list.List{}
+		q.byTier = map[int]*list.List{}
 	}
 	tier := i.Offer.Terms.Tier
-	if q.recent[tier] == nil {
-		q.recent[tier] = list.New()
+	if q.byTier[tier] == nil {
+		q.byTier[tier] = list.New()
 	}
 	i.Queued = now
-	i.recent = q.recent[tier].PushBack(i)
+	i.tierElement = q.byTier[tier].PushBack(i)
 	q.items[i.Key] = i
 	q.classOf(i).push(i, now)
 }
 
-// classOf returns the class of an item. A class whose tier an operator has
-// changed keeps apart from its former self until that has drained.
+// classOf returns the class of an item. If an operator has changed the tier of a class, the items
+// of the old tier stay in a class of their own until it is empty.
 func (q *Queue) classOf(i *Item) *class {
 	name := i.Offer.Terms.Class
 	tier := i.Offer.Terms.Tier
@@ -105,7 +105,7 @@
 
 func (q *Queue) evictBelow(tier int) *Item {
 	lowest := -1
-	for t, l := range q.recent {
+	for t, l := range q.byTier {
 		if l.Len() > 0 {
 			lowest = max(lowest, t)
 		}
@@ -113,12 +113,12 @@
 	if lowest <= tier {
 		return nil
 	}
-	i := q.recent[lowest].Back().Value.(*Item)
+	i := q.byTier[lowest].Back().Value.(*Item)
 	q.remove(i)
 	return i
 }
 
-// Remove takes out an item that is not to be served, if it is there.
+// Remove removes and returns an item that will not be served, nil if it is not in the queue.
 func (q *Queue) Remove(k Key) *Item {
 	i, ok := q.items[k]
 	if !ok {
@@ -130,11 +130,11 @@
 
 func (q *Queue) remove(i *Item) {
 	delete(q.items, i.Key)
-	q.recent[i.Offer.Terms.Tier].Remove(i.recent)
+	q.byTier[i.Offer.Terms.Tier].Remove(i.tierElement)
 	i.class.remove(i)
 }
 
-// Take removes an item that is served and charges its team.
+// Take removes an item to serve it, and charges its team.
 func (q *Queue) Take(i *Item) {
 	q.remove(i)
 	i.class.charge(i)
@@ -179,20 +179,20 @@
 	return nil
 }
 
-// bestOf serves the class with the earliest deadline that can be met, and
-// where all are late the class that has waited longest.
+// bestOf returns the next item of the class with the earliest deadline that can be met. If all
+// items are late, it returns that of the class with the longest waiting item.
 func bestOf(classes []*class) *Item {
-	var fresh, late *class
+	var onTime, late *class
 	for _, c := range classes {
-		if c.due.Len() > 0 && (fresh == nil || c.due.First().Before(fresh.due.First())) {
-			fresh = c
+		if c.byDeadline.Len() > 0 && (onTime == nil || c.byDeadline.First().Before(onTime.byDeadline.First())) {
+			onTime = c
 		}
-		if c.ready[lateList].Len() > 0 && (late == nil || c.oldest.First().Before(late.oldest.First())) {
+		if c.teamHeaps[lateList].Len() > 0 && (late == nil || c.byArrival.First().Before(late.byArrival.First())) {
 			late = c
 		}
 	}
-	if fresh != nil {
-		return fresh.head(freshList)
+	if onTime != nil {
+		return onTime.head(onTimeList)
 	}
 	if late != nil {
 		return late.head(lateList)
@@ -200,16 +200,16 @@
 	return nil
 }
 
-// starving returns the longest waiting item past its class's bound, if the
-// class's floor share is not used up and no higher waiter would miss its
-// target by it, or if the wait has reached twice the bound.
+// starving returns the item past its class's starvation bound that is most overdue. Its class must
+// not use its full floor share, and either no queued item of a higher tier misses its target by it,
+// or the wait has reached twice the bound.
 func (q *Queue) starving(now time.Time, r Room) *Item {
-	var worst *Item
+	var mostOverdue *Item
 	for _, c := range q.classes {
 		if c.len() == 0 {
 			continue
 		}
-		i := c.oldest.First().Item
+		i := c.byArrival.First().Item
 		at, bounded := i.StarveAt()
 		if !bounded || at.After(now) || r.floorUsed(i) {
 			continue
@@ -217,15 +217,15 @@
 		if i.starveLimit().After(now) && q.wouldMiss(c.tier, now, r.NextFree) {
 			continue
 		}
-		if worst == nil || i.starveLimit().Before(worst.starveLimit()) {
-			worst = i
+		if mostOverdue == nil || i.starveLimit().Before(mostOverdue.starveLimit()) {
+			mostOverdue = i
 		}
 	}
-	return worst
+	return mostOverdue
 }
 
-// floorUsed tells whether the class runs as much as its floor share allows; a
-// class that runs nothing may always start one.
+// floorUsed reports whether the class uses its full floor share. A class without running work may
+// always start one request.
 func (r Room) floorUsed(i *Item) bool {
 	if r.Running == nil {
 		return false
@@ -234,14 +234,14 @@
 	return r.Running(i.Offer.Terms.Class) >= max(1, floor)
 }
 
-// wouldMiss tells whether a waiter above the tier misses its target when the
-// next slot goes to another.
+// wouldMiss reports whether a queued item above the tier misses its target if the
+// next slot is assigned to another item.
 func (q *Queue) wouldMiss(tier int, now time.Time, nextFree time.Duration) bool {
 	for _, c := range q.classes {
 		if c.tier >= tier {
 			return false
 		}
-		if c.due.Len() > 0 && c.due.First().Deadline.Before(now.Add(nextFree)) {
+		if c.byDeadline.Len() > 0 && c.byDeadline.First().Deadline.Before(now.Add(nextFree)) {
 			return true
 		}
 	}
--- a/coord/queue/queue_test.go
+++ b/coord/queue/queue_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// property checks a rule of the queue against random steps, the same each run.
+// property checks a property with rapid and a fixed seed.
 func property(check func(*rapid.T)) {
 	Expect(flag.Set("rapid.seed", "1")).To(Succeed())
 	Expect(flag.Set("rapid.nofailfile", "true")).To(Succeed())
@@ -58,14 +58,14 @@
 		Expect(tiers).To(Equal([]int{0, 0, 1, 2}))
 	})
 
-	It("serves what can meet its target before what is late, and the late ones after", func() {
+	It("serves items that can meet their target before late ones", func() {
 		var q queue.Queue
 		late := item(1, class(0), start.Add(-5*time.Second))
-		fresh := item(2, class(0), start)
+		onTime := item(2, class(0), start)
 		q.Push(late, start)
-		q.Push(fresh, start)
-		Expect(q.Peek(start, queue.Room{Slots: 4})).To(BeIdenticalTo(fresh))
-		q.Take(fresh)
+		q.Push(onTime, start)
+		Expect(q.Peek(start, queue.Room{Slots: 4})).To(BeIdenticalTo(onTime))
+		q.Take(onTime)
 		Expect(q.Peek(start, queue.Room{Slots: 4})).To(BeIdenticalTo(late))
 	})
 
@@ -76,7 +76,7 @@
 				tier := rapid.IntRange(0, 3).Draw(t, "tier")
 				evicted, accepted := q.Push(item(n, class(tier), start), start)
 				if evicted != nil && evicted.Offer.Terms.Tier <= tier {
-					t.Fatalf("tier %d made room for tier %d", evicted.Offer.Terms.Tier, tier)
+					t.Fatalf("tier %d was evicted for tier %d", evicted.Offer.Terms.Tier, tier)
 				}
 				for lower := tier + 1; !accepted && lower <= 3; lower++ {
 					if q.LenTier(lower) > 0 {
@@ -118,15 +118,15 @@
 				q.Take(i)
 			}
 			for team, w := range weights {
-				due := float64(picks*w) / float64(sum)
-				if math.Abs(float64(served[team])-due) > 0.05*due+1 {
+				share := float64(picks*w) / float64(sum)
+				if math.Abs(float64(served[team])-share) > 0.05*share+1 {
 					t.Fatalf("team %d with weight %d of %d was served %d times", team, w, sum, served[team])
 				}
 			}
 		})
 	})
 
-	It("lets no class wait longer than twice its bound while slots fall free", func() {
+	It("lets no class wait longer than twice its bound while slots become free", func() {
 		property(func(t *rapid.T) {
 			step := time.Duration(rapid.IntRange(50, 500).Draw(t, "step")) * time.Millisecond
 			var q queue.Queue
@@ -150,7 +150,7 @@
 		})
 	})
 
-	It("keeps the guard to the class's floor", func() {
+	It("limits the starvation guard to the class's floor", func() {
 		var q queue.Queue
 		q.Push(item(1, class(2), start.Add(-time.Minute)), start)
 		high := item(2, class(0), start)
@@ -159,10 +159,10 @@
 		Expect(q.Peek(start, busy)).To(BeIdenticalTo(high))
 	})
 
-	It("agrees with a plain list about what it holds", func() {
+	It("holds the same items as a reference set", func() {
 		property(func(t *rapid.T) {
 			var q queue.Queue
-			held := map[queue.Key]bool{}
+			want := map[queue.Key]bool{}
 			now := start
 			for n := range rapid.IntRange(1, 80).Draw(t, "steps") {
 				now = now.Add(time.Duration(rapid.IntRange(0, 800).Draw(t, "pause")) * time.Millisecond)
@@ -172,21 +172,21 @@
 					terms.Team = rapid.StringMatching("[a-d]").Draw(t, "team")
 					i := item(n, terms, now)
 					q.Push(i, now)
-					held[i.Key] = true
+					want[i.Key] = true
 				case 1:
 					if i := q.Peek(now, queue.Room{Slots: 4}); i != nil {
 						q.Take(i)
-						delete(held, i.Key)
+						delete(want, i.Key)
 					}
 				case 2:
 					k := queue.Key{Owner: 1, Request: message.RequestID(rapid.IntRange(0, n).Draw(t, "id"))}
-					if (q.Remove(k) != nil) != held[k] {
-						t.Fatalf("item %d: held is %v", k.Request, held[k])
+					if (q.Remove(k) != nil) != want[k] {
+						t.Fatalf("item %d: want in queue %v", k.Request, want[k])
 					}
-					delete(held, k)
+					delete(want, k)
 				}
-				if q.Len() != len(held) {
-					t.Fatalf("%d items, want %d", q.Len(), len(held))
+				if q.Len() != len(want) {
+					t.Fatalf("%d items, want %d", q.Len(), len(want))
 				}
 			}
 		})
