--- a/coord/binding/action.go
+++ b/coord/binding/action.go
@@ -1,7 +1,7 @@
-// Package binding is the decision part of an entry: which agents a request is
-// offered to, which one starts it, what is tried again, and what is refused.
+// Package binding implements the decisions of an entry: the agents to which a request is
+// offered, the agent that starts it, retries, and refusals.
 // It does no I/O and starts no goroutine; clock and randomness are passed in.
-// The caller serialises the calls and carries out the returned actions.
+// The caller serialises the calls and executes the returned actions.
 package binding
 
 import (
@@ -11,7 +11,7 @@
 	"foxcross.dev/coord/result"
 )
 
-// Action is something the caller has to do.
+// Action is an operation that the caller executes.
 type Action interface{ action() }
 
 // Send sends a control message to an agent.
@@ -28,20 +28,20 @@
 	Attempt message.Attempt
 }
 
-// Cancel stops an attempt that was started.
+// Cancel stops a started attempt.
 type Cancel struct {
 	Agent   string
 	Request message.RequestID
 	Attempt message.Attempt
 }
 
-// Finish gives the caller the final answer of a request.
+// Finish returns the final result of a request to the caller.
 type Finish struct {
 	Request    message.RequestID
 	Code       result.Code
 	Run        result.Run
 	RetryAfter time.Duration
-	End        message.End // of the attempt that ended it, if one did
+	End        message.End // of the attempt that ended the request, if any
 }
 
 func (Send) action()   {}
--- a/coord/binding/agent.go
+++ b/coord/binding/agent.go
@@ -11,58 +11,58 @@
 
 // agent is an agent with a connection.
 type agent struct {
-	name    string
-	hash    uint64
-	leaving bool
-	trip    time.Duration // round trip of the connection
-	circuit health.Circuit
-	routes  map[string]*route
-	started int // attempts running there
-	seen    int // blocks of the prompt that is being placed, else 0
+	name         string
+	hash         uint64
+	leaving      bool
+	roundTrip    time.Duration // round-trip time of the connection
+	circuit      health.Circuit
+	routes       map[string]*route
+	started      int // attempts that run at the agent
+	cachedBlocks int // leading blocks that it has received of the prompt being placed, else 0
 }
 
-// route is what is known of one target at one agent.
+// route is one target at one agent.
 type route struct {
-	agent    *agent
-	load     message.Load
-	reported int64 // time of the report in ns
-	sent     int   // offers sent since the last report
+	agent      *agent
+	load       message.Load
+	reportedAt int64 // time of the last report, in ns since 1970
+	sent       int   // offers sent since the last report
 }
 
-// mayOffer tells whether the agent may get an offer now.
-func (p *agent) mayOffer(now time.Time) bool {
-	return !p.leaving && p.circuit.Allows(now, p.started)
+// mayOffer reports whether an offer may be sent to the agent now.
+func (a *agent) mayOffer(now time.Time) bool {
+	return !a.leaving && a.circuit.Allows(now, a.started)
 }
 
-// AgentUp makes an agent known whose connection has opened.
-func (c *Core) AgentUp(now time.Time, name string, trip time.Duration) []Action {
+// AgentUp adds an agent whose connection has opened.
+func (c *Core) AgentUp(now time.Time, name string, roundTrip time.Duration) []Action {
 	c.init()
 	if c.agents[name] != nil {
-		c.dropAgent(now, name)
+		c.removeAgent(now, name)
 	}
-	c.agents[name] = &agent{name: name, hash: rendezvous.Hash(name), trip: trip, routes: map[string]*route{}}
-	return c.take()
+	c.agents[name] = &agent{name: name, hash: rendezvous.Hash(name), roundTrip: roundTrip, routes: map[string]*route{}}
+	return c.takeActions()
 }
 
-// AgentDown handles the loss of an agent's connection: its offers were not run,
-// its starts may have been.
+// AgentDown handles the loss of an agent's connection. Offers to the agent have not run,
+// started attempts may have run.
 func (c *Core) AgentDown(now time.Time, name string) []Action {
 	if c.agents[name] != nil {
-		c.dropAgent(now, name)
+		c.removeAgent(now, name)
 	}
-	return c.take()
+	return c.takeActions()
 }
 
-func (c *Core) dropAgent(now time.Time, name string) {
-	p := c.agents[name]
+func (c *Core) removeAgent(now time.Time, name string) {
+	a := c.agents[name]
 	delete(c.agents, name)
-	for target, r := range p.routes {
-		c.unroute(target, r)
+	for target, r := range a.routes {
+		c.removeRoute(target, r)
 	}
 	for _, r := range c.sorted() {
 		switch {
 		case r.startedAt == name:
-			c.lost(now, r)
+			c.handleLostStart(now, r)
 		case r.offers[name] == waiting:
 			r.offers[name] = failed
 			c.widen(now, r)
@@ -70,21 +70,21 @@
 	}
 }
 
-func (c *Core) unroute(target string, r *route) {
+func (c *Core) removeRoute(target string, r *route) {
 	c.routes[target] = slices.DeleteFunc(c.routes[target], func(o *route) bool { return o == r })
 	if len(c.routes[target]) == 0 {
 		delete(c.routes, target)
 	}
 }
 
-// AgentLeaving notes that an agent takes no new work, whoever says so.
+// AgentLeaving records that an agent accepts no new work, whatever the source of the information.
 func (c *Core) AgentLeaving(name string) {
-	if p := c.agents[name]; p != nil {
-		p.leaving = true
+	if a := c.agents[name]; a != nil {
+		a.leaving = true
 	}
 }
 
-// Uses tells whether the agent has offers or work of this entry.
+// Uses reports whether the agent has open offers or running attempts of this entry.
 func (c *Core) Uses(name string) bool {
 	for _, r := range c.requests {
 		if r.startedAt == name || r.offers[name] == waiting {
@@ -94,30 +94,30 @@
 	return false
 }
 
-// Heartbeat takes an agent's report.
+// Heartbeat records an agent's report of its loads.
 func (c *Core) Heartbeat(now time.Time, name string, h message.Heartbeat) []Action {
-	p := c.agents[name]
-	if p == nil {
+	a := c.agents[name]
+	if a == nil {
 		return nil
 	}
-	p.leaving = p.leaving || h.Leaving
+	a.leaving = a.leaving || h.Leaving
 	for _, l := range h.Loads {
-		r := p.routes[l.Target]
+		r := a.routes[l.Target]
 		if r == nil {
-			r = &route{agent: p}
-			p.routes[l.Target] = r
+			r = &route{agent: a}
+			a.routes[l.Target] = r
 			c.routes[l.Target] = append(c.routes[l.Target], r)
-			c.wakeWaiting(now, l.Target)
+			c.offerWaiting(now, l.Target)
 		}
 		r.load = l
-		r.reported = now.UnixNano()
+		r.reportedAt = now.UnixNano()
 		r.sent = 0
 	}
-	return c.take()
+	return c.takeActions()
 }
 
-// wakeWaiting lets requests that have no offer out look at a new route.
-func (c *Core) wakeWaiting(now time.Time, target string) {
+// offerWaiting offers requests without an open offer over a new route.
+func (c *Core) offerWaiting(now time.Time, target string) {
 	for _, r := range c.sorted() {
 		if r.Target == target && r.waiting() == 0 && r.state == offering {
 			c.widen(now, r)
--- a/coord/binding/choose.go
+++ b/coord/binding/choose.go
@@ -11,15 +11,17 @@
 )
 
 const (
-	// freshReport is the age up to which a report counts in full. Two heartbeats.
-	freshReport = 2 * time.Second
-	// staleShare is the share of a report's further age that is added to the wait.
-	staleShare = 0.25
-	// cachedSaving is the share of the prefill that cached tokens save.
+	// fullReportAge is the age up to which a report is used as it is: two heartbeats.
+	fullReportAge = 2 * time.Second
+	// staleWaitFraction is the fraction of a report's age beyond fullReportAge that is added to
+	// the wait.
+	staleWaitFraction = 0.25
+	// cachedSaving is the fraction of their prefill time that cached tokens save.
 	cachedSaving = 0.8
-	// hashSaving is the same where only the hash says who has them.
+	// hashSaving is the fraction of the time to the first token that the preferred agent of the
+	// prompt's hash is assumed to save.
 	hashSaving = 0.3
-	// answerSlack is how long an agent may take to answer beyond two round trips.
+	// answerSlack is the time that an agent may take to answer beyond two round trips.
 	answerSlack = 5 * time.Millisecond
 )
 
@@ -29,17 +31,17 @@
 	score time.Duration
 }
 
-// choose returns up to count untried agents for the request, best first.
+// choose returns routes to up to count agents that were not tried for the request, best first.
 func (c *Core) choose(now time.Time, r *request, count int) []*route {
-	defer c.markSeen(r)()
-	home := c.home(r)
-	clock := now.UnixNano()
+	defer c.setCachedBlocks(r)()
+	preferred := c.preferred(r)
+	nowNS := now.UnixNano()
 	best := c.scratch[:0]
 	for _, o := range c.routes[r.Target] {
 		if len(r.offers) > 0 && r.tried(o.agent.name) || !o.agent.mayOffer(now) {
 			continue
 		}
-		s := c.score(clock, r, o, o == home)
+		s := c.score(nowNS, r, o, o == preferred)
 		if len(best) < count || s < best[len(best)-1].score {
 			best = insert(best, candidate{o, s}, count)
 		}
@@ -52,25 +54,25 @@
 	return chosen
 }
 
-// markSeen notes at each agent how much of the prompt's beginning it has seen,
-// until the returned function is called.
-func (c *Core) markSeen(r *request) (clear func()) {
-	seen := c.seen.Longest(r.Prefix)
+// setCachedBlocks sets the cachedBlocks of each agent for the request's prompt. The returned
+// function resets them.
+func (c *Core) setCachedBlocks(r *request) (reset func()) {
+	seen := c.prefixes.Longest(r.Prefix)
 	for name, blocks := range seen {
-		if p := c.agents[name]; p != nil {
-			p.seen = blocks
+		if a := c.agents[name]; a != nil {
+			a.cachedBlocks = blocks
 		}
 	}
 	return func() {
 		for name := range seen {
-			if p := c.agents[name]; p != nil {
-				p.seen = 0
+			if a := c.agents[name]; a != nil {
+				a.cachedBlocks = 0
 			}
 		}
 	}
 }
 
-// insert keeps the count best candidates in order.
+// insert inserts k into the ordered best candidates and returns at most count of them.
 func insert(best []candidate, k candidate, count int) []candidate {
 	at := len(best)
 	for at > 0 && k.score < best[at-1].score {
@@ -83,9 +85,9 @@
 	return best[:min(len(best), count)]
 }
 
-// home is the agent that the hash of the prompt's first block points at. All
-// entries find the same one without talking.
-func (c *Core) home(r *request) *route {
+// preferred returns the route to the agent that ranks highest for the hash of the prompt's first
+// block. All entries compute the same agent without communication.
+func (c *Core) preferred(r *request) *route {
 	if len(r.Prefix) == 0 {
 		return nil
 	}
@@ -101,30 +103,30 @@
 	return best
 }
 
-// score is the expected time to the first token at the agent.
-func (c *Core) score(clock int64, r *request, o *route, home bool) time.Duration {
+// score returns the expected time to the first token over the route.
+func (c *Core) score(nowNS int64, r *request, o *route, preferred bool) time.Duration {
 	wait := o.wait(r.Terms.Tier)
-	if age := time.Duration(clock - o.reported); age > freshReport {
-		wait += time.Duration(staleShare * float64(age-freshReport))
+	if age := time.Duration(nowNS - o.reportedAt); age > fullReportAge {
+		wait += time.Duration(staleWaitFraction * float64(age-fullReportAge))
 	}
 	first := o.load.FirstToken
-	if o.agent.seen > 0 && r.PromptTokens > 0 {
-		saving := cachedSaving * min(1, float64(o.agent.seen*affinity.BlockTokens)/float64(r.PromptTokens))
+	if o.agent.cachedBlocks > 0 && r.PromptTokens > 0 {
+		saving := cachedSaving * min(1, float64(o.agent.cachedBlocks*affinity.BlockTokens)/float64(r.PromptTokens))
 		first -= time.Duration(saving * float64(first))
-	} else if home {
+	} else if preferred {
 		first -= time.Duration(hashSaving * float64(first))
 	}
-	return wait + first + o.slowness(r.Terms) + o.agent.trip/2 + c.jitter(o.load.SlotInterval/4)
+	return wait + first + o.slowness(r.Terms) + o.agent.roundTrip/2 + c.jitter(o.load.SlotInterval/4)
 }
 
-// jitter is a random duration below most, so that entries with the same view
-// don't all choose the same agent.
-func (c *Core) jitter(most time.Duration) time.Duration {
-	high, _ := bits.Mul64(c.Rand.Uint64(), uint64(most))
+// jitter returns a random duration below limit, so that entries with the same reports
+// do not all choose the same agent.
+func (c *Core) jitter(limit time.Duration) time.Duration {
+	high, _ := bits.Mul64(c.Rand.Uint64(), uint64(limit))
 	return time.Duration(high)
 }
 
-// wait is the reported wait of the tier, corrected by own offers since.
+// wait returns the reported wait of the tier, corrected by the own offers since the report.
 func (o *route) wait(tier int) time.Duration {
 	tier = min(max(tier, 0), message.Tiers-1)
 	over := o.sent - o.load.Free
@@ -138,16 +140,16 @@
 	return wait
 }
 
-// hasRoom tells whether the agent reported more free slots than this entry has
-// sent offers since. Such an agent is asked alone first: if others were asked
-// too, the fastest answer would win and not the best choice.
-func (o *route) hasRoom() bool { return o.sent < o.load.Free }
+// hasFreeSlot reports whether the agent reported more free slots than this entry has
+// sent offers since. Such an agent first gets the only offer: if others got offers
+// too, the fastest answer would win, not the best choice.
+func (o *route) hasFreeSlot() bool { return o.sent < o.load.Free }
 
-// answerTime is how long an agent with room is waited for before others are
-// asked.
-func (o *route) answerTime() time.Duration { return 2*o.agent.trip + answerSlack }
+// answerTime returns how long to wait for the answer of an agent with a free slot before the
+// request is offered to others.
+func (o *route) answerTime() time.Duration { return 2*o.agent.roundTrip + answerSlack }
 
-// slowness is a penalty for endpoints that miss the target between tokens.
+// slowness returns a penalty for endpoints that miss the target of the time between tokens.
 func (o *route) slowness(t message.Terms) time.Duration {
 	if t.BetweenTokens <= 0 || o.load.BetweenTokens <= t.BetweenTokens {
 		return 0
--- a/coord/binding/core.go
+++ b/coord/binding/core.go
@@ -12,49 +12,49 @@
 )
 
 const (
-	// DefaultFanout is how many agents a request is offered to at once.
+	// DefaultFanout is the number of agents to which a request is offered at once by default.
 	DefaultFanout = 3
-	// DefaultRequests bounds the open requests.
+	// DefaultRequests is the most open requests by default.
 	DefaultRequests = 20000
 
-	// slackShare is the part of the time left to the target after which a request is offered
-	// to more agents, as one part in so many.
-	slackShare = 8
+	// slackDivisor divides the time left to the target to give the time after which a request is
+	// offered to more agents.
+	slackDivisor = 8
 	// minWiden and maxWiden bound that time.
 	minWiden = 20 * time.Millisecond
 	maxWiden = 500 * time.Millisecond
-	// firstBackoff and maxBackoff bound the pause after all agents have declined.
-	firstBackoff = 50 * time.Millisecond
-	maxBackoff   = time.Second
-	// maxFailures bounds the attempts of a request that failed.
+	// minBackoff and maxBackoff bound the pause after all agents have declined.
+	minBackoff = 50 * time.Millisecond
+	maxBackoff = time.Second
+	// maxFailures is the most failed attempts of a request.
 	maxFailures = 6
-	// maxPreempted is after how many preemptions a request asks not to be preempted again.
+	// maxPreempted is the number of preemptions after which a request is offered as not preemptible.
 	maxPreempted = 3
-	// retryBurst is how many retries a class may have saved up.
+	// retryBurst is the most retries in the budget of a class.
 	retryBurst = 50
-	// minRetry is the shortest time after which a refused caller is told to come back.
-	minRetry = time.Second
-	// stallGrace is how much longer than its class allows an attempt may bring nothing before
-	// it counts as lost.
+	// minRetryAfter is the shortest Retry-After of a refusal.
+	minRetryAfter = time.Second
+	// stallGrace is the time beyond the class's StallAfter after which an attempt without
+	// progress counts as lost.
 	stallGrace = 2 * time.Second
 )
 
-// Core decides for one entry. Rand must be set.
+// Core makes the decisions of one entry. Rand must be set.
 type Core struct {
 	Rand     *rand.Rand
-	Fanout   int // agents offered at once, 0 for DefaultFanout
-	Requests int // most requests held, 0 for DefaultRequests
+	Fanout   int // agents to which a request is offered at once, 0 for DefaultFanout
+	Requests int // most open requests, 0 for DefaultRequests
 
 	agents   map[string]*agent
 	routes   map[string][]*route
 	requests map[message.RequestID]*request
-	wakes    heaps.Heap[*request] // by the time they want to be looked at
-	seen     affinity.Table
+	timers   heaps.Heap[*request] // open requests by dueAt
+	prefixes affinity.Table
 	budgets  map[string]float64
 	last     message.RequestID
 	draining bool
 	scratch  []candidate
-	out      []Action
+	actions  []Action
 }
 
 func (c *Core) init() {
@@ -67,13 +67,14 @@
 	c.budgets = map[string]float64{}
 }
 
-func (c *Core) take() []Action {
-	out := c.out
-	c.out = nil
-	return out
+// takeActions returns and clears the collected actions.
+func (c *Core) takeActions() []Action {
+	actions := c.actions
+	c.actions = nil
+	return actions
 }
 
-func (c *Core) emit(a Action) { c.out = append(c.out, a) }
+func (c *Core) emit(a Action) { c.actions = append(c.actions, a) }
 
 // sorted returns the requests in order of arrival.
 func (c *Core) sorted() []*request {
@@ -85,23 +86,23 @@
 	return all
 }
 
-// Accept takes a request and offers it. A request that can't be taken is
+// Accept accepts a request and offers it to agents. A refused request is
 // finished in the returned actions.
 func (c *Core) Accept(now time.Time, q Request) (message.RequestID, []Action) {
 	c.init()
 	c.last++
 	id := c.last
 	if code := c.refusal(q); code != result.OK {
-		c.emit(Finish{Request: id, Code: code, Run: result.NotRun, RetryAfter: minRetry})
-		return id, c.take()
+		c.emit(Finish{Request: id, Code: code, Run: result.NotRun, RetryAfter: minRetryAfter})
+		return id, c.takeActions()
 	}
-	r := &request{Request: q, id: id, accepted: now, waits: now, state: offering, attempt: 1, offers: map[string]offer{}}
-	r.wake = now.Add(q.GiveUp)
+	r := &request{Request: q, id: id, accepted: now, waitingSince: now, state: offering, attempt: 1, offers: map[string]offer{}}
+	r.dueAt = now.Add(q.GiveUp)
 	c.requests[id] = r
-	c.wakes.Push(r)
+	c.timers.Push(r)
 	c.earnRetries(q)
 	c.widen(now, r)
-	return id, c.take()
+	return id, c.takeActions()
 }
 
 func (c *Core) refusal(q Request) result.Code {
@@ -114,15 +115,15 @@
 		return result.Draining
 	case len(c.requests) >= bound:
 		return result.EntryFull
-	case !c.served(q.Target):
+	case !c.isServed(q.Target):
 		return result.NoEndpoint
 	default:
 		return result.OK
 	}
 }
 
-// served tells whether an agent that is not leaving serves the target.
-func (c *Core) served(target string) bool {
+// isServed reports whether an agent that is not leaving serves the target.
+func (c *Core) isServed(target string) bool {
 	for _, o := range c.routes[target] {
 		if !o.agent.leaving {
 			return true
@@ -131,9 +132,9 @@
 	return false
 }
 
-// exhausted handles a request that no agent in reach has in its queue.
+// exhausted handles a request that has no open offer and no agent left to try.
 func (c *Core) exhausted(now time.Time, r *request) {
-	if r.attempt == 1 && !c.served(r.Target) {
+	if r.attempt == 1 && !c.isServed(r.Target) {
 		c.refuse(r, result.NoEndpoint)
 		return
 	}
@@ -141,16 +142,16 @@
 		c.refuse(r, result.QueueFull)
 		return
 	}
-	pause := min(maxBackoff, firstBackoff<<min(r.rounds, 5))
+	pause := min(maxBackoff, minBackoff<<min(r.rounds, 5))
 	pause = pause/2 + time.Duration(c.Rand.Int64N(int64(pause/2)))
 	r.rounds++
 	clear(r.offers)
 	r.nextWiden = now.Add(pause)
-	c.rewake(r)
+	c.resetTimer(r)
 }
 
-// allTried tells whether every agent that serves the target and is not leaving
-// was asked, ejected ones too.
+// allTried reports whether the request was offered to every agent that serves the target and
+// is not leaving. Ejected agents count as tried.
 func (c *Core) allTried(now time.Time, r *request) bool {
 	for _, o := range c.routes[r.Target] {
 		if !o.agent.leaving && !r.tried(o.agent.name) && o.agent.mayOffer(now) {
@@ -165,7 +166,7 @@
 	c.close(r, Finish{Request: r.id, Code: code, Run: r.run(), RetryAfter: c.retryAfter(r)})
 }
 
-// retryAfter is the shortest wait any agent expects for the request's tier.
+// retryAfter returns the shortest expected wait of any agent for the request's tier, within bounds.
 func (c *Core) retryAfter(r *request) time.Duration {
 	best := time.Duration(-1)
 	for _, o := range c.routes[r.Target] {
@@ -173,12 +174,12 @@
 			best = w
 		}
 	}
-	return min(time.Minute, max(minRetry, best))
+	return min(time.Minute, max(minRetryAfter, best))
 }
 
-// withdraw takes back all waiting offers but the one to the named agent.
+// withdraw withdraws all waiting offers except the one to the named agent.
 func (c *Core) withdraw(r *request, except string) {
-	for _, name := range r.waitingPeers() {
+	for _, name := range r.waitingAgents() {
 		delete(r.offers, name)
 		if name == except {
 			continue
@@ -187,7 +188,7 @@
 	}
 }
 
-func (r *request) waitingPeers() []string {
+func (r *request) waitingAgents() []string {
 	var names []string
 	for n, o := range r.offers {
 		if o == waiting {
@@ -200,35 +201,35 @@
 
 func (c *Core) close(r *request, f Finish) {
 	r.fire(end)
-	c.detach(r)
+	c.unassign(r)
 	delete(c.requests, r.id)
-	c.wakes.Remove(r.place)
+	c.timers.Remove(r.timerIndex)
 	c.emit(f)
 }
 
-// rewake files the request under the next time it wants attention.
-func (c *Core) rewake(r *request) {
+// resetTimer sets dueAt of the request to the next time at which Tick must handle it.
+func (c *Core) resetTimer(r *request) {
 	if r.state == started {
-		r.wake = r.lastToken.Add(r.stallBound())
+		r.dueAt = r.lastProgress.Add(r.stallBound())
 	} else {
-		r.wake = r.giveUpAt()
-		if r.nextWiden.Before(r.wake) {
-			r.wake = r.nextWiden
+		r.dueAt = r.giveUpAt()
+		if r.nextWiden.Before(r.dueAt) {
+			r.dueAt = r.nextWiden
 		}
 	}
-	c.wakes.Fix(r.place)
+	c.timers.Fix(r.timerIndex)
 }
 
-// Next returns when Tick has something to do; ok is false when nothing waits.
+// Next returns the time for the next call of Tick. ok is false if no request is open.
 func (c *Core) Next() (at time.Time, ok bool) {
-	if c.wakes.Len() == 0 {
+	if c.timers.Len() == 0 {
 		return time.Time{}, false
 	}
-	return c.wakes.First().wake, true
+	return c.timers.First().dueAt, true
 }
 
-// Drain refuses new requests from now on.
+// Drain makes the core refuse new requests.
 func (c *Core) Drain() { c.draining = true }
 
-// Targets returns how many targets some agent serves.
+// Targets returns the number of targets that agents serve.
 func (c *Core) Targets() int { return len(c.routes) }
--- a/coord/binding/dump.go
+++ b/coord/binding/dump.go
@@ -8,7 +8,7 @@
 	"foxcross.dev/coord/message"
 )
 
-// Dump is the state of a Core at one moment.
+// Dump is a snapshot of the state of a Core.
 type Dump struct {
 	Draining bool               `json:"draining"`
 	Agents   []AgentDump        `json:"peers"`
@@ -16,7 +16,7 @@
 	Budgets  map[string]float64 `json:"retry_budgets"`
 }
 
-// AgentDump is one agent.
+// AgentDump is the state of one agent.
 type AgentDump struct {
 	Name     string      `json:"name"`
 	Leaving  bool        `json:"leaving"`
@@ -36,7 +36,7 @@
 	WaitMS [message.Tiers]int64 `json:"wait_ms_by_tier"`
 }
 
-// RequestDump is one open request.
+// RequestDump is the state of one open request.
 type RequestDump struct {
 	Request  message.RequestID `json:"request"`
 	Class    string            `json:"class"`
@@ -50,17 +50,17 @@
 	Retrying int               `json:"rounds"`
 }
 
-// maxDumped bounds the open requests of a dump.
-const maxDumped = 1000
+// maxDumpRequests is the most open requests in a dump.
+const maxDumpRequests = 1000
 
-// Dump returns the state.
+// Dump returns a snapshot of the state.
 func (c *Core) Dump(now time.Time) Dump {
 	d := Dump{Draining: c.draining, Budgets: maps.Clone(c.budgets)}
 	for _, n := range slices.Sorted(maps.Keys(c.agents)) {
 		d.Agents = append(d.Agents, c.agents[n].dump(now))
 	}
 	for _, r := range c.sorted() {
-		if len(d.Requests) == maxDumped {
+		if len(d.Requests) == maxDumpRequests {
 			break
 		}
 		d.Requests = append(d.Requests, r.dump(now))
@@ -68,16 +68,16 @@
 	return d
 }
 
-func (p *agent) dump(now time.Time) AgentDump {
-	d := AgentDump{Name: p.name, Leaving: p.leaving, Health: string(p.circuit.State()), Started: p.started}
-	for _, t := range slices.Sorted(maps.Keys(p.routes)) {
-		r := p.routes[t]
+func (a *agent) dump(now time.Time) AgentDump {
+	d := AgentDump{Name: a.name, Leaving: a.leaving, Health: string(a.circuit.State()), Started: a.started}
+	for _, t := range slices.Sorted(maps.Keys(a.routes)) {
+		r := a.routes[t]
 		l := RouteDump{Target: t, Slots: r.load.Slots, Free: r.load.Free, Sent: r.sent, Queued: r.load.Queued}
 		for tier, w := range r.load.Wait {
 			l.WaitMS[tier] = w.Milliseconds()
 		}
 		d.Loads = append(d.Loads, l)
-		d.ReportMS = time.Duration(now.UnixNano() - r.reported).Milliseconds()
+		d.ReportMS = time.Duration(now.UnixNano() - r.reportedAt).Milliseconds()
 	}
 	return d
 }
--- a/coord/binding/events.go
+++ b/coord/binding/events.go
@@ -7,7 +7,8 @@
 	"foxcross.dev/coord/result"
 )
 
-// stallBound is later than the agent's own, which normally comes first.
+// stallBound returns the time without progress after which an attempt counts as lost. It is longer
+// than the agent's own bound, which normally applies first.
 func (r *request) stallBound() time.Duration {
 	if r.Terms.StallAfter <= 0 {
 		return time.Hour
@@ -15,54 +16,54 @@
 	return r.Terms.StallAfter + stallGrace
 }
 
-// Ready answers an agent's ready with the start, or gives the slot back.
+// Ready answers an agent's ready message with the start, or withdraws the offer.
 func (c *Core) Ready(now time.Time, name string, m message.Ready) []Action {
 	r := c.requests[m.Request]
 	if r == nil || r.attempt != m.Attempt || r.offers[name] != waiting || !r.fire(bind) {
 		c.emit(Send{Agent: name, Message: message.Withdraw{Request: m.Request, Attempt: m.Attempt}})
-		return c.take()
+		return c.takeActions()
 	}
 	c.withdraw(r, name)
 	r.startedAt = name
 	r.ranBefore = r.mayHaveRun
 	r.mayHaveRun = true
-	r.lastToken = now
-	if p := c.agents[name]; p != nil {
-		p.started++
+	r.lastProgress = now
+	if a := c.agents[name]; a != nil {
+		a.started++
 	}
-	c.seen.Put(r.Prefix, name)
-	c.rewake(r)
+	c.prefixes.Put(r.Prefix, name)
+	c.resetTimer(r)
 	c.emit(Start{Agent: name, Request: r.id, Attempt: r.attempt})
-	return c.take()
+	return c.takeActions()
 }
 
-// Declined notes that an agent won't run an offer.
+// Declined records that an agent declined an offer.
 func (c *Core) Declined(now time.Time, name string, m message.Declined) []Action {
 	if m.Code == result.AgentLeaving {
 		c.AgentLeaving(name)
 	}
 	r := c.requests[m.Request]
 	if r == nil || r.attempt != m.Attempt || r.offers[name] != waiting {
-		return c.take()
+		return c.takeActions()
 	}
 	r.offers[name] = failed
 	if m.Code == result.AgentFull || m.Code == result.Evicted {
 		r.offers[name] = full
 	}
 	c.widen(now, r)
-	return c.take()
+	return c.takeActions()
 }
 
-// Progress tells whether a piece of an answer belongs to the current attempt
-// and so may be passed to the caller. Stuck says that the answer can't be
-// continued by another endpoint once this piece is out.
-func (c *Core) Progress(now time.Time, id message.RequestID, a message.Attempt, stuck bool) bool {
+// Progress reports whether a chunk of an answer belongs to the current attempt
+// and so may be forwarded to the caller. unresumable means that another endpoint
+// can't continue the answer once this chunk is sent.
+func (c *Core) Progress(now time.Time, id message.RequestID, a message.Attempt, unresumable bool) bool {
 	r := c.requests[id]
 	if r == nil || r.state != started || r.attempt != a {
 		return false
 	}
-	r.stuck = r.stuck || stuck
-	r.lastToken = now
+	r.unresumable = r.unresumable || unresumable
+	r.lastProgress = now
 	return true
 }
 
@@ -70,29 +71,29 @@
 func (c *Core) End(now time.Time, name string, m message.End) []Action {
 	r := c.requests[m.Request]
 	if r == nil || r.state != started || r.attempt != m.Attempt || r.startedAt != name {
-		return c.take()
+		return c.takeActions()
 	}
-	p := c.agents[name]
+	a := c.agents[name]
 	switch {
 	case m.Code == result.OK:
-		if p != nil {
-			p.circuit.Succeeded(now)
+		if a != nil {
+			a.circuit.Succeeded(now)
 		}
 		c.close(r, Finish{Request: r.id, Code: result.OK, Run: result.Ran, End: m})
 	case m.Run == result.NotRun:
 		r.mayHaveRun = r.ranBefore
-		c.again(now, r)
+		c.reoffer(now, r)
 	case m.Code == result.Preempted:
 		r.preempted++
 		c.retry(now, r, m, false)
 	default:
-		c.blame(now, p)
+		c.recordFailure(now, a)
 		c.retry(now, r, m, true)
 	}
-	return c.take()
+	return c.takeActions()
 }
 
-// Hangup ends a request whose caller has gone.
+// Hangup ends a request whose caller has closed its connection.
 func (c *Core) Hangup(id message.RequestID) []Action {
 	r := c.requests[id]
 	if r == nil {
@@ -105,13 +106,14 @@
 	}
 	c.withdraw(r, "")
 	c.close(r, Finish{Request: r.id, Code: result.Cancelled, Run: run})
-	return c.take()
+	return c.takeActions()
 }
 
-// Tick widens, gives up and ends what stands still.
+// Tick offers due requests to more agents, refuses those past their GiveUp, and handles stalled
+// attempts.
 func (c *Core) Tick(now time.Time) []Action {
-	for c.wakes.Len() > 0 && !c.wakes.First().wake.After(now) {
-		r := c.wakes.First()
+	for c.timers.Len() > 0 && !c.timers.First().dueAt.After(now) {
+		r := c.timers.First()
 		switch {
 		case r.state == started:
 			c.checkStall(now, r)
@@ -121,16 +123,16 @@
 			c.widen(now, r)
 		}
 	}
-	return c.take()
+	return c.takeActions()
 }
 
 func (c *Core) checkStall(now time.Time, r *request) {
-	if now.Sub(r.lastToken) < r.stallBound() {
-		c.rewake(r)
+	if now.Sub(r.lastProgress) < r.stallBound() {
+		c.resetTimer(r)
 		return
 	}
 	c.emit(Cancel{Agent: r.startedAt, Request: r.id, Attempt: r.attempt})
-	c.blame(now, c.agents[r.startedAt])
+	c.recordFailure(now, c.agents[r.startedAt])
 	m := message.End{Request: r.id, Attempt: r.attempt, Code: result.Stalled, Run: result.Unknown}
 	c.retry(now, r, m, true)
 }
--- a/coord/binding/example_test.go
+++ b/coord/binding/example_test.go
@@ -9,8 +9,8 @@
 	"foxcross.dev/coord/message"
 )
 
-// An agent reports a free slot, is offered a request, and gets the start once it
-// answers that it is ready.
+// An agent reports a free slot, gets the offer of a request, and gets the start after it
+// answers ready.
 func ExampleCore() {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	c := binding.Core{Rand: rand.New(rand.NewPCG(1, 2))}
--- a/coord/binding/offer.go
+++ b/coord/binding/offer.go
@@ -6,8 +6,8 @@
 	"foxcross.dev/coord/message"
 )
 
-// widen offers the request to more agents; when none is left and none has yet
-// to answer, the request is refused or tried again after a pause.
+// widen offers the request to more agents. If no agent is left and no offer is open,
+// the request is refused or offered again after a pause.
 func (c *Core) widen(now time.Time, r *request) {
 	if r.state != offering {
 		return
@@ -18,7 +18,7 @@
 	}
 	chosen := c.choose(now, r, fanout)
 	r.nextWiden = now.Add(r.widenAfter(now))
-	if len(r.offers) == 0 && len(chosen) > 0 && chosen[0].hasRoom() {
+	if len(r.offers) == 0 && len(chosen) > 0 && chosen[0].hasFreeSlot() {
 		chosen = chosen[:1]
 		r.nextWiden = now.Add(chosen[0].answerTime())
 	}
@@ -29,7 +29,7 @@
 		c.exhausted(now, r)
 		return
 	}
-	c.rewake(r)
+	c.resetTimer(r)
 }
 
 func (c *Core) offer(now time.Time, r *request, o *route) {
@@ -50,8 +50,8 @@
 	}})
 }
 
-// widenAfter is a share of the time left to meet the target.
+// widenAfter returns the time until the next widen: a fraction of the time left to the target.
 func (r *request) widenAfter(now time.Time) time.Duration {
 	slack := r.accepted.Add(r.Terms.FirstToken).Sub(now)
-	return min(maxWiden, max(minWiden, slack/slackShare))
+	return min(maxWiden, max(minWiden, slack/slackDivisor))
 }
--- a/coord/binding/request.go
+++ b/coord/binding/request.go
@@ -10,17 +10,17 @@
 	"github.com/qmuntal/stateless"
 )
 
-// Request is what the entry knows of a request when it accepts it.
+// Request is a request as the entry accepts it.
 type Request struct {
 	Target        string // model or service
 	Terms         message.Terms
-	GiveUp        time.Duration // longest wait for a start
-	RetryPermille int           // retries per thousand fresh requests of the class
+	GiveUp        time.Duration // longest wait for the start of an attempt
+	RetryPermille int           // retries per thousand new requests of the class
 	PromptTokens  int
 	Prefix        []uint64
 }
 
-// state is where a request is. Its transitions, by step:
+// state is the state of a request. Its transitions, by step:
 //
 //	offering  --bind-->    started   if it may run once more
 //	started   --unbind-->  offering
@@ -38,44 +38,44 @@
 
 const (
 	bind   step = "bind"   // a start is sent
-	unbind step = "unbind" // the attempt is over, another may follow
+	unbind step = "unbind" // the attempt has ended, another may follow
 	end    step = "end"
 )
 
-// offer is what became of an offer to one agent in this round.
+// offer is the state of an offer to one agent in the current round.
 type offer uint8
 
 const (
 	waiting offer = iota + 1 // sent, not answered
-	full                     // declined for lack of room
+	full                     // declined because the agent is full
 	failed                   // declined for another reason, or connection lost
 )
 
 // request is the state of an accepted request.
 type request struct {
 	Request
-	id         message.RequestID
-	accepted   time.Time
-	waits      time.Time // since when it waits for a start
-	state      state
-	attempt    message.Attempt
-	offers     map[string]offer
-	startedAt  string // agent that has the start
-	mayHaveRun bool   // a start was sent that is not known to be not run
-	ranBefore  bool   // the same, before the start that is out
-	stuck      bool   // the part can't be continued elsewhere
-	preempted  int
-	failures   int // attempts that failed
-	rounds     int // times all agents were asked and none took it
-	nextWiden  time.Time
-	lastToken  time.Time
-	wake       time.Time
-	place      int // in the heap of wake times
+	id           message.RequestID
+	accepted     time.Time
+	waitingSince time.Time // start of the current wait for a start
+	state        state
+	attempt      message.Attempt
+	offers       map[string]offer
+	startedAt    string // agent to which the start was sent
+	mayHaveRun   bool   // a start was sent that is not known as not run
+	ranBefore    bool   // mayHaveRun before the current start
+	unresumable  bool   // another endpoint can't continue the answer sent so far
+	preempted    int
+	failures     int // attempts that failed
+	rounds       int // times that the request was offered to all agents and none accepted
+	nextWiden    time.Time
+	lastProgress time.Time
+	dueAt        time.Time
+	timerIndex   int // index in Core.timers
 }
 
 type requestKey struct{}
 
-// machine is shared by all requests: the state is read from and written to the request
+// machine is the state machine of all requests. It reads and writes the state of the request
 // in the context.
 var machine = transitions()
 
@@ -96,13 +96,13 @@
 
 func requestOf(ctx context.Context) *request { return ctx.Value(requestKey{}).(*request) }
 
-// mayStart forbids a second start of what may not be repeated.
+// mayStart reports whether a request may be started: once, or again if it is repeatable.
 func mayStart(ctx context.Context, _ ...any) bool {
 	r := requestOf(ctx)
 	return r.Terms.Repeatable || !r.mayHaveRun
 }
 
-// fire moves the request on; false means that the step is not allowed.
+// fire applies a step to the request and reports whether the step was allowed.
 func (r *request) fire(s step) bool {
 	ctx := context.WithValue(context.Background(), requestKey{}, r)
 	return machine.FireCtx(ctx, s) == nil
@@ -123,7 +123,7 @@
 	return count
 }
 
-// onlyFull tells whether every agent in reach declined for lack of room.
+// onlyFull reports whether every agent of this round declined because it is full.
 func (r *request) onlyFull() bool {
 	for _, o := range r.offers {
 		if o != full {
@@ -133,7 +133,7 @@
 	return len(r.offers) > 0
 }
 
-// run is what the caller is told about execution.
+// run returns what is known about the execution of a request without a result.
 func (r *request) run() result.Run {
 	if r.mayHaveRun {
 		return result.Unknown
@@ -141,11 +141,11 @@
 	return result.NotRun
 }
 
-// giveUpAt returns when a request that was not started is refused.
-func (r *request) giveUpAt() time.Time { return r.waits.Add(r.GiveUp) }
+// giveUpAt returns the time at which a request that was not started is refused.
+func (r *request) giveUpAt() time.Time { return r.waitingSince.Add(r.GiveUp) }
 
-// Before orders requests by the time at which they are due.
-func (r *request) Before(o *request) bool { return r.wake.Before(o.wake) }
+// Before orders requests by dueAt.
+func (r *request) Before(o *request) bool { return r.dueAt.Before(o.dueAt) }
 
-// Moved takes in the place in the heap of wake times.
-func (r *request) Moved(place int) { r.place = place }
+// Moved records the index in Core.timers.
+func (r *request) Moved(index int) { r.timerIndex = index }
--- a/coord/binding/retry.go
+++ b/coord/binding/retry.go
@@ -9,9 +9,9 @@
 	"foxcross.dev/coord/result"
 )
 
-// blame counts a failure against an agent, within the bound on ejected ones.
-func (c *Core) blame(now time.Time, p *agent) {
-	if p == nil {
+// recordFailure records a failure of an agent, which may eject it within the bound on ejected agents.
+func (c *Core) recordFailure(now time.Time, a *agent) {
+	if a == nil {
 		return
 	}
 	ejected := 0
@@ -20,17 +20,18 @@
 			ejected++
 		}
 	}
-	p.circuit.Failed(now, health.MayEject(ejected, len(c.agents)))
+	a.circuit.Failed(now, health.MayEject(ejected, len(c.agents)))
 }
 
-// lost handles a start whose outcome can't be learned any more.
-func (c *Core) lost(now time.Time, r *request) {
+// handleLostStart handles a started attempt whose result is lost.
+func (c *Core) handleLostStart(now time.Time, r *request) {
 	m := message.End{Request: r.id, Attempt: r.attempt, Code: result.EndpointLost, Run: result.Unknown}
 	c.retry(now, r, m, true)
 }
 
-// retry tries the request again if it may be repeated and its attempts, its
-// class's budget and the answer so far allow it.
+// retry offers the request again if it is repeatable and its failed attempts, its
+// class's budget and the answer sent so far allow it. spend is whether the retry counts as a
+// failure and against the budget.
 func (c *Core) retry(now time.Time, r *request, m message.End, spend bool) {
 	code := m.Code
 	if spend {
@@ -38,37 +39,37 @@
 	}
 	switch {
 	case !r.Terms.Repeatable:
-	case r.stuck:
+	case r.unresumable:
 		code = result.Unresumable
 	case spend && (r.failures >= maxFailures || !c.spendRetry(r)):
 		code = result.RetriesUsed
 	default:
-		r.waits = now
-		c.again(now, r)
+		r.waitingSince = now
+		c.reoffer(now, r)
 		return
 	}
 	c.close(r, Finish{Request: r.id, Code: code, Run: m.Run, RetryAfter: c.retryAfter(r), End: m})
 }
 
-// Abandon is End for a request that is not to be tried again, whatever its class allows.
+// Abandon handles the end of an attempt like End, but never retries the request.
 func (c *Core) Abandon(now time.Time, name string, m message.End) []Action {
 	r := c.requests[m.Request]
 	if r == nil || r.state != started || r.attempt != m.Attempt || r.startedAt != name {
-		return c.take()
+		return c.takeActions()
 	}
-	c.blame(now, c.agents[name])
+	c.recordFailure(now, c.agents[name])
 	c.close(r, Finish{Request: r.id, Code: m.Code, Run: m.Run, RetryAfter: c.retryAfter(r), End: m})
-	return c.take()
+	return c.takeActions()
 }
 
-// again offers the request anew. The agent that had it is left out until the
-// others have been asked.
-func (c *Core) again(now time.Time, r *request) {
+// reoffer starts a new attempt and offers it. The agent of the last attempt gets no offer before
+// the others have been tried.
+func (c *Core) reoffer(now time.Time, r *request) {
 	if r.attempt == math.MaxUint8 {
 		c.close(r, Finish{Request: r.id, Code: result.RetriesUsed, Run: r.run(), RetryAfter: c.retryAfter(r)})
 		return
 	}
-	last := c.detach(r)
+	last := c.unassign(r)
 	r.fire(unbind)
 	r.attempt++
 	clear(r.offers)
@@ -78,18 +79,18 @@
 	c.widen(now, r)
 }
 
-// detach takes the request off the agent that has its start and returns the
-// agent's name, empty if none has.
-func (c *Core) detach(r *request) string {
+// unassign removes the request from the agent to which its start was sent, and returns the
+// agent's name, empty for none.
+func (c *Core) unassign(r *request) string {
 	last := r.startedAt
 	r.startedAt = ""
-	if p := c.agents[last]; p != nil {
-		p.started--
+	if a := c.agents[last]; a != nil {
+		a.started--
 	}
 	return last
 }
 
-// earnRetries adds the share of a fresh request to its class's budget.
+// earnRetries adds RetryPermille thousandths of a retry to the class's budget for a new request.
 func (c *Core) earnRetries(q Request) {
 	b, ok := c.budgets[q.Terms.Class]
 	if !ok {
