--- a/coord/settings/digest.go
+++ b/coord/settings/digest.go
@@ -6,9 +6,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Digest returns a number by which holders of trees compare them: trees that hold the
-// same nodes have the same one. It is the sum of its nodes' hashes, so that
-// DigestAfter needs only what changed.
+// Digest returns a number for the comparison of trees: trees with the
+// same nodes have the same digest. It is the sum of the hashes of the nodes, so that
+// DigestAfter needs only the differences.
 func (t Tree) Digest() uint64 {
 	var sum uint64
 	for p, n := range t.nodes {
@@ -17,8 +17,8 @@
 	return sum
 }
 
-// DigestAfter returns the digest of a tree of the digest before, after the
-// differences.
+// DigestAfter returns the digest of a tree with digest before after the differences are
+// applied.
 func DigestAfter(before uint64, all []Difference) uint64 {
 	for n, d := range all {
 		yield(n)
@@ -32,14 +32,14 @@
 	return before
 }
 
-// digestOf hashes a node with its path. A node that has no form as JSON counts by its
-// path alone; Compile's callers have read theirs from such a form.
+// digestOf returns the hash of a node and its path. The hash of a node that can't be encoded as
+// JSON covers its path only; nodes that were parsed from JSON can always be encoded.
 func digestOf(path string, n Node) uint64 {
 	h := xxhash.New()
-	_, _ = h.WriteString(path) // a hash takes all
-	_, _ = h.Write([]byte{0})  // no path holds it
+	_, _ = h.WriteString(path) // a hash returns no errors
+	_, _ = h.Write([]byte{0})  // no path contains a zero byte
 	if data, err := json.Marshal(n); err == nil {
-		_, _ = h.Write(data) // a hash takes all
+		_, _ = h.Write(data) // a hash returns no errors
 	}
 	return h.Sum64()
 }
--- a/coord/settings/fields.go
+++ b/coord/settings/fields.go
@@ -1,5 +1,5 @@
-// Package settings holds the tree that operators edit: its nodes, what a node
-// inherits, how a tree is checked, and how versions of it follow each other.
+// Package settings implements the settings tree that operators edit: its nodes and their
+// inheritance, the validation of a tree, and the versions of a tree.
 package settings
 
 import (
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// Kind says what a node stands for.
+// Kind is the kind of a node.
 type Kind string
 
-// The kinds. A group only passes its fields on.
+// The kinds. A group only provides fields that its children inherit.
 const (
 	Group   Kind = ""
 	Class   Kind = "class"
@@ -18,15 +18,15 @@
 	Service Kind = "service"
 )
 
-// Match selects calls of a plain service by method and path, and requests of a
+// Match selects the requests of a plain service by method and path, and those of a
 // route by host and path.
 type Match struct {
 	Host   string `json:"host,omitempty"`   // set for a route of that host
 	Method string `json:"method,omitempty"` // empty for any
-	Prefix string `json:"prefix"`           // of the path; below the service where no host is set
+	Prefix string `json:"prefix"`           // of the path; relative to the service if no host is set
 }
 
-// Share is one service among those that a class's requests are split over.
+// Share is one of the services over which the requests of a class are split.
 type Share struct {
 	Service string `json:"service"`
 	Weight  int    `json:"weight"`
@@ -76,14 +76,14 @@
 	IdleTimeoutMS      *int      `json:"idle_timeout_ms,omitempty"`
 }
 
-// Over returns the fields with those of the child laid over them.
+// Over returns the fields with those that the child sets replaced by the child's.
 func (f Fields) Over(child Fields) Fields {
 	merged := f
-	to := reflect.ValueOf(&merged).Elem()
-	from := reflect.ValueOf(child)
-	for n := range from.NumField() {
-		if !from.Field(n).IsNil() {
-			to.Field(n).Set(from.Field(n))
+	target := reflect.ValueOf(&merged).Elem()
+	source := reflect.ValueOf(child)
+	for n := range source.NumField() {
+		if !source.Field(n).IsNil() {
+			target.Field(n).Set(source.Field(n))
 		}
 	}
 	return merged
@@ -125,7 +125,7 @@
 
 func ptr[T any](v T) *T { return &v }
 
-// value returns what a pointer points to, or the zero value.
+// value returns the value that p points to, or the zero value if p is nil.
 func value[T any](p *T) T {
 	if p == nil {
 		var zero T
--- a/coord/settings/fuzz_test.go
+++ b/coord/settings/fuzz_test.go
@@ -8,10 +8,10 @@
 	"foxcross.dev/coord/settings"
 )
 
-// FuzzParse feeds any bytes as a tree: each is refused with a code, or keeps its
-// form and can be split and joined.
+// FuzzParse parses arbitrary bytes as a tree. A tree is refused with a code, or is equal after
+// Split and Join.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(small))
+	f.Add([]byte(smallTree))
 	f.Add([]byte(`{"children":[{"name":"a","set":{"match":[{"prefix":"/"}]}}]}`))
 	f.Add([]byte(`{"set":null}`))
 	f.Add([]byte(`[]`))
@@ -23,7 +23,7 @@
 		}
 		var code *result.Error
 		if err != nil && !errors.As(err, &code) {
-			t.Fatalf("an error without a code: %v", err)
+			t.Fatalf("error without a code: %v", err)
 		}
 		if err != nil {
 			return
@@ -34,7 +34,7 @@
 		}
 		joined, err := settings.Join(r, parts)
 		if err != nil || len(settings.Diff(tree, joined)) > 0 {
-			t.Fatalf("split and joined: %v, %v", settings.Diff(tree, joined), err)
+			t.Fatalf("differences after Split and Join: %v, %v", settings.Diff(tree, joined), err)
 		}
 	})
 }
--- a/coord/settings/golden_test.go
+++ b/coord/settings/golden_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestGoldenSchema holds what operators may write in the settings tree to what
-// they could write before.
+// TestGoldenSchema detects changes of the schema, and so of the settings trees that operators may
+// write.
 func TestGoldenSchema(t *testing.T) {
 	want, err := os.ReadFile("testdata/schema.golden")
 	if err != nil {
--- a/coord/settings/page_test.go
+++ b/coord/settings/page_test.go
@@ -12,8 +12,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// rows returns the first cells of the page's table of tree fields.
-func rows() map[string]string {
+// documentedDefaults returns the default of each field in the page's table of tree fields.
+func documentedDefaults() map[string]string {
 	data, err := os.ReadFile("../../docs/SETTINGS.md")
 	Expect(err).NotTo(HaveOccurred())
 	_, table, _ := strings.Cut(string(data), "| field |")
@@ -27,8 +27,8 @@
 }
 
 var _ = Describe("docs/SETTINGS.md", func() {
-	It("has every field of the tree and no other, with its default", func() {
-		page := rows()
+	It("lists exactly the fields of the tree, with their defaults", func() {
+		page := documentedDefaults()
 		fields := reflect.TypeFor[settings.Fields]()
 		Expect(page).To(HaveLen(fields.NumField()))
 		defaults := reflect.ValueOf(settings.Defaults)
--- a/coord/settings/recompile_test.go
+++ b/coord/settings/recompile_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// drawTree draws a small tree with routes, teams and a group that sets fields of
+// drawTree draws a small tree with routes, teams and a group that sets a field for
 // all routes.
 func drawTree(t *rapid.T, label string) Tree {
 	nodes := map[string]Node{"": {}, "routes": {}, "teams": {}}
@@ -37,8 +37,8 @@
 	}}
 }
 
-// TestRecompileEqualsCompile lays the differences of two trees over the first, so that
-// they share nodes, and expects what compiling the second from nothing gives.
+// TestRecompileEqualsCompile applies the differences of two trees to the first, so that the trees
+// share nodes, and compares Recompile of the result with Compile of the second tree.
 func TestRecompileEqualsCompile(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		before, after := drawTree(t, "before"), drawTree(t, "after")
@@ -49,7 +49,7 @@
 		changes := Diff(before, after)
 		shared := before.Apply(changes)
 		if !reflect.DeepEqual(shared.nodes, after.nodes) {
-			t.Fatalf("the differences %+v give another tree", changes)
+			t.Fatalf("applying the differences %+v gives another tree", changes)
 		}
 		got, err := first.Recompile(shared)
 		if err != nil {
@@ -63,23 +63,23 @@
 			t.Fatalf("got %+v, want %+v", got, want)
 		}
 		if digest := DigestAfter(before.Digest(), changes); digest != after.Digest() {
-			t.Fatalf("digest %x after the differences, %x of the tree", digest, after.Digest())
+			t.Fatalf("DigestAfter returns %x, Digest of the tree %x", digest, after.Digest())
 		}
 	})
 }
 
-// TestDigestTellsTreesApart changes one field of one node.
-func TestDigestTellsTreesApart(t *testing.T) {
+// TestDigestDetectsChanges changes one field of a node, and removes a node.
+func TestDigestDetectsChanges(t *testing.T) {
 	tree := NewTree(map[string]Node{"": {}, "routes": {}, "routes/a": routeNode(1, 0)})
 	if tree.Digest() == tree.With("routes/a", routeNode(1, 1)).Digest() {
-		t.Error("a changed priority does not show")
+		t.Error("a changed priority does not change the digest")
 	}
 	if tree.Digest() == tree.Without("routes/a").Digest() {
-		t.Error("a removed node does not show")
+		t.Error("a removed node does not change the digest")
 	}
 }
 
-// BenchmarkRecompile puts a version in force that changes one of many routes.
+// BenchmarkRecompile measures applying a version that changes one of many routes.
 func BenchmarkRecompile(b *testing.B) {
 	for _, routes := range []int{100, 1_000, 10_000} {
 		nodes := map[string]Node{"": {}, "routes": {}}
--- a/coord/settings/route.go
+++ b/coord/settings/route.go
@@ -8,22 +8,22 @@
 	"foxcross.dev/coord/result"
 )
 
-// RouteInfo is what a class says of requests that are chosen by host and path.
+// RouteInfo holds the route settings of a class, for requests selected by host and path.
 type RouteInfo struct {
 	Matches     []Match // hosts and prefixes that the route covers
 	Split       []Share // at least one service
-	MaxAttempts int     // endpoints that one request may be sent to
+	MaxAttempts int     // most endpoints to which one request may be sent
 	Streaming   bool
 	Resumable   bool
 	Public      bool
-	Priority    int      // told to the engine, 0 first
-	Regions     []string // in which its requests may be served, empty for all
+	Priority    int      // sent to the engine, 0 is the most urgent
+	Regions     []string // regions that may serve its requests, empty for all
 }
 
-// Has tells whether the class is a route.
+// Has reports whether the class is a route.
 func (r RouteInfo) Has() bool { return len(r.Matches) > 0 }
 
-// MayRepeat tells whether a request of the class may run more than once.
+// MayRepeat reports whether a request of the class may run more than once.
 func (c ClassInfo) MayRepeat() bool {
 	if c.Route.Streaming {
 		return c.Route.Resumable
@@ -31,16 +31,16 @@
 	return c.Terms.Repeatable
 }
 
-// Pick returns the service for a request, by a point in [0, 1) of the split.
+// Pick returns the service for a request by a point of the split in [0, 1).
 func (r RouteInfo) Pick(point float64) string {
 	total := 0
 	for _, s := range r.Split {
 		total += s.Weight
 	}
-	left := point * float64(total)
+	remaining := point * float64(total)
 	for _, s := range r.Split {
-		left -= float64(s.Weight)
-		if left < 0 {
+		remaining -= float64(s.Weight)
+		if remaining < 0 {
 			return s.Service
 		}
 	}
@@ -82,13 +82,13 @@
 	return r
 }
 
-// routePrefix is one prefix of a host and the class that covers it.
+// routePrefix is a path prefix of a host and its class.
 type routePrefix struct {
 	prefix string
 	class  *ClassInfo
 }
 
-// routeTable holds the prefixes of each host, the longest first.
+// routeTable holds the prefixes of each host, longest first.
 type routeTable map[string][]routePrefix
 
 func (t routeTable) add(c *ClassInfo) {
@@ -103,7 +103,7 @@
 	}
 }
 
-// Route returns the class that covers the longest prefix of the path at the host.
+// Route returns the class with the longest matching prefix of the path at the host.
 func (s Snapshot) Route(host, path string) (ClassInfo, bool) {
 	for _, p := range s.routes[host] {
 		if strings.HasPrefix(path, p.prefix) {
@@ -113,24 +113,24 @@
 	return ClassInfo{}, false
 }
 
-// HasTeams tells whether any team has a key. Without teams no route asks for
-// one.
+// HasTeams reports whether any team has a key. Without teams no route requires a
+// key.
 func (s Snapshot) HasTeams() bool { return len(s.teams) > 0 }
 
-// ServiceInfo is what the tree says of the endpoints of a service.
+// ServiceInfo holds the settings of the endpoints of a service.
 type ServiceInfo struct {
 	Name           string
-	MaxConnections int           // of one endpoint, from all entries together
-	Slots          int           // requests that one engine runs at once, 0 for not known; decisions go by the endpoints' own
-	MemoryTokens   int           // that one engine keeps, 0 for not known
-	EventTokens    int           // that one event of a stream holds
-	TokenBytes     int           // that one token takes in memory, 0 for not known
-	LinkMbps       int           // of the link over which engines move memory, 0 for none
-	Warmup         time.Duration // of an endpoint from its start, 0 for none
-	WarmupRate     float64       // requests a second that one endpoint bears meanwhile, 0 for no limit
+	MaxConnections int           // most connections to one endpoint, over all entries
+	Slots          int           // concurrent requests of one engine, 0 for unknown; decisions use the values that endpoints report
+	MemoryTokens   int           // tokens in the memory of one engine, 0 for unknown
+	EventTokens    int           // tokens in one event of a stream
+	TokenBytes     int           // bytes of one token in memory, 0 for unknown
+	LinkMbps       int           // of the link over which engines transfer memory, 0 for none
+	Warmup         time.Duration // duration of an endpoint's warm-up from its start, 0 for none
+	WarmupRate     float64       // requests a second to one endpoint during its warm-up, 0 for no limit
 }
 
-// ServiceNamed returns what the tree says of a service.
+// ServiceNamed returns the settings of a service.
 func (s Snapshot) ServiceNamed(name string) (ServiceInfo, bool) {
 	i, ok := s.serving[name]
 	return i, ok
@@ -143,7 +143,7 @@
 		}
 		f := c.resolver.resolve(p)
 		name := value(f.Service)
-		c.into.serving[name] = ServiceInfo{
+		c.snapshot.serving[name] = ServiceInfo{
 			Name:           name,
 			MaxConnections: value(f.MaxConnections),
 			Slots:          value(f.EngineSlots),
@@ -157,7 +157,7 @@
 	}
 }
 
-// Limits bound what callers may send on routes.
+// Limits bound the requests that callers send on routes.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int
@@ -165,7 +165,7 @@
 	IdleTimeout   time.Duration
 }
 
-// Limits returns the bounds for callers.
+// Limits returns the limits for callers.
 func (s Snapshot) Limits() Limits { return s.limits }
 
 func limitsOf(f Fields) Limits {
--- a/coord/settings/schema.go
+++ b/coord/settings/schema.go
@@ -36,7 +36,7 @@
 	return c.MustCompile(schemaName)
 }
 
-// checkSchema names the first wrong field and the reason.
+// checkSchema validates a settings tree. Its error names the first invalid field and the reason.
 func checkSchema(data []byte) error {
 	parsed, err := jsonschema.UnmarshalJSON(bytes.NewReader(data))
 	if err != nil {
@@ -46,18 +46,18 @@
 	if err == nil {
 		return nil
 	}
-	var wrong *jsonschema.ValidationError
-	if !errors.As(err, &wrong) {
+	var invalid *jsonschema.ValidationError
+	if !errors.As(err, &invalid) {
 		return result.Errorf(result.SettingsInvalid, "settings tree: %v", err)
 	}
-	field, reason := Explain(wrong)
+	field, reason := Explain(invalid)
 	return result.Errorf(result.SettingsInvalid, "settings tree: %s: %s", field, reason)
 }
 
-// Explain returns the place and the reason of the innermost first failure.
-func Explain(wrong *jsonschema.ValidationError) (field, reason string) {
-	for len(wrong.Causes) > 0 {
-		wrong = wrong.Causes[0]
+// Explain returns the field and the reason of the innermost first cause of a validation error.
+func Explain(invalid *jsonschema.ValidationError) (field, reason string) {
+	for len(invalid.Causes) > 0 {
+		invalid = invalid.Causes[0]
 	}
-	return "/" + strings.Join(wrong.InstanceLocation, "/"), wrong.ErrorKind.LocalizedString(printer)
+	return "/" + strings.Join(invalid.InstanceLocation, "/"), invalid.ErrorKind.LocalizedString(printer)
 }
--- a/coord/settings/settings_test.go
+++ b/coord/settings/settings_test.go
@@ -12,7 +12,7 @@
 	. "github.com/onsi/gomega"
 )
 
-const small = `{"set":{"tier":2},"children":[
+const smallTree = `{"set":{"tier":2},"children":[
   {"name":"classes","set":{"model":"m"},"children":[
     {"name":"chat","kind":"class","set":{"tier":0}},
     {"name":"tag","kind":"class"}]},
@@ -39,8 +39,8 @@
 }
 
 var _ = Describe("Tree", func() {
-	It("lets a child inherit and override", func() {
-		s, err := settings.Compile(parsed(small))
+	It("inherits fields and overrides them in children", func() {
+		s, err := settings.Compile(parsed(smallTree))
 		Expect(err).NotTo(HaveOccurred())
 		chat, _ := s.Class("chat")
 		tag, _ := s.Class("tag")
@@ -50,8 +50,8 @@
 		Expect(tag.Terms.FirstToken).To(Equal(2 * time.Second))
 	})
 
-	It("chooses a service's class by the best match", func() {
-		s, err := settings.Compile(parsed(small))
+	It("selects the class of a service by the best match", func() {
+		s, err := settings.Compile(parsed(smallTree))
 		Expect(err).NotTo(HaveOccurred())
 		card, _ := s.ServiceClass("s", "GET", "/cards/1")
 		page, _ := s.ServiceClass("s", "POST", "/cards/1")
@@ -59,44 +59,44 @@
 		Expect(page.Name).To(Equal("page"))
 	})
 
-	It("keeps its nested form", func() {
-		data, err := json.Marshal(parsed(small))
+	It("round-trips its nested form", func() {
+		data, err := json.Marshal(parsed(smallTree))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(settings.Diff(parsed(small), parsed(string(data)))).To(BeEmpty())
+		Expect(settings.Diff(parsed(smallTree), parsed(string(data)))).To(BeEmpty())
 	})
 
-	It("does not change when a copy does", func() {
-		t := parsed(small)
+	It("is not changed by With and Without", func() {
+		t := parsed(smallTree)
 		t.With("teams/b", weight(5))
 		t.Without("teams")
-		Expect(t.Len()).To(Equal(parsed(small).Len()))
+		Expect(t.Len()).To(Equal(parsed(smallTree).Len()))
 	})
 
-	DescribeTable("refuses what is wrong, with a code and the place",
-		func(text, place string) {
+	DescribeTable("refuses invalid trees with a code and the location",
+		func(text, location string) {
 			t, err := settings.Parse([]byte(text))
 			if err == nil {
 				_, err = settings.Compile(t)
 			}
 			Expect(codeOf(err)).To(Equal(result.SettingsInvalid))
-			Expect(err.Error()).To(ContainSubstring(place))
+			Expect(err.Error()).To(ContainSubstring(location))
 		},
 		Entry("no JSON", `{`, "not JSON"),
 		Entry("wrong type", `{"set":{"tier":"x"}}`, "/set/tier"),
 		Entry("out of range", `{"set":{"tier":9}}`, "/set/tier"),
 		Entry("unknown field", `{"set":{"teir":1}}`, "teir"),
-		Entry("twice", `{"children":[{"name":"a"},{"name":"a"}]}`, `"a" stands twice`),
-		Entry("two classes of a name", `{"set":{"model":"m"},"children":[{"name":"x","children":[{"name":"c","kind":"class"}]},{"name":"y","children":[{"name":"c","kind":"class"}]}]}`, "another class"),
+		Entry("duplicate node", `{"children":[{"name":"a"},{"name":"a"}]}`, `"a" stands twice`),
+		Entry("duplicate class name", `{"set":{"model":"m"},"children":[{"name":"x","children":[{"name":"c","kind":"class"}]},{"name":"y","children":[{"name":"c","kind":"class"}]}]}`, "another class"),
 		Entry("no target", `{"children":[{"name":"c","kind":"class"}]}`, "neither model nor service"),
 		Entry("unknown class", `{"children":[{"name":"t","kind":"team","set":{"default_class":"none"}}]}`, `no class "none"`),
-		Entry("preemptible only", `{"set":{"model":"m","preemptible":true},"children":[{"name":"c","kind":"class"}]}`, "needs repeatable"),
+		Entry("preemptible but not repeatable", `{"set":{"model":"m","preemptible":true},"children":[{"name":"c","kind":"class"}]}`, "needs repeatable"),
 	)
 })
 
 var _ = Describe("Rebase", func() {
-	base := func() settings.Tree { return parsed(small) }
+	base := func() settings.Tree { return parsed(smallTree) }
 
-	It("joins changes of different nodes", func() {
+	It("merges changes of different nodes", func() {
 		mine := base().With("teams/b", weight(2))
 		theirs := base().With("teams/c", weight(3))
 		t, err := settings.Rebase(base(), mine, theirs)
@@ -104,7 +104,7 @@
 		Expect(settings.Diff(base(), t)).To(HaveLen(2))
 	})
 
-	DescribeTable("refuses changes that touch each other",
+	DescribeTable("refuses conflicting changes",
 		func(mine, theirs func(settings.Tree) settings.Tree) {
 			_, err := settings.Rebase(base(), mine(base()), theirs(base()))
 			Expect(codeOf(err)).To(Equal(result.SettingsConflict))
@@ -112,18 +112,18 @@
 		Entry("the same node",
 			func(t settings.Tree) settings.Tree { return t.With("teams/a", weight(2)) },
 			func(t settings.Tree) settings.Tree { return t.With("teams/a", weight(3)) }),
-		Entry("a node below one that is removed",
+		Entry("a change below a removed node",
 			func(t settings.Tree) settings.Tree { return t.With("teams/b", weight(2)) },
 			func(t settings.Tree) settings.Tree { return t.Without("teams") }),
-		Entry("removing what another adds to",
+		Entry("a removal above a changed node",
 			func(t settings.Tree) settings.Tree { return t.Without("teams") },
 			func(t settings.Tree) settings.Tree { return t.With("teams/b", weight(2)) }),
 	)
 })
 
 var _ = Describe("Version", func() {
-	It("joins what it split", func() {
-		t := parsed(small)
+	It("joins split parts to an equal tree", func() {
+		t := parsed(smallTree)
 		for n := range 500 {
 			t = t.With(fmt.Sprintf("teams/t%d", n), weight(n+1))
 		}
@@ -134,8 +134,8 @@
 		Expect(settings.Diff(t, joined)).To(BeEmpty())
 	})
 
-	It("shares all parts but one with the version before a change of one node", func() {
-		t := parsed(small)
+	It("shares all parts but one with the previous version after a change of one node", func() {
+		t := parsed(smallTree)
 		for n := range 500 {
 			t = t.With(fmt.Sprintf("teams/t%d", n), weight(1))
 		}
@@ -147,7 +147,7 @@
 	})
 
 	It("refuses a damaged part", func() {
-		r, parts, err := settings.Split(parsed(small), settings.Root{})
+		r, parts, err := settings.Split(parsed(smallTree), settings.Root{})
 		Expect(err).NotTo(HaveOccurred())
 		for h := range parts {
 			parts[h] = []byte("{}")
@@ -158,7 +158,7 @@
 })
 
 func ExampleTree_Resolve() {
-	t, err := settings.Parse([]byte(small))
+	t, err := settings.Parse([]byte(smallTree))
 	if err != nil {
 		fmt.Println(err)
 		return
--- a/coord/settings/snapshot.go
+++ b/coord/settings/snapshot.go
@@ -11,20 +11,20 @@
 	"foxcross.dev/coord/result"
 )
 
-// ClassInfo is a class with everything it inherits.
+// ClassInfo is a class with its own and its inherited settings.
 type ClassInfo struct {
 	Name          string
 	Model         string
 	Service       string
 	Match         []Match
-	Terms         message.Terms // Team and Weight are filled per request
+	Terms         message.Terms // Team and Weight are set for each request
 	Complete      time.Duration
 	GiveUp        time.Duration
 	RetryPermille int
 	Route         RouteInfo
 }
 
-// Target returns the model or service that the class asks for.
+// Target returns the target of the class: its model or service.
 func (c ClassInfo) Target() string {
 	if c.Service != "" {
 		return ServiceTarget(c.Service)
@@ -37,38 +37,38 @@
 
 const servicePrefix = "service:"
 
-// TeamInfo is a team with everything it inherits.
+// TeamInfo is a team with its own and its inherited settings.
 type TeamInfo struct {
 	Name         string
 	Weight       int
 	Rate         float64 // requests a second, 0 for no limit
-	Concurrency  int     // requests at once, 0 for no limit
+	Concurrency  int     // concurrent requests, 0 for no limit
 	DefaultClass string
 	Classes      []string // empty for all
-	Priority     *int     // told to engines in place of the class's, nil for none
-	Regions      []string // in which its requests may be served, empty for all
+	Priority     *int     // sent to engines in place of the class's, nil for none
+	Regions      []string // regions that may serve its requests, empty for all
 }
 
-// MayUse tells whether the team may use the class.
+// MayUse reports whether the team may use the class.
 func (t TeamInfo) MayUse(class string) bool {
 	return len(t.Classes) == 0 || slices.Contains(t.Classes, class)
 }
 
-// Snapshot is a tree made ready for look-ups. It is immutable.
+// Snapshot is a tree that is compiled for look-ups. It is immutable.
 type Snapshot struct {
-	classes map[string]*ClassInfo // never written to: snapshots share them
+	classes map[string]*ClassInfo // never modified: snapshots share the classes
 	byModel map[string][]string   // classes of a model, in order
 	service map[string][]string   // classes of a service, in order
 	teams   map[string]TeamInfo   // by hash of key
 	names   []string              // of classes, in order
 	routes  routeTable
 	limits  Limits
-	urgency map[urgency]int        // rank among those that the tree can give
+	urgency map[urgency]int        // rank among the urgencies that the tree can give
 	serving map[string]ServiceInfo // by name
-	tree    Tree                   // that it was compiled from
+	tree    Tree                   // from which the snapshot was compiled
 }
 
-// HashKey returns the hash under which a bearer key stands in the tree.
+// HashKey returns the hash by which the tree refers to a bearer key.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
@@ -86,13 +86,13 @@
 // Classes returns the names of all classes in order.
 func (s Snapshot) Classes() []string { return s.names }
 
-// Team returns the team that a bearer key belongs to.
+// Team returns the team of a bearer key.
 func (s Snapshot) Team(key string) (TeamInfo, bool) {
 	t, ok := s.teams[HashKey(key)]
 	return t, ok
 }
 
-// ServesModel tells whether some class asks for the model.
+// ServesModel reports whether a class has the model.
 func (s Snapshot) ServesModel(model string) bool { return len(s.byModel[model]) > 0 }
 
 // ModelClasses returns the classes of a model, in order of path.
@@ -104,8 +104,8 @@
 	return all
 }
 
-// ServiceClass returns the class whose match covers the call best: the longest
-// prefix, and among equals the one that names the method.
+// ServiceClass returns the class with the best match for the request: the longest
+// prefix, and among equal prefixes the match that names the method.
 func (s Snapshot) ServiceClass(service, method, path string) (ClassInfo, bool) {
 	best := ""
 	bestRank := -1
@@ -119,7 +119,7 @@
 	return s.Class(best)
 }
 
-// rank is -1 where the class does not cover the call.
+// rank returns the rank of the class's best match for the request, -1 if none matches.
 func (c ClassInfo) rank(method, path string) int {
 	if len(c.Match) == 0 {
 		return 0
@@ -138,20 +138,20 @@
 	return best
 }
 
-// HasService tells whether some class serves the service.
+// HasService reports whether a class has the service.
 func (s Snapshot) HasService(service string) bool { return len(s.service[service]) > 0 }
 
-// Compile checks what a tree means and makes it ready for look-ups.
+// Compile validates the meaning of a tree and compiles it for look-ups.
 func Compile(t Tree) (Snapshot, error) { return Snapshot{}.Recompile(t) }
 
-// Recompile is Compile for a tree that follows the snapshot's own: classes whose
-// nodes the trees share are taken over. Of 10,000 routes with one changed that takes
-// 18 ms of processor time, Compile 27 ms (BenchmarkRecompile).
+// Recompile is Compile for a tree that replaces the snapshot's own: classes whose
+// nodes both trees share are reused. With one of 10,000 routes changed, it takes
+// 18 ms of processor time, and Compile 27 ms (BenchmarkRecompile).
 func (s Snapshot) Recompile(t Tree) (Snapshot, error) {
 	c := compiler{
 		resolver: newResolver(t),
 		before:   s,
-		into: Snapshot{
+		snapshot: Snapshot{
 			classes: make(map[string]*ClassInfo, t.Len()),
 			byModel: map[string][]string{},
 			service: map[string][]string{},
@@ -179,27 +179,27 @@
 		}
 	}
 	c.addServices(paths)
-	c.into.routes.sort()
-	c.into.rankUrgencies()
-	slices.Sort(c.into.names)
-	return c.into, nil
+	c.snapshot.routes.sort()
+	c.snapshot.rankUrgencies()
+	slices.Sort(c.snapshot.names)
+	return c.snapshot, nil
 }
 
-// compiler makes a snapshot of a tree.
+// compiler compiles a tree into a snapshot.
 type compiler struct {
 	resolver *resolver
-	before   Snapshot // of an earlier tree, whose classes may be taken over
-	into     Snapshot
+	before   Snapshot // of an earlier tree, whose classes may be reused
+	snapshot Snapshot
 }
 
 func (t Tree) checkParents(paths []string) error {
 	for _, p := range paths {
-		up, ok := parent(p)
+		parentPath, ok := parent(p)
 		if !ok {
 			continue
 		}
-		n, there := t.nodes[up]
-		if !there {
+		n, exists := t.nodes[parentPath]
+		if !exists {
 			return result.Errorf(result.SettingsInvalid, "node %q has no parent", p)
 		}
 		if n.Kind != Group {
@@ -209,15 +209,15 @@
 	return nil
 }
 
-// last returns the last name of a path.
-func last(path string) string { return path[strings.LastIndexByte(path, '/')+1:] }
+// baseName returns the last name of a path.
+func baseName(path string) string { return path[strings.LastIndexByte(path, '/')+1:] }
 
 func (c *compiler) addClass(path string) error {
 	if c.resolver.tree.nodes[path].Kind != Class {
 		return nil
 	}
-	s := &c.into
-	class := c.classBefore(path)
+	s := &c.snapshot
+	class := c.unchangedClass(path)
 	if class == nil {
 		class = classOf(path, c.resolver.resolve(path))
 	}
@@ -237,21 +237,21 @@
 	return nil
 }
 
-// classBefore returns the class of the earlier snapshot, nil if its node or one above
-// it has changed.
-func (c *compiler) classBefore(path string) *ClassInfo {
+// unchangedClass returns the class of the earlier snapshot, nil if its node or an ancestor
+// has changed.
+func (c *compiler) unchangedClass(path string) *ClassInfo {
 	for p, ok := path, true; ok; p, ok = parent(p) {
-		if before, there := c.before.tree.nodes[p]; !there || before != c.resolver.tree.nodes[p] {
+		if before, exists := c.before.tree.nodes[p]; !exists || before != c.resolver.tree.nodes[p] {
 			return nil
 		}
 	}
-	return c.before.classes[last(path)]
+	return c.before.classes[baseName(path)]
 }
 
-// classOf returns the class that the resolved fields of a node describe.
+// classOf returns the class of a node with the given resolved fields.
 func classOf(path string, f Fields) *ClassInfo {
 	c := &ClassInfo{
-		Name:          last(path),
+		Name:          baseName(path),
 		Model:         value(f.Model),
 		Service:       value(f.Service),
 		Match:         value(f.Match),
@@ -259,7 +259,7 @@
 		GiveUp:        milliseconds(f.GiveUpMS),
 		RetryPermille: value(f.RetryPermille),
 		Terms: message.Terms{
-			Class:         last(path),
+			Class:         baseName(path),
 			Tier:          value(f.Tier),
 			FirstToken:    milliseconds(f.FirstTokenMS),
 			BetweenTokens: milliseconds(f.BetweenTokensMS),
@@ -278,9 +278,9 @@
 }
 
 func (s *Snapshot) checkClass(path string, c *ClassInfo) error {
-	_, twice := s.classes[c.Name]
+	_, isDuplicate := s.classes[c.Name]
 	switch {
-	case twice:
+	case isDuplicate:
 		return result.Errorf(result.SettingsInvalid, "class %q: another class has the name %q", path, c.Name)
 	case c.Route.Has():
 		return c.Route.check(path)
@@ -301,10 +301,10 @@
 	if c.resolver.tree.nodes[path].Kind != Team {
 		return nil
 	}
-	s := &c.into
+	s := &c.snapshot
 	f := c.resolver.resolve(path)
 	team := TeamInfo{
-		Name:         last(path),
+		Name:         baseName(path),
 		Weight:       value(f.Weight),
 		Rate:         value(f.RatePerSecond),
 		Concurrency:  value(f.Concurrency),
@@ -330,7 +330,7 @@
 	return nil
 }
 
-// Check tells whether a tree may be put in force: its form by the schema and
+// Check validates a tree before it is applied: its form by the schema and
 // its meaning by Compile.
 func Check(t Tree) error {
 	data, err := t.MarshalJSON()
--- a/coord/settings/tree.go
+++ b/coord/settings/tree.go
@@ -20,10 +20,10 @@
 
 // Tree is an immutable tree of settings. The zero value is empty.
 type Tree struct {
-	nodes map[string]Node // by path, the root's path is ""
+	nodes map[string]Node // by path; the root's path is ""
 }
 
-// document is the nested form that operators read and write.
+// document is the nested JSON form that operators read and write.
 type document struct {
 	Name     string     `json:"name,omitempty"`
 	Kind     Kind       `json:"kind,omitempty"`
@@ -46,12 +46,12 @@
 	return n, ok
 }
 
-// Paths returns the paths of all nodes in order.
+// Paths returns the sorted paths of all nodes.
 func (t Tree) Paths() []string {
 	return slices.Sorted(maps.Keys(t.nodes))
 }
 
-// With returns a tree with the node at the path set.
+// With returns a copy of the tree with the node at the path set.
 func (t Tree) With(path string, n Node) Tree {
 	nodes := maps.Clone(t.nodes)
 	if nodes == nil {
@@ -61,19 +61,19 @@
 	return Tree{nodes}
 }
 
-// Without returns a tree without the node at the path and those below it.
+// Without returns a copy of the tree without the node at the path and its descendants.
 func (t Tree) Without(path string) Tree {
 	nodes := maps.Clone(t.nodes)
 	maps.DeleteFunc(nodes, func(p string, _ Node) bool { return within(p, path) })
 	return Tree{nodes}
 }
 
-// within tells whether the path is the ancestor's or lies below it.
+// within reports whether the path is that of ancestor or of one of its descendants.
 func within(path, ancestor string) bool {
 	return path == ancestor || ancestor == "" || strings.HasPrefix(path, ancestor+"/")
 }
 
-// parent returns the path above; the root has none.
+// parent returns the path of the parent. The root has none.
 func parent(path string) (string, bool) {
 	if path == "" {
 		return "", false
@@ -85,13 +85,13 @@
 	return path[:cut], true
 }
 
-// Resolve returns the fields in force at the path: the defaults, overlaid with
+// Resolve returns the effective fields at the path: the defaults, overridden by
 // each node from the root down.
 func (t Tree) Resolve(path string) Fields {
 	return newResolver(t).resolve(path)
 }
 
-// resolver resolves many nodes of one tree, each group above them once.
+// resolver resolves the nodes of one tree. It caches the fields of groups.
 type resolver struct {
 	tree   Tree
 	groups map[string]Fields // resolved, by path
@@ -100,20 +100,20 @@
 func newResolver(t Tree) *resolver { return &resolver{tree: t, groups: map[string]Fields{}} }
 
 func (r *resolver) resolve(path string) Fields {
-	up, ok := parent(path)
+	parentPath, ok := parent(path)
 	if !ok {
 		return Defaults.Over(r.tree.nodes[""].Set)
 	}
-	above, known := r.groups[up]
+	inherited, known := r.groups[parentPath]
 	if !known {
-		above = r.resolve(up)
-		r.groups[up] = above
+		inherited = r.resolve(parentPath)
+		r.groups[parentPath] = inherited
 	}
-	return above.Over(r.tree.nodes[path].Set)
+	return inherited.Over(r.tree.nodes[path].Set)
 }
 
-// Parse reads the nested form and checks it against the schema. The tree's
-// meaning is checked by Compile.
+// Parse parses the nested form and validates it against the schema. Compile
+// validates the meaning of the tree.
 func Parse(data []byte) (Tree, error) {
 	if err := checkSchema(data); err != nil {
 		return Tree{}, err
@@ -134,11 +134,11 @@
 func (t Tree) flatten(path string, d document) error {
 	t.nodes[path] = Node{Kind: d.Kind, Set: d.Set}
 	for _, k := range d.Children {
-		below := join(path, k.Name)
-		if _, twice := t.nodes[below]; twice {
-			return result.Errorf(result.SettingsInvalid, "node %q stands twice", below)
+		childPath := join(path, k.Name)
+		if _, isDuplicate := t.nodes[childPath]; isDuplicate {
+			return result.Errorf(result.SettingsInvalid, "node %q stands twice", childPath)
 		}
-		if err := t.flatten(below, k); err != nil {
+		if err := t.flatten(childPath, k); err != nil {
 			return err
 		}
 	}
@@ -152,40 +152,40 @@
 	return path + "/" + name
 }
 
-// MarshalJSON returns the nested form, children in order of name.
+// MarshalJSON returns the nested form, with children sorted by name.
 func (t Tree) MarshalJSON() ([]byte, error) {
-	below := map[string][]string{}
+	childPaths := map[string][]string{}
 	for _, p := range t.Paths() {
-		if up, ok := parent(p); ok {
-			below[up] = append(below[up], p)
+		if parentPath, ok := parent(p); ok {
+			childPaths[parentPath] = append(childPaths[parentPath], p)
 		}
 	}
-	return json.Marshal(t.nest("", "", below))
+	return json.Marshal(t.nest("", "", childPaths))
 }
 
-func (t Tree) nest(path, name string, below map[string][]string) document {
+func (t Tree) nest(path, name string, childPaths map[string][]string) document {
 	n := t.nodes[path]
 	d := document{Name: name, Kind: n.Kind, Set: n.Set}
-	for _, p := range below[path] {
-		d.Children = append(d.Children, t.nest(p, last(p), below))
+	for _, p := range childPaths[path] {
+		d.Children = append(d.Children, t.nest(p, baseName(p), childPaths))
 	}
 	return d
 }
 
-// Difference is a node that two trees hold differently.
+// Difference is a node that differs between two trees.
 type Difference struct {
 	Path   string `json:"path"`
 	Before *Node  `json:"before,omitempty"`
 	After  *Node  `json:"after,omitempty"`
 }
 
-// Diff lists the nodes that differ, by path.
+// Diff returns the nodes that differ, sorted by path.
 func Diff(before, after Tree) []Difference {
 	var all []Difference
-	looked := 0
+	visited := 0
 	for p, b := range before.nodes {
-		yield(looked)
-		looked++
+		yield(visited)
+		visited++
 		a, inAfter := after.nodes[p]
 		switch {
 		case !inAfter:
@@ -203,11 +203,11 @@
 	return all
 }
 
-// equal tells whether two nodes hold the same. Nodes that trees share are told apart
-// without a look at what their fields point to.
+// equal reports whether two nodes are equal. For nodes that trees share, it does not compare the
+// values that their fields point to.
 func equal(a, b Node) bool { return a == b || reflect.DeepEqual(a, b) }
 
-// Apply lays the differences over a tree.
+// Apply returns a copy of the tree with the differences applied.
 func (t Tree) Apply(all []Difference) Tree {
 	nodes := maps.Clone(t.nodes)
 	if nodes == nil {
@@ -223,9 +223,9 @@
 	return Tree{nodes}
 }
 
-// Rebase lays a change that was made on base over a newer tree. It fails with
-// a conflict where both touched the same node, or one removed a node that the
-// other's change lies below.
+// Rebase applies the change from base to mine to a newer tree. It fails with
+// a conflict if both changed the same node in different ways, or if one removed an ancestor of
+// a node that the other changed.
 func Rebase(base, mine, newer Tree) (Tree, error) {
 	own := Diff(base, mine)
 	for _, theirs := range Diff(base, newer) {
@@ -260,5 +260,5 @@
 	return equal(*a.After, *b.After)
 }
 
-// String returns the number of nodes, for logs.
+// String returns the number of nodes, for log messages.
 func (t Tree) String() string { return fmt.Sprintf("tree of %d nodes", len(t.nodes)) }
--- a/coord/settings/urgency.go
+++ b/coord/settings/urgency.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// urgency orders requests: by the class's priority, then by the team's. Teams
-// without a priority of their own count as the class's.
+// urgency orders requests by the class's priority, then by the team's. Teams
+// without a priority of their own have the class's.
 type urgency struct {
 	team, class int
 }
@@ -18,11 +18,11 @@
 	return urgency{team: *t.Priority, class: c.Route.Priority}
 }
 
-// rankUrgencies numbers the urgencies that the tree can give, the most urgent
-// first, so that they fit into the few priorities that engines know.
+// rankUrgencies numbers the urgencies that the tree can give, most urgent
+// first, so that they fit into the few priorities of engines.
 func (s *Snapshot) rankUrgencies() {
 	s.urgency = map[urgency]int{}
-	teams := map[int]TeamInfo{} // one for each priority that a team has of its own
+	teams := map[int]TeamInfo{} // one team for each own priority of a team
 	for _, t := range s.teams {
 		if t.Priority != nil {
 			teams[*t.Priority] = t
--- a/coord/settings/version.go
+++ b/coord/settings/version.go
@@ -13,28 +13,28 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Buckets is over how many parts the children of a top node are spread. At
-// 40,000 teams a part is some 30 KB.
+// Buckets is the number of parts over which the children of a top-level node are spread. With
+// 40,000 teams, a part has about 30 KB.
 const Buckets = 256
 
-// MaxPart is the largest part, below the platform's limit for a value.
+// MaxPart is the largest size of a part in bytes, below the platform's limit for a value.
 const MaxPart = 900 << 10
 
-// Root names one version of the tree: its parts by content hash.
+// Root describes one version of the tree, with the content hashes of its parts.
 type Root struct {
 	Version uint64            `json:"version"`
 	Parent  uint64            `json:"parent"`
-	Change  string            `json:"change"` // id of the change, to know one's own after a lost answer
+	Change  string            `json:"change"` // id of the change, by which an author recognises it after a lost answer
 	Author  string            `json:"author,omitempty"`
 	Note    string            `json:"note,omitempty"`
 	At      time.Time         `json:"at"`
-	Parts   map[string]string `json:"parts"` // name of the part: content hash
+	Parts   map[string]string `json:"parts"` // content hash by name of the part
 }
 
-// Parts are the immutable pieces of trees, by content hash.
+// Parts are immutable encoded parts of trees, by content hash.
 type Parts map[string][]byte
 
-// partOf returns the name of the part that holds a node.
+// partOf returns the name of the part that contains a node.
 func partOf(path string) string {
 	segments := strings.SplitN(path, "/", 3)
 	if len(segments) < 2 {
@@ -44,7 +44,7 @@
 	return segments[0] + "/" + strconv.FormatUint(bucket, 16)
 }
 
-// Split cuts a tree into parts and names them in the root.
+// Split splits a tree into parts and records their hashes in the root.
 func Split(t Tree, r Root) (Root, Parts, error) {
 	byPart := map[string]map[string]Node{}
 	for p, n := range t.nodes {
@@ -77,41 +77,41 @@
 	return hex.EncodeToString(sum[:16])
 }
 
-// Missing returns the hashes of the root's parts that are not held.
-func (r Root) Missing(held Parts) []string {
+// Missing returns the hashes of the root's parts that are not in stored.
+func (r Root) Missing(stored Parts) []string {
 	var missing []string
 	for _, h := range r.Parts {
-		if _, ok := held[h]; !ok {
+		if _, ok := stored[h]; !ok {
 			missing = append(missing, h)
 		}
 	}
 	return missing
 }
 
-// Complete tells whether all parts of a root are held and undamaged.
-func Complete(r Root, held Parts) error {
+// Complete returns an error if a part of the root is missing from stored or damaged.
+func Complete(r Root, stored Parts) error {
 	for name, h := range r.Parts {
-		if data, ok := held[h]; !ok || contentHash(data) != h {
+		if data, ok := stored[h]; !ok || contentHash(data) != h {
 			return result.Errorf(result.SettingsInvalid, "part %q of version %d is missing or damaged", name, r.Version)
 		}
 	}
 	return nil
 }
 
-// Join builds the tree of a root from its parts, each checked by its hash.
-func Join(r Root, held Parts) (Tree, error) {
-	if err := Complete(r, held); err != nil {
+// Join builds the tree of a root from its parts, and verifies the hash of each.
+func Join(r Root, stored Parts) (Tree, error) {
+	if err := Complete(r, stored); err != nil {
 		return Tree{}, err
 	}
 	t := Tree{nodes: map[string]Node{}}
 	for name, h := range r.Parts {
-		if err := json.Unmarshal(held[h], &t.nodes); err != nil {
+		if err := json.Unmarshal(stored[h], &t.nodes); err != nil {
 			return Tree{}, result.Errorf(result.SettingsInvalid, "part %q of version %d: %v", name, r.Version, err)
 		}
 	}
 	return t, nil
 }
 
-// Newer tells whether a root is to replace the one in force. A lower or equal
-// version never does.
-func (r Root) Newer(inForce Root) bool { return r.Version > inForce.Version }
+// Newer reports whether the root replaces the current one: only a higher version
+// does.
+func (r Root) Newer(current Root) bool { return r.Version > current.Version }
