--- a/coord/binding/agent.go
+++ b/coord/binding/agent.go
@@ -61,7 +61,7 @@
 	}
 	for _, r := range c.sorted() {
 		switch {
-		case r.startedAt == name:
+		case r.startAgent == name:
 			c.handleLostStart(now, r)
 		case r.offers[name] == waiting:
 			r.offers[name] = failed
@@ -87,7 +87,7 @@
 // Uses reports whether the agent has open offers or running attempts of this entry.
 func (c *Core) Uses(name string) bool {
 	for _, r := range c.requests {
-		if r.startedAt == name || r.offers[name] == waiting {
+		if r.startAgent == name || r.offers[name] == waiting {
 			return true
 		}
 	}
--- a/coord/binding/choose.go
+++ b/coord/binding/choose.go
@@ -126,7 +126,7 @@
 	return time.Duration(high)
 }
 
-// wait returns the reported wait of the tier, corrected by the own offers since the report.
+// wait returns the reported wait of the tier, corrected by this entry's offers since the report.
 func (o *route) wait(tier int) time.Duration {
 	tier = min(max(tier, 0), message.Tiers-1)
 	over := o.sent - o.load.Free
--- a/coord/binding/dump.go
+++ b/coord/binding/dump.go
@@ -91,7 +91,7 @@
 		Attempt:  r.attempt,
 		Offers:   r.waiting(),
 		Tried:    len(r.offers),
-		At:       r.startedAt,
+		At:       r.startAgent,
 		AgeMS:    now.Sub(r.accepted).Milliseconds(),
 		Retrying: r.rounds,
 	}
--- a/coord/binding/events.go
+++ b/coord/binding/events.go
@@ -24,7 +24,7 @@
 		return c.takeActions()
 	}
 	c.withdraw(r, name)
-	r.startedAt = name
+	r.startAgent = name
 	r.ranBefore = r.mayHaveRun
 	r.mayHaveRun = true
 	r.lastProgress = now
@@ -70,7 +70,7 @@
 // End handles the end of an attempt.
 func (c *Core) End(now time.Time, name string, m message.End) []Action {
 	r := c.requests[m.Request]
-	if r == nil || r.state != started || r.attempt != m.Attempt || r.startedAt != name {
+	if r == nil || r.state != started || r.attempt != m.Attempt || r.startAgent != name {
 		return c.takeActions()
 	}
 	a := c.agents[name]
@@ -102,7 +102,7 @@
 	run := r.run()
 	if r.state == started {
 		run = result.Ran
-		c.emit(Cancel{Agent: r.startedAt, Request: r.id, Attempt: r.attempt})
+		c.emit(Cancel{Agent: r.startAgent, Request: r.id, Attempt: r.attempt})
 	}
 	c.withdraw(r, "")
 	c.close(r, Finish{Request: r.id, Code: result.Cancelled, Run: run})
@@ -131,8 +131,8 @@
 		c.resetTimer(r)
 		return
 	}
-	c.emit(Cancel{Agent: r.startedAt, Request: r.id, Attempt: r.attempt})
-	c.recordFailure(now, c.agents[r.startedAt])
+	c.emit(Cancel{Agent: r.startAgent, Request: r.id, Attempt: r.attempt})
+	c.recordFailure(now, c.agents[r.startAgent])
 	m := message.End{Request: r.id, Attempt: r.attempt, Code: result.Stalled, Run: result.Unknown}
 	c.retry(now, r, m, true)
 }
--- a/coord/binding/request.go
+++ b/coord/binding/request.go
@@ -29,8 +29,8 @@
 type state string
 
 const (
-	offering state = "offering" // no start is out
-	started  state = "started"  // one start is out
+	offering state = "offering" // no start is outstanding
+	started  state = "started"  // one start is outstanding
 	ended    state = "ended"
 )
 
@@ -60,7 +60,7 @@
 	state        state
 	attempt      message.Attempt
 	offers       map[string]offer
-	startedAt    string // agent to which the start was sent
+	startAgent   string // agent to which the start was sent
 	mayHaveRun   bool   // a start was sent that is not known as not run
 	ranBefore    bool   // mayHaveRun before the current start
 	unresumable  bool   // another endpoint can't continue the answer sent so far
--- a/coord/binding/retry.go
+++ b/coord/binding/retry.go
@@ -9,7 +9,8 @@
 	"foxcross.dev/coord/result"
 )
 
-// recordFailure records a failure of an agent, which may eject it within the bound on ejected agents.
+// recordFailure records a failure of an agent, which may eject it within the bound on ejected
+// agents.
 func (c *Core) recordFailure(now time.Time, a *agent) {
 	if a == nil {
 		return
@@ -54,7 +55,7 @@
 // Abandon handles the end of an attempt like End, but never retries the request.
 func (c *Core) Abandon(now time.Time, name string, m message.End) []Action {
 	r := c.requests[m.Request]
-	if r == nil || r.state != started || r.attempt != m.Attempt || r.startedAt != name {
+	if r == nil || r.state != started || r.attempt != m.Attempt || r.startAgent != name {
 		return c.takeActions()
 	}
 	c.recordFailure(now, c.agents[name])
@@ -82,8 +83,8 @@
 // unassign removes the request from the agent to which its start was sent, and returns the
 // agent's name, empty for none.
 func (c *Core) unassign(r *request) string {
-	last := r.startedAt
-	r.startedAt = ""
+	last := r.startAgent
+	r.startAgent = ""
 	if a := c.agents[last]; a != nil {
 		a.started--
 	}
--- a/coord/dispatch/core.go
+++ b/coord/dispatch/core.go
@@ -9,7 +9,8 @@
 )
 
 const (
-	// DefaultHold is how long a slot is held for its start by default. It is well above a round trip.
+	// DefaultHold is the default time for which a slot is held for its start, well above a round
+	// trip.
 	DefaultHold = 250 * time.Millisecond
 	// maxTickInterval is the longest time between two calls of Tick.
 	maxTickInterval = 500 * time.Millisecond
--- a/coord/duty/duty_test.go
+++ b/coord/duty/duty_test.go
@@ -76,7 +76,7 @@
 	}
 	e.Tried(now)
 	if e.Due(now.Add(499*time.Millisecond), noHolder) != duty.Rest || e.Due(now.Add(500*time.Millisecond), noHolder) != duty.Try {
-		t.Error("does not wait tryInterval between attempts")
+		t.Error("does not wait attemptInterval between attempts")
 	}
 	e.Won(duty.Lease{}.WithGrant("a", 7, now, now, terms), now)
 	if e.Due(now.Add(400*time.Millisecond), duty.Situation{}) != duty.Rest || e.Due(now.Add(500*time.Millisecond), duty.Situation{}) != duty.Renew {
@@ -92,7 +92,7 @@
 	}
 	e.Lost(late)
 	if e.Lease.Fence != 0 || e.Due(late.Add(499*time.Millisecond), noHolder) != duty.Rest || e.Due(late.Add(500*time.Millisecond), noHolder) != duty.Try {
-		t.Error("keeps the lease, or does not wait tryInterval, after the lease was lost")
+		t.Error("keeps the lease, or does not wait attemptInterval, after the lease was lost")
 	}
 }
 
--- a/coord/duty/election.go
+++ b/coord/duty/election.go
@@ -2,9 +2,9 @@
 //
 // Rule: a process that reads the platform's store, gets answers from it and sees no live holder
 // reads the holder's record, and tries to write its own if there is none; at most once per
-// tryInterval. The holder renews its lease several times per TTL, and retries sooner while that
+// attemptInterval. The holder renews its lease several times per TTL, and retries sooner while that
 // fails, until the store reports the lease expired or it has been expired for giveUpAfter.
-// Inputs: the fences that other processes announce, the own lease, the results of store calls.
+// Inputs: the fences that other processes announce, the process's lease, the results of store calls.
 // Never: processes agree on a holder among themselves; the store's condition decides.
 
 package duty
@@ -12,9 +12,9 @@
 import "time"
 
 const (
-	// tryInterval is the time between two attempts to become the holder: two calls a second
+	// attemptInterval is the time between two attempts to become the holder: two calls a second
 	// from each process that reads the store, only while there is no holder.
-	tryInterval = 500 * time.Millisecond
+	attemptInterval = 500 * time.Millisecond
 	// renewalsPerTTL is the number of renewals per TTL of a lease, so that one may be lost.
 	renewalsPerTTL = 3
 	// renewRetryInterval is the time after a failed renewal until the next one.
@@ -36,7 +36,7 @@
 // The moves.
 const (
 	Rest   Move = iota // no action is due
-	Try                // read the holder's record, write the own one if there is none
+	Try                // read the holder's record, and write one if there is none
 	Renew              // renew the lease
 	GiveUp             // treat the lease as lost
 )
@@ -67,7 +67,7 @@
 }
 
 // Tried records an attempt that failed at the given time.
-func (e *Election) Tried(at time.Time) { e.nextCall = at.Add(tryInterval) }
+func (e *Election) Tried(at time.Time) { e.nextCall = at.Add(attemptInterval) }
 
 // Won records that the process became the holder with lease l, requested at requestedAt.
 func (e *Election) Won(l Lease, requestedAt time.Time) {
@@ -88,5 +88,5 @@
 // holder gives it up.
 func (e *Election) Lost(at time.Time) {
 	e.Lease = Lease{}
-	e.nextCall = at.Add(tryInterval)
+	e.nextCall = at.Add(attemptInterval)
 }
--- a/coord/duty/ledger.go
+++ b/coord/duty/ledger.go
@@ -61,9 +61,9 @@
 // Ledger holds the accounts of windows. Set Length; the zero value is empty. It is not safe
 // for concurrent use.
 type Ledger struct {
-	Length   time.Duration // of a window
-	accounts map[Window]*account
-	through  map[uint64]time.Time // by owner, true time up to which it has counted
+	Length         time.Duration // of a window
+	accounts       map[Window]*account
+	countedThrough map[uint64]time.Time // by owner, true time up to which it has counted
 }
 
 // account is an Account with the stated totals that show whether it is complete.
@@ -75,11 +75,11 @@
 
 // Take merges the statement of a process. Counts of closed windows are ignored.
 func (l *Ledger) Take(s Statement) {
-	if l.through == nil {
-		l.through = map[uint64]time.Time{}
+	if l.countedThrough == nil {
+		l.countedThrough = map[uint64]time.Time{}
 	}
-	if s.Through.After(l.through[s.Owner]) {
-		l.through[s.Owner] = s.Through
+	if s.Through.After(l.countedThrough[s.Owner]) {
+		l.countedThrough[s.Owner] = s.Through
 	}
 	for _, w := range s.Windows {
 		a := l.account(w.Window)
@@ -207,9 +207,9 @@
 			delete(l.accounts, w)
 		}
 	}
-	for owner, at := range l.through {
+	for owner, at := range l.countedThrough {
 		if now.Sub(at) > keepFor {
-			delete(l.through, owner)
+			delete(l.countedThrough, owner)
 		}
 	}
 }
@@ -220,7 +220,7 @@
 func (l *Ledger) complete(w Window, a *account, live []uint64) bool {
 	end := w.End(l.Length)
 	for _, owner := range live {
-		if l.through[owner].Before(end) || a.Owners[owner].Total() < a.totals[owner] {
+		if l.countedThrough[owner].Before(end) || a.Owners[owner].Total() < a.totals[owner] {
 			return false
 		}
 	}
--- a/coord/fanout/fanout.go
+++ b/coord/fanout/fanout.go
@@ -7,9 +7,9 @@
 // that notices that a relay does not answer uses the next in rank instead.
 // Inputs: the live members, their ranks, and which of them do not answer this member.
 // Units: members.
-// Never: members have to agree on relays. Any member that is sent messages as a relay forwards them, so
-// that members with different views cause a second copy and no loss. Messages from another data
-// centre are never forwarded to a further data centre, so there are no loops.
+// Never: members have to agree on relays. Any member that receives messages as a relay forwards
+// them, so that members with different views cause a second copy and no loss. Messages from another
+// data centre are never forwarded to a further one, so there are no loops.
 //
 // Among 103 entries in 6 data centres, 0.22 GB are sent between data centres in a day of 1,000
 // requests a second, and entries take 290 s of a core. Sent from each member to all others, it is
--- a/coord/memory/move.go
+++ b/coord/memory/move.go
@@ -1,8 +1,8 @@
 // The duration of transfers of prompt parts between engines.
 //
-// Rule: a transfer takes setUpMS plus the time of its bytes on the link, and twice that time between
-// data centres. The transfers of one engine run one after another, whether it sends or
-// receives, so a transfer starts when both ends are free.
+// Rule: a transfer takes setUpMS plus the time of its bytes on the link. Between data centres the
+// time of the bytes doubles. The transfers of one engine run one after another, whether it sends
+// or receives, so a transfer starts when both ends are free.
 // Inputs: the settings of the service's engines; the transfers of all entries that have been
 // received from them.
 // Units: milliseconds, tokens, 10^6 bits a second.
--- a/coord/settings/route.go
+++ b/coord/settings/route.go
@@ -132,7 +132,7 @@
 
 // ServiceNamed returns the settings of a service.
 func (s Snapshot) ServiceNamed(name string) (ServiceInfo, bool) {
-	i, ok := s.serving[name]
+	i, ok := s.services[name]
 	return i, ok
 }
 
@@ -143,7 +143,7 @@
 		}
 		f := c.resolver.resolve(p)
 		name := value(f.Service)
-		c.snapshot.serving[name] = ServiceInfo{
+		c.snapshot.services[name] = ServiceInfo{
 			Name:           name,
 			MaxConnections: value(f.MaxConnections),
 			Slots:          value(f.EngineSlots),
--- a/coord/settings/snapshot.go
+++ b/coord/settings/snapshot.go
@@ -56,16 +56,16 @@
 
 // Snapshot is a tree that is compiled for look-ups. It is immutable.
 type Snapshot struct {
-	classes map[string]*ClassInfo // never modified: snapshots share the classes
-	byModel map[string][]string   // classes of a model, in order
-	service map[string][]string   // classes of a service, in order
-	teams   map[string]TeamInfo   // by hash of key
-	names   []string              // of classes, in order
-	routes  routeTable
-	limits  Limits
-	urgency map[urgency]int        // rank among the urgencies that the tree can give
-	serving map[string]ServiceInfo // by name
-	tree    Tree                   // from which the snapshot was compiled
+	classes   map[string]*ClassInfo // never modified: snapshots share the classes
+	byModel   map[string][]string   // classes of a model, in order
+	byService map[string][]string   // classes of a service, in order
+	teams     map[string]TeamInfo   // by hash of key
+	names     []string              // of classes, in order
+	routes    routeTable
+	limits    Limits
+	urgency   map[urgency]int        // rank among the urgencies that the tree can give
+	services  map[string]ServiceInfo // by name
+	tree      Tree                   // from which the snapshot was compiled
 }
 
 // HashKey returns the hash by which the tree refers to a bearer key.
@@ -109,7 +109,7 @@
 func (s Snapshot) ServiceClass(service, method, path string) (ClassInfo, bool) {
 	best := ""
 	bestRank := -1
-	for _, n := range s.service[service] {
+	for _, n := range s.byService[service] {
 		c := s.classes[n]
 		if rank := c.rank(method, path); rank > bestRank {
 			best = n
@@ -139,7 +139,7 @@
 }
 
 // HasService reports whether a class has the service.
-func (s Snapshot) HasService(service string) bool { return len(s.service[service]) > 0 }
+func (s Snapshot) HasService(service string) bool { return len(s.byService[service]) > 0 }
 
 // Compile validates the meaning of a tree and compiles it for look-ups.
 func Compile(t Tree) (Snapshot, error) { return Snapshot{}.Recompile(t) }
@@ -152,14 +152,14 @@
 		resolver: newResolver(t),
 		before:   s,
 		snapshot: Snapshot{
-			classes: make(map[string]*ClassInfo, t.Len()),
-			byModel: map[string][]string{},
-			service: map[string][]string{},
-			teams:   map[string]TeamInfo{},
-			routes:  routeTable{},
-			limits:  limitsOf(t.Resolve("")),
-			serving: map[string]ServiceInfo{},
-			tree:    t,
+			classes:   make(map[string]*ClassInfo, t.Len()),
+			byModel:   map[string][]string{},
+			byService: map[string][]string{},
+			teams:     map[string]TeamInfo{},
+			routes:    routeTable{},
+			limits:    limitsOf(t.Resolve("")),
+			services:  map[string]ServiceInfo{},
+			tree:      t,
 		},
 	}
 	paths := t.Paths()
@@ -228,7 +228,7 @@
 	case class.Route.Has():
 		s.routes.add(class)
 	case class.Service != "":
-		s.service[class.Service] = append(s.service[class.Service], class.Name)
+		s.byService[class.Service] = append(s.byService[class.Service], class.Name)
 	default:
 		s.byModel[class.Model] = append(s.byModel[class.Model], class.Name)
 	}
--- a/internal/direct/duties/campaign.go
+++ b/internal/direct/duties/campaign.go
@@ -43,7 +43,7 @@
 	d.announce()
 }
 
-// announce sends the own fence to the other entries if it has changed: 0 if this entry does not
+// announce sends the fence of this entry to the others if it has changed, 0 if this entry does not
 // hold the duties.
 func (d *Duties) announce() {
 	d.mu.Lock()
@@ -59,7 +59,7 @@
 	}
 }
 
-// attempt reads the holder's record and writes an own one if there is none.
+// attempt reads the holder's record and writes one if there is none.
 func (d *Duties) attempt(ctx context.Context) {
 	found, err := d.options.Records.Read(ctx, holderKey)
 	switch {
@@ -92,8 +92,8 @@
 	return h.Owner == d.options.Owner
 }
 
-// adopt takes over the duties by an own record that was written although the store's answer was
-// lost.
+// adopt takes over the duties with a record of this process that was written although the store's
+// answer was lost.
 func (d *Duties) adopt(ctx context.Context, r driver.Record) {
 	requestedAt := steady.Now()
 	if err := d.options.Records.Renew(ctx, r.Lease); err != nil {
@@ -103,7 +103,7 @@
 	d.acquired(r.Lease, r.Revision, requestedAt)
 }
 
-// acquire writes the own record with a new lease if there still is none.
+// acquire writes the holder's record with a new lease if there still is none.
 func (d *Duties) acquire(ctx context.Context) {
 	value, err := cbor.Marshal(holderRecord{Owner: d.options.Owner, Name: d.options.Name})
 	if err != nil {
