--- a/internal/direct/gateway/snapshot_test.go
+++ b/internal/direct/gateway/snapshot_test.go
@@ -15,24 +15,24 @@
 	const engines, subjects = 3, 9
 	// keptWorld starts engines that each keep some subjects, more than one of which no home
 	// would be by chance.
-	keptWorld := func() *world {
-		w := start(ok, ok, ok)
-		w.engines(map[string]any{"slots": 8, "kvCapacity": 500_000})
+	keptWorld := func() *harness {
+		h := newHarness(okResponse, okResponse, okResponse)
+		h.engines(map[string]any{"slots": 8, "kvCapacity": 500_000})
 		for n := range subjects {
-			w.runners[n%engines].Keep(fmt.Sprintf("a%d", n), 8000)
+			h.runners[n%engines].Keep(fmt.Sprintf("a%d", n), 8000)
 		}
-		return w
+		return h
 	}
 	// ask sends a prompt on each subject and returns how many ran where their subject is kept.
-	ask := func(w *world) int {
+	ask := func(h *harness) int {
 		for n := range subjects {
-			q := w.request(http.MethodGet, "/page/", "")
+			q := h.request(http.MethodGet, "/page/", "")
 			q.Header.Set(platformtest.TokensField, "9000,100")
 			q.Header.Set(platformtest.PartsField, fmt.Sprintf("a%d:8000,b%d:1000", n, n))
-			w.do(q).whole(200)
+			h.do(q).expectWhole(200)
 		}
 		hits := 0
-		for n, r := range w.runners {
+		for n, r := range h.runners {
 			for _, run := range r.Runs() {
 				var subject int
 				_, err := fmt.Sscanf(run.Header.Get(platformtest.PartsField), "a%d:", &subject)
@@ -47,32 +47,32 @@
 	all := func(string, string) bool { return true }
 
 	It("sends prompts where engines say that their parts are kept", func() {
-		w := keptWorld()
-		w.gateway.LearnMemory(context.Background(), all)
-		Expect(ask(w)).To(Equal(subjects))
+		h := keptWorld()
+		h.gateway.LearnMemory(context.Background(), all)
+		Expect(ask(h)).To(Equal(subjects))
 	})
 
 	It("asks only the engines that are its own to ask", func() {
-		w := keptWorld()
-		w.gateway.LearnMemory(context.Background(), func(endpoint, _ string) bool { return endpoint == "i-2" })
-		Expect(w.runners[0].Dialed()).To(BeZero())
-		Expect(w.runners[1].Dialed()).To(Equal(1))
+		h := keptWorld()
+		h.gateway.LearnMemory(context.Background(), func(endpoint, _ string) bool { return endpoint == "i-2" })
+		Expect(h.runners[0].Dialed()).To(BeZero())
+		Expect(h.runners[1].Dialed()).To(Equal(1))
 	})
 
 	It("goes on where an engine does not answer", func() {
-		w := keptWorld()
-		w.runners[1].Close()
-		w.gateway.LearnMemory(context.Background(), all)
-		Expect(w.runners[2].Dialed()).To(Equal(1))
+		h := keptWorld()
+		h.runners[1].Close()
+		h.gateway.LearnMemory(context.Background(), all)
+		Expect(h.runners[2].Dialed()).To(Equal(1))
 	})
 
 	It("takes over what another entry knows, but nothing that can't be read", func() {
-		w := keptWorld()
-		w.gateway.LearnMemory(context.Background(), all)
-		data, err := w.gateway.Snapshot()
+		h := keptWorld()
+		h.gateway.LearnMemory(context.Background(), all)
+		data, err := h.gateway.Snapshot()
 		Expect(err).NotTo(HaveOccurred())
-		Expect(w.gateway.Restore([]byte("no snapshot"))).NotTo(Succeed())
-		Expect(w.gateway.Restore(data)).To(Succeed())
-		Expect(ask(w)).To(Equal(subjects))
+		Expect(h.gateway.Restore([]byte("no snapshot"))).NotTo(Succeed())
+		Expect(h.gateway.Restore(data)).To(Succeed())
+		Expect(ask(h)).To(Equal(subjects))
 	})
 })
--- a/internal/direct/gateway/stop.go
+++ b/internal/direct/gateway/stop.go
@@ -1,12 +1,12 @@
-// How a clean stop spends its grace.
+// How a graceful shutdown uses its grace period.
 //
-// Rule: at the signal the process is not ready any more; requests are still taken
-// for takeShare of the grace, since the balancer needs a moment to notice, but no
-// longer than until quietShare if none is open then; after that, new requests are
-// refused as not run; at endShare, what is still open is given up.
-// Inputs: the grace, from the settings file; the number of open requests.
-// Unit: shares of the grace, from the signal on.
-// Never: a request that was taken is cut off before endShare.
+// Rule: from the signal on, the process is not ready. Requests are still accepted for acceptShare
+// of the grace period, because the load balancer needs a moment to notice, but only for
+// minAcceptShare if none is open then. After that, new requests are refused as not run. At
+// shutdownShare, requests that are still open are aborted.
+// Inputs: the grace period, from the settings file; the number of open requests.
+// Unit: shares of the grace period, from the signal on.
+// Never: an accepted request is aborted before shutdownShare.
 
 package gateway
 
@@ -20,25 +20,25 @@
 )
 
 const (
-	// takeShare is until when requests are taken.
-	takeShare = 0.34
-	// quietShare is until when requests are taken even if none is open. An idle process ends
-	// soon.
-	quietShare = 0.3
-	// endShare is when what is open is given up. The rest is for the last answers to leave the
-	// process.
-	endShare = 0.93
+	// acceptShare is when requests stop being accepted.
+	acceptShare = 0.34
+	// minAcceptShare is until when requests are accepted even if none is open, so that an idle
+	// process stops soon.
+	minAcceptShare = 0.3
+	// shutdownShare is when open requests are aborted. The remaining time is for the last responses
+	// to be sent.
+	shutdownShare = 0.93
 )
 
-// Stop ends the gateway cleanly within the grace. It returns an error if requests
+// Stop shuts the gateway down gracefully within the grace period. It returns an error if requests
 // were open at the end.
 func (g *Gateway) Stop(s *http.Server, grace time.Duration) error {
 	began := steady.Now()
 	g.life.Stop()
 	at := func(share float64) time.Time { return began.Add(time.Duration(share * float64(grace))) }
-	g.capacity.waitIdle(at(quietShare), at(takeShare))
+	g.capacity.waitIdle(at(minAcceptShare), at(acceptShare))
 	g.refusing.Store(true)
-	ctx, cancel := steady.WithDeadline(context.Background(), at(endShare))
+	ctx, cancel := steady.WithDeadline(context.Background(), at(shutdownShare))
 	defer cancel()
 	defer g.life.Done()
 	if err := s.Shutdown(ctx); err != nil {
@@ -48,9 +48,9 @@
 	return nil
 }
 
-// Grace returns the time from the signal to stop to the end by force.
+// Grace returns the time from the signal to stop until the process is killed.
 func (g *Gateway) Grace() time.Duration {
-	g.attempts.mu.Lock()
-	defer g.attempts.mu.Unlock()
-	return g.attempts.bounds.StopGrace
+	g.dispatcher.mu.Lock()
+	defer g.dispatcher.mu.Unlock()
+	return g.dispatcher.bounds.StopGrace
 }
--- a/internal/direct/gateway/stream.go
+++ b/internal/direct/gateway/stream.go
@@ -12,73 +12,73 @@
 	"foxcross.dev/foxcross/internal/direct/upstream"
 )
 
-// maxEvent bounds one event of a stream, in bytes.
-const maxEvent = 1 << 20
+// maxEventBytes limits the size of one event of a stream.
+const maxEventBytes = 1 << 20
 
-var errLongEvent = errors.New("gateway: an event is longer than allowed")
+var errEventTooLong = errors.New("gateway: an event is longer than allowed")
 
-// stream is a streamed answer on its way to the caller.
+// stream is a streamed response that is being relayed to the caller.
 type stream struct {
 	*forwarding
-	last       string // id of the last event that was passed on, empty for none
-	callerGone bool   // a write to the caller failed
+	lastEventID string // ID of the last relayed event, empty for none
+	callerGone  bool   // a write to the caller failed
 }
 
-// passStream passes on the events of a stream as they come, each whole, and goes on
-// at another endpoint where it breaks and may be resumed.
-func (f *forwarding) passStream(a *attempt, answer *upstream.Answer) outcome {
+// relayStream relays each event of a stream as soon as it is complete, and resumes the stream at
+// another endpoint if it breaks and may be resumed.
+func (f *forwarding) relayStream(a *attempt, response *upstream.Answer) decision {
 	s := &stream{forwarding: f}
 	for {
-		err := s.copyEvents(a, answer)
+		err := s.relayEvents(a, response)
 		if err == nil {
-			return s.finish(a, answer)
+			return s.finish(a, response)
 		}
-		answer.Close()
-		if !s.begun {
-			return f.fail(a, err)
+		response.Close()
+		if !s.responseStarted {
+			return f.endFailed(a, err)
 		}
-		e := s.broken(a, err)
-		o := decideBroken(s.situation(), e)
-		if _, resumes := o.(resume); !resumes {
-			return o
+		res := s.recordBreak(a, err)
+		d := decideBrokenStream(s.retryState(), res)
+		if _, resumes := d.(resume); !resumes {
+			return d
 		}
-		if a, answer = s.resume(a); a == nil {
-			return fail{unresumable(e)}
+		if a, response = s.resume(a); a == nil {
+			return fail{unresumable(res)}
 		}
 	}
 }
 
-// finish ends a stream that came whole.
-func (s *stream) finish(a *attempt, answer *upstream.Answer) outcome {
-	s.open(a, answer)
-	answer.Finish()
-	s.end(a, answered{answer.Status})
+// finish ends a stream that was received completely.
+func (s *stream) finish(a *attempt, response *upstream.Answer) decision {
+	s.start(a, response)
+	response.Finish()
+	s.endAttempt(a, responded{response.Status})
 	return done{}
 }
 
-// open passes the head on before the first event. The head of an endpoint at which
-// the stream is resumed is not passed on.
-func (s *stream) open(a *attempt, answer *upstream.Answer) {
-	s.gateway.attempts.firstEvent(s.request, a)
-	s.gateway.began(s.request)
-	if s.begun {
+// start relays the header before the first event. If the stream is resumed, the header of the
+// second endpoint is not relayed.
+func (s *stream) start(a *attempt, response *upstream.Answer) {
+	s.gateway.dispatcher.recordFirstEvent(s.request, a)
+	s.gateway.countRun(s.request)
+	if s.responseStarted {
 		return
 	}
-	s.begun = true
-	writeAnswerHead(s.writer, answer, answer.Length)
+	s.responseStarted = true
+	writeResponseHeader(s.writer, response, response.Length)
 }
 
-// copyEvents passes events on until the stream ends.
-func (s *stream) copyEvents(a *attempt, answer *upstream.Answer) error {
+// relayEvents relays events until the stream ends.
+func (s *stream) relayEvents(a *attempt, response *upstream.Answer) error {
 	control := http.NewResponseController(s.writer)
-	reader := bufio.NewReader(answer.Body)
+	reader := bufio.NewReader(response.Body)
 	for {
 		event, err := readEvent(reader)
 		if err != nil && !errors.Is(err, io.EOF) {
 			return err
 		}
 		if len(event) > 0 {
-			if err := s.passEvent(a, answer, event); err != nil {
+			if err := s.relayEvent(a, response, event); err != nil {
 				return err
 			}
 		}
@@ -86,20 +86,20 @@
 			return nil
 		}
 		if reader.Buffered() == 0 {
-			_ = control.Flush() // a caller that is gone is noticed by the next write
+			_ = control.Flush() // the next write fails if the caller has disconnected
 		}
 	}
 }
 
-// passEvent passes one event on.
-func (s *stream) passEvent(a *attempt, answer *upstream.Answer, event []byte) error {
-	if a.begun {
-		s.gateway.attempts.nextEvent(s.request, a)
+// relayEvent relays one event.
+func (s *stream) relayEvent(a *attempt, response *upstream.Answer, event []byte) error {
+	if a.gotFirstEvent {
+		s.gateway.dispatcher.recordNextEvent(s.request, a)
 	}
-	s.open(a, answer)
+	s.start(a, response)
 	a.bytes += len(event)
 	if id, ok := eventID(event); ok {
-		s.last = id
+		s.lastEventID = id
 	}
 	if _, err := s.writer.Write(event); err != nil {
 		s.callerGone = true
@@ -108,8 +108,8 @@
 	return nil
 }
 
-// readEvent returns the next event with the blank line that ends it. With
-// io.EOF it returns what came after the last one.
+// readEvent returns the next event including the blank line that ends it. With io.EOF it returns
+// the bytes after the last event.
 func readEvent(r *bufio.Reader) ([]byte, error) {
 	var event []byte
 	for {
@@ -118,8 +118,8 @@
 		if errors.Is(err, bufio.ErrBufferFull) {
 			err = nil
 		}
-		if len(event) > maxEvent {
-			return nil, errLongEvent
+		if len(event) > maxEventBytes {
+			return nil, errEventTooLong
 		}
 		if err != nil {
 			return event, err
@@ -130,7 +130,7 @@
 	}
 }
 
-// eventID returns the id of an event.
+// eventID returns the ID of an event.
 func eventID(event []byte) (string, bool) {
 	for line := range bytes.Lines(event) {
 		if value, ok := bytes.CutPrefix(line, []byte("id:")); ok {
@@ -140,47 +140,47 @@
 	return "", false
 }
 
-// broken records that the stream of an attempt broke after some of it was passed on.
-func (s *stream) broken(a *attempt, err error) event {
-	_ = http.NewResponseController(s.writer).Flush() // the caller is to get what came
-	e := eventOfError(context.Cause(s.ctx), err)
+// recordBreak records that the stream of an attempt broke after part of it was relayed.
+func (s *stream) recordBreak(a *attempt, err error) attemptResult {
+	_ = http.NewResponseController(s.writer).Flush() // the caller gets the events received so far
+	res := resultOfError(context.Cause(s.ctx), err)
 	if s.callerGone {
-		e = callerLeft{}
+		res = callerLeft{}
 	}
-	return s.end(a, e)
+	return s.endAttempt(a, res)
 }
 
-// situation adds to that of the request whether the stream can be resumed.
-func (s *stream) situation() situation {
-	x := s.forwarding.situation()
-	x.resumable = s.request.class.Route.Resumable && s.last != ""
-	return x
+// retryState returns the request's retryState with whether the stream can be resumed.
+func (s *stream) retryState() retryState {
+	state := s.forwarding.retryState()
+	state.resumable = s.request.class.Route.Resumable && s.lastEventID != ""
+	return state
 }
 
-// resume takes the stream up at another endpoint after the last event that was
-// passed on. It returns nil if the route's attempts, the retry budget or the
-// endpoints are used up, or if what is asked is kept from endpoints.
+// resume resumes the stream at another endpoint after the last relayed event. It returns nil if the
+// route's attempts, the retry budget or the endpoints are used up, or if the request's content is
+// held.
 func (s *stream) resume(broken *attempt) (*attempt, *upstream.Answer) {
 	q := s.request
-	attempts := &s.gateway.attempts
+	dispatcher := &s.gateway.dispatcher
 	tried := map[string]bool{broken.endpoint().ID: true}
-	for len(q.attempts) < q.class.Route.MaxAttempts && s.checkContent() == nil && attempts.allowRetry(q.spec.Service) {
-		a, refusal := attempts.place(q, tried)
+	for len(q.attempts) < q.class.Route.MaxAttempts && s.checkContent() == nil && dispatcher.allowRetry(q.spec.Service) {
+		a, refusal := dispatcher.place(q, tried)
 		if refusal != nil || a == nil {
 			return nil, nil
 		}
 		tried[a.endpoint().ID] = true
-		answer, err := s.send(a, s.last)
+		response, err := s.send(a, s.lastEventID)
 		if err != nil {
-			s.end(a, eventOfError(context.Cause(s.ctx), err))
+			s.endAttempt(a, resultOfError(context.Cause(s.ctx), err))
 			continue
 		}
-		if !succeeded(answer.Status) || answer.Header.Get(s.gateway.fields.Seal) == "" {
-			attempts.end(a, notResumed{answer.Status})
-			answer.Close()
+		if !succeeded(response.Status) || response.Header.Get(s.gateway.fields.Seal) == "" {
+			dispatcher.recordEnd(a, notResumed{response.Status})
+			response.Close()
 			continue
 		}
-		return a, answer
+		return a, response
 	}
 	return nil, nil
 }
--- a/internal/direct/gateway/suspects.go
+++ b/internal/direct/gateway/suspects.go
@@ -8,10 +8,10 @@
 	"foxcross.dev/coord/quarantine"
 )
 
-// suspects is what an entry knows of contents under which endpoints have crashed. The zero
-// value knows nothing. It is safe for concurrent use.
+// suspects is the state of the contents with which endpoints have crashed. The zero value is empty.
+// It is safe for concurrent use.
 type suspects struct {
-	any atomic.Bool // something is counted against some content
+	any atomic.Bool // crashes are counted against some content
 
 	mu       sync.Mutex
 	table    quarantine.Table
@@ -26,14 +26,14 @@
 	s.any.Store(!s.table.Empty())
 }
 
-// verdict decides of a content.
+// verdict returns whether a content is held.
 func (s *suspects) verdict(now time.Time, k quarantine.Key) quarantine.Verdict {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.Verdict(now, k)
 }
 
-func (s *suspects) expire(now time.Time) {
+func (s *suspects) removeExpired(now time.Time) {
 	s.update(func(t *quarantine.Table) { t.Expire(now) })
 }
 
@@ -61,6 +61,6 @@
 	return s.table.Snapshot(now, self)
 }
 
-func (s *suspects) restore(now time.Time, x quarantine.Snapshot) {
-	s.update(func(t *quarantine.Table) { t.Learn(now, x) })
+func (s *suspects) restore(now time.Time, s2 quarantine.Snapshot) {
+	s.update(func(t *quarantine.Table) { t.Learn(now, s2) })
 }
--- a/internal/direct/gateway/suspension_test.go
+++ b/internal/direct/gateway/suspension_test.go
@@ -21,25 +21,25 @@
 	})
 
 	It("gives up at once what ran out of time meanwhile", func() {
-		w := start(platformtest.Hang{})
+		h := newHarness(platformtest.Hang{})
 		answered := make(chan reply, 1)
-		q := w.request(http.MethodGet, "/page/1", "")
-		go func() { answered <- w.do(q) }()
-		Eventually(w.runs).Should(Equal(1))
+		q := h.request(http.MethodGet, "/page/1", "")
+		go func() { answered <- h.do(q) }()
+		Eventually(h.runs).Should(Equal(1))
 		DeferCleanup(suspension.Suspend(time.Minute))
 		var a reply
 		Eventually(answered, "5s").Should(Receive(&a))
-		a.whole(http.StatusGatewayTimeout)
-		Eventually(w.runners[0].Left()).Should(Receive(), "the endpoint is to stop its work")
+		a.expectWhole(http.StatusGatewayTimeout)
+		Eventually(h.runners[0].Left()).Should(Receive(), "the endpoint is to stop its work")
 	})
 
 	// Requests that came meanwhile are read in the millisecond in which it wakes.
 	DescribeTable("denies nothing by settings that were the newest before", func(suspend func(time.Duration) func()) {
-		w := start(ok)
-		Eventually(func() int { return w.get("/nothing").status }).Should(Equal(http.StatusNotFound), "the settings are confirmed")
-		w.store.SetFault(platformtest.Busy)
+		h := newHarness(okResponse)
+		Eventually(func() int { return h.get("/nothing").status }).Should(Equal(http.StatusNotFound), "the settings are confirmed")
+		h.store.SetFault(platformtest.Busy)
 		DeferCleanup(suspend(time.Minute))
-		w.get("/nothing").whole(http.StatusServiceUnavailable)
+		h.get("/nothing").expectWhole(http.StatusServiceUnavailable)
 	},
 		Entry("once it is noticed", suspension.Suspend),
 		Entry("right after it has woken", suspension.Waken),
--- a/internal/direct/gateway/unread.go
+++ b/internal/direct/gateway/unread.go
@@ -1,10 +1,10 @@
-// When an answer that its caller does not read is ended.
+// When a response that its caller does not read is aborted.
 //
-// Rule: a caller that takes no byte of what is written to it for unreadLimit is given up: its
-// connection is closed, and the endpoint's work with it. One that reads slowly is served as
-// long as some bytes go out in each such time.
-// Inputs: what the kernel takes of each write.
-// Never: an answer that makes progress is ended here, however late it is.
+// Rule: if a caller accepts no byte written to it for unreadTimeout, its connection is closed and
+// the endpoint's work is cancelled. A caller that reads slowly is served as long as some bytes are
+// accepted within each unreadTimeout.
+// Inputs: how many bytes of each write the kernel accepts.
+// Never: a response that makes progress is aborted here, however slow it is.
 
 package gateway
 
@@ -19,30 +19,32 @@
 )
 
 const (
-	// unreadLimit is how long a caller may read nothing: longer than links and other machines
-	// stand still without a fault, shorter than a caller that waits keeps an answer open.
-	unreadLimit = 5 * time.Second
-	// deadlineStep is the time between two settings of the write deadline.
-	deadlineStep = 100 * time.Millisecond
-	// writeStep is how many bytes are written at a time, each within unreadLimit.
-	writeStep = 16 << 10
+	// unreadTimeout is how long a caller may read nothing. It is longer than the pauses of healthy
+	// links and machines, and shorter than the time for which a waiting caller keeps a response
+	// open.
+	unreadTimeout = 5 * time.Second
+	// deadlineUpdateInterval is the minimum time between two updates of the write deadline.
+	deadlineUpdateInterval = 100 * time.Millisecond
+	// maxWriteBytes is the maximum size of one write. Each write has to finish within
+	// unreadTimeout.
+	maxWriteBytes = 16 << 10
 )
 
-// writes bounds the writes to a caller. One goroutine writes at a time.
-type writes struct {
-	until   time.Time // of the write deadline that is set, zero for none
-	expired atomic.Bool
+// writeState is the write deadline of a caller's connection. Only one goroutine writes at a time.
+type writeState struct {
+	deadline time.Time // write deadline last set, zero for none
+	expired  atomic.Bool
 }
 
 // Write implements net.Conn.
 func (c *callerConn) Write(b []byte) (int, error) {
 	written := 0
 	for written < len(b) {
-		c.boundWrite()
-		n, err := c.Conn.Write(b[written:min(len(b), written+writeStep)])
+		c.extendWriteDeadline()
+		n, err := c.Conn.Write(b[written:min(len(b), written+maxWriteBytes)])
 		written += n
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			c.writes.expired.Store(true)
+			c.writeState.expired.Store(true)
 		}
 		if err != nil {
 			return written, err
@@ -51,29 +53,30 @@
 	return written, nil
 }
 
-// boundWrite sets the deadline of the next write, unless one was set just before.
-func (c *callerConn) boundWrite() {
+// extendWriteDeadline sets the deadline of the next write, unless it was set within
+// deadlineUpdateInterval.
+func (c *callerConn) extendWriteDeadline() {
 	now := time.Now()
-	if c.writes.until.Sub(now) > unreadLimit-deadlineStep {
+	if c.writeState.deadline.Sub(now) > unreadTimeout-deadlineUpdateInterval {
 		return
 	}
-	c.writes.until = now.Add(unreadLimit)
-	_ = c.Conn.SetWriteDeadline(c.writes.until) // fails only on a closed connection
+	c.writeState.deadline = now.Add(unreadTimeout)
+	_ = c.Conn.SetWriteDeadline(c.writeState.deadline) // fails only on a closed connection
 }
 
-// unread tells whether the caller was given up, since it read nothing.
-func (c *callerConn) unread() bool { return c.writes.expired.Load() }
+// unread reports whether a write timed out because the caller read nothing.
+func (c *callerConn) unread() bool { return c.writeState.expired.Load() }
 
-// callerKey is the key of a caller's connection in the contexts of its requests.
-type callerKey struct{}
+// callerConnKey is the context key of the connection that a request came over.
+type callerConnKey struct{}
 
-// withCaller adds the connection to the contexts of its requests.
-func withCaller(ctx context.Context, c net.Conn) context.Context {
-	return context.WithValue(ctx, callerKey{}, c)
+// withCallerConn adds the connection to the context of its requests.
+func withCallerConn(ctx context.Context, c net.Conn) context.Context {
+	return context.WithValue(ctx, callerConnKey{}, c)
 }
 
 // callerConnOf returns the connection that a request came over.
 func callerConnOf(r *http.Request) (*callerConn, bool) {
-	c, ok := r.Context().Value(callerKey{}).(*callerConn)
+	c, ok := r.Context().Value(callerConnKey{}).(*callerConn)
 	return c, ok
 }
--- a/internal/direct/gateway/upload.go
+++ b/internal/direct/gateway/upload.go
@@ -13,50 +13,52 @@
 )
 
 const (
-	// uploadStep is for how many bytes a body of unknown length takes room at a time.
-	uploadStep = 64 << 10
-	// restOfBody is how long the body of a request that is refused unread may take, so that its
-	// connection can be used again.
-	restOfBody = 500 * time.Millisecond
+	// reservationStep is the number of bytes by which the reservation of a body of unknown length
+	// grows.
+	reservationStep = 64 << 10
+	// unreadBodyTimeout is how long the body of a request refused without reading it may take to
+	// arrive. If it arrives in time, its connection can be reused.
+	unreadBodyTimeout = 500 * time.Millisecond
 )
 
-// Why the reading of a body ends, beside the errors of its connection.
+// Reasons other than connection errors for which the reading of a body ends.
 var (
-	errNoRoom  = errors.New("gateway: no room for a body")
-	errGaveWay = errors.New("gateway: the body came slowly and gave way to others")
+	errNoMemory = errors.New("gateway: no memory left for a body")
+	errEvicted  = errors.New("gateway: a slow body was evicted")
 )
 
-// upload is a body on its way from a caller.
+// upload reads the body of a request.
 type upload struct {
-	bodies  *bodies
-	body    *body
-	control *http.ResponseController
-	reader  io.Reader
+	bodyMemory  *bodyMemory
+	reservation *reservation
+	control     *http.ResponseController
+	reader      io.Reader
 }
 
-// readBody reads the body of a request, until the request's deadline.
+// readBody reads the body of a request until the request's deadline.
 func (g *Gateway) readBody(w http.ResponseWriter, q *request, maxBytes int) ([]byte, *result.Error) {
 	r := q.incoming
-	q.held = &body{caller: callerOf(q)}
+	q.reservation = &reservation{caller: callerOf(q)}
 	if r.ContentLength == 0 {
 		return nil, nil
 	}
-	u := &upload{bodies: &g.bodies, body: q.held, control: http.NewResponseController(w)}
+	u := &upload{bodyMemory: &g.bodyMemory, reservation: q.reservation, control: http.NewResponseController(w)}
 	u.reader = http.MaxBytesReader(w, r.Body, int64(maxBytes))
 	expected := min(max(r.ContentLength, 0), int64(maxBytes))
-	if !g.bodies.hold(steady.Now(), q.held, expected) {
-		return nil, noRoom("bodies take too much memory")
+	if !g.bodyMemory.reserve(steady.Now(), q.reservation, expected) {
+		return nil, entryFull("bodies take too much memory")
 	}
 	data, err := u.readAll(expected, q.deadline)
 	if err == nil {
-		g.bodies.resize(q.held, int64(len(data)))
+		g.bodyMemory.resize(q.reservation, int64(len(data)))
 		return data, nil
 	}
-	g.bodies.release(q.held)
+	g.bodyMemory.release(q.reservation)
 	return nil, u.failure(err, maxBytes)
 }
 
-// callerOf names who a body is counted for: the team, or the machine where there is none.
+// callerOf returns the caller to which a body's memory is charged: the team, or the remote host if
+// there is no team.
 func callerOf(q *request) string {
 	if q.team != "" {
 		return q.team
@@ -68,14 +70,14 @@
 	return host
 }
 
-// readAll reads the body until the deadline, or until it has to give way.
+// readAll reads the body until it ends, the deadline passes or it is evicted.
 func (u *upload) readAll(expected int64, deadline time.Time) ([]byte, error) {
 	now := steady.Now()
 	u.setDeadline(time.Now().Add(deadline.Sub(now)))
-	u.bodies.begin(now, u.body, func() { u.setDeadline(time.Unix(1, 0)) })
+	u.bodyMemory.beginRead(now, u.reservation, func() { u.setDeadline(time.Unix(1, 0)) })
 	data, err := u.copy(make([]byte, 0, expected+1))
-	if !u.bodies.end(u.body) {
-		return nil, errGaveWay
+	if !u.bodyMemory.endRead(u.reservation) {
+		return nil, errEvicted
 	}
 	if err == nil {
 		u.setDeadline(time.Time{})
@@ -83,12 +85,12 @@
 	return data, err
 }
 
-// setDeadline bounds the next reads; the zero time for not.
+// setDeadline sets the read deadline. The zero time means no deadline.
 func (u *upload) setDeadline(at time.Time) {
-	_ = u.control.SetReadDeadline(at) // one that can't be set is of no connection, and its body does not wait
+	_ = u.control.SetReadDeadline(at) // fails only without a connection, where reading the body does not block
 }
 
-// copy reads until the body's end.
+// copy appends the rest of the body to data.
 func (u *upload) copy(data []byte) ([]byte, error) {
 	for {
 		if len(data) == cap(data) {
@@ -108,11 +110,11 @@
 	}
 }
 
-// grow takes room for what has come beyond what there is room for.
-func (u *upload) grow(came int64) error {
-	for came > u.body.bytes {
-		if !u.bodies.hold(steady.Now(), u.body, uploadStep) {
-			return errNoRoom
+// grow reserves more memory until it covers the bytes received.
+func (u *upload) grow(received int64) error {
+	for received > u.reservation.bytes {
+		if !u.bodyMemory.reserve(steady.Now(), u.reservation, reservationStep) {
+			return errNoMemory
 		}
 	}
 	return nil
@@ -120,14 +122,14 @@
 
 // failure returns the answer to a request whose body could not be read.
 func (u *upload) failure(err error, maxBytes int) *result.Error {
-	var large *http.MaxBytesError
+	var tooLarge *http.MaxBytesError
 	switch {
-	case errors.As(err, &large):
+	case errors.As(err, &tooLarge):
 		return result.Errorf(result.BodyTooLarge, "at most %d bytes", maxBytes)
-	case errors.Is(err, errNoRoom):
-		return noRoom("bodies take too much memory")
-	case errors.Is(err, errGaveWay):
-		return noRoom("the body came too slowly for the room that is left")
+	case errors.Is(err, errNoMemory):
+		return entryFull("bodies take too much memory")
+	case errors.Is(err, errEvicted):
+		return entryFull("the body came too slowly for the room that is left")
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return result.Errorf(result.BodyLate, "the body has not come within the time allowed")
 	default:
@@ -135,21 +137,21 @@
 	}
 }
 
-// leaveBody lets a request that was not accepted be answered though its body has not come: the
-// server would wait for the rest, however slowly it comes.
-func leaveBody(w http.ResponseWriter, q *request) {
+// limitUnreadBody sets a deadline for the rest of the body of a refused request. Without it the
+// server would wait for the whole body before it answers.
+func limitUnreadBody(w http.ResponseWriter, q *request) {
 	if q.incoming.ContentLength == 0 {
 		return
 	}
-	patience := restOfBody
-	if q.held != nil {
-		patience = 0 // it was waited for
+	timeout := unreadBodyTimeout
+	if q.reservation != nil {
+		timeout = 0 // the body was already waited for
 		w.Header().Set("Connection", "close")
 	}
-	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(patience)) // as for the other deadlines
+	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(timeout)) // fails only without a connection
 }
 
-// noRoom returns the answer to a request that this entry has no room for.
-func noRoom(reason string) *result.Error {
+// entryFull returns the answer to a request for which this entry has no capacity.
+func entryFull(reason string) *result.Error {
 	return &result.Error{Code: result.EntryFull, Run: result.NotRun, RetryAfter: fullRetryAfter, Reason: reason}
 }
--- a/internal/direct/gateway/whole.go
+++ b/internal/direct/gateway/whole.go
@@ -13,86 +13,86 @@
 	"foxcross.dev/foxcross/internal/steady"
 )
 
-// maxBuffered is the longest answer, in bytes, that is read whole before any of it is passed
-// on, so that one that breaks off can still be replaced.
-const maxBuffered = 256 << 10
+// maxBufferedBytes is the size up to which a response is read completely before any of it is
+// relayed, so that a retry can replace one that breaks off.
+const maxBufferedBytes = 256 << 10
 
-// passOn passes an endpoint's answer on to the caller.
-func (f *forwarding) passOn(a *attempt, answer *upstream.Answer, e event) outcome {
+// relayResponse relays an endpoint's response to the caller.
+func (f *forwarding) relayResponse(a *attempt, response *upstream.Answer, res attemptResult) decision {
 	switch {
-	case answer.Status >= http.StatusInternalServerError:
-		return f.copyAnswer(a, answer, nil, e)
-	case f.isStream(answer):
-		return f.passStream(a, answer)
-	case answer.Length > maxBuffered:
-		return f.copyAnswer(a, answer, nil, e)
+	case response.Status >= http.StatusInternalServerError:
+		return f.relayUnbuffered(a, response, nil, res)
+	case f.isStream(response):
+		return f.relayStream(a, response)
+	case response.Length > maxBufferedBytes:
+		return f.relayUnbuffered(a, response, nil, res)
 	default:
-		return f.passBuffered(a, answer, e)
+		return f.relayBuffered(a, response, res)
 	}
 }
 
-// passBuffered reads a short answer whole before it is passed on, if there is room for it.
-func (f *forwarding) passBuffered(a *attempt, answer *upstream.Answer, e event) outcome {
-	held := &body{caller: callerOf(f.request)}
-	bytes := answer.Length
+// relayBuffered buffers a short response before it is relayed, if there is memory for it.
+func (f *forwarding) relayBuffered(a *attempt, response *upstream.Answer, res attemptResult) decision {
+	reservation := &reservation{caller: callerOf(f.request)}
+	bytes := response.Length
 	if bytes < 0 {
-		bytes = maxBuffered
+		bytes = maxBufferedBytes
 	}
-	if !f.gateway.bodies.hold(steady.Now(), held, bytes) {
-		return f.copyAnswer(a, answer, nil, e)
+	if !f.gateway.bodyMemory.reserve(steady.Now(), reservation, bytes) {
+		return f.relayUnbuffered(a, response, nil, res)
 	}
-	defer f.gateway.bodies.release(held)
-	return f.passWhole(a, answer, e)
+	defer f.gateway.bodyMemory.release(reservation)
+	return f.relayWhole(a, response, res)
 }
 
-// passWhole reads a short answer and passes it on once it is whole.
-func (f *forwarding) passWhole(a *attempt, answer *upstream.Answer, e event) outcome {
-	body, err := io.ReadAll(io.LimitReader(answer.Body, maxBuffered))
-	if err != nil || (answer.Length >= 0 && int64(len(body)) != answer.Length) {
-		answer.Close()
-		return f.fail(a, errors.Join(upstream.ErrBroken, err))
+// relayWhole reads a short response and relays it once it is complete.
+func (f *forwarding) relayWhole(a *attempt, response *upstream.Answer, res attemptResult) decision {
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxBufferedBytes))
+	if err != nil || (response.Length >= 0 && int64(len(body)) != response.Length) {
+		response.Close()
+		return f.endFailed(a, errors.Join(upstream.ErrBroken, err))
 	}
-	if answer.Length < 0 && len(body) == maxBuffered {
-		return f.copyAnswer(a, answer, body, e)
+	if response.Length < 0 && len(body) == maxBufferedBytes {
+		return f.relayUnbuffered(a, response, body, res)
 	}
-	f.gateway.attempts.firstEvent(f.request, a)
-	answer.Finish()
-	f.end(a, e)
-	writeAnswerHead(f.writer, answer, int64(len(body)))
+	f.gateway.dispatcher.recordFirstEvent(f.request, a)
+	response.Finish()
+	f.endAttempt(a, res)
+	writeResponseHeader(f.writer, response, int64(len(body)))
 	a.bytes = len(body)
-	_, _ = f.writer.Write(body) // the caller may be gone
+	_, _ = f.writer.Write(body) // the caller may have disconnected
 	return done{}
 }
 
-// copyAnswer passes an answer on as it comes, after the beginning that has been
-// read of it.
-func (f *forwarding) copyAnswer(a *attempt, answer *upstream.Answer, beginning []byte, e event) outcome {
-	f.gateway.attempts.firstEvent(f.request, a)
-	f.begun = true
-	writeAnswerHead(f.writer, answer, answer.Length)
+// relayUnbuffered relays a response as it arrives, after the prefix that was already read.
+func (f *forwarding) relayUnbuffered(a *attempt, response *upstream.Answer, prefix []byte, res attemptResult) decision {
+	f.gateway.dispatcher.recordFirstEvent(f.request, a)
+	f.responseStarted = true
+	writeResponseHeader(f.writer, response, response.Length)
 	to := &callerWriter{writer: f.writer}
-	copied, err := io.Copy(to, io.MultiReader(bytes.NewReader(beginning), answer.Body))
+	copied, err := io.Copy(to, io.MultiReader(bytes.NewReader(prefix), response.Body))
 	a.bytes = int(copied)
 	if err == nil {
-		answer.Finish()
-		f.end(a, e)
+		response.Finish()
+		f.endAttempt(a, res)
 		return done{}
 	}
-	answer.Close()
-	broken := eventOfError(context.Cause(f.ctx), err)
+	response.Close()
+	broken := resultOfError(context.Cause(f.ctx), err)
 	if to.failed {
 		broken = callerLeft{}
 	}
-	broken = f.end(a, broken)
+	broken = f.endAttempt(a, broken)
 	switch broken.(type) {
-	case noAnswer, endpointCrashed:
+	case noResponse, endpointCrashed:
 		return fail{&result.Error{Code: result.EndpointFailed, Run: result.Ran, Reason: err.Error()}}
 	default:
-		return decideBroken(situation{}, broken)
+		return decideBrokenStream(retryState{}, broken)
 	}
 }
 
-// callerWriter tells a caller that takes no more from an endpoint that sends no more.
+// callerWriter records whether a write to the caller failed, as opposed to a read from the
+// endpoint.
 type callerWriter struct {
 	writer io.Writer
 	failed bool
@@ -105,10 +105,10 @@
 	return n, err
 }
 
-// writeAnswerHead passes the head of an answer on. A length of -1 is unknown.
-func writeAnswerHead(w http.ResponseWriter, a *upstream.Answer, length int64) {
+// writeResponseHeader relays the status and header of a response. A length of -1 is unknown.
+func writeResponseHeader(w http.ResponseWriter, a *upstream.Answer, length int64) {
 	h := w.Header()
-	copyAnswerHeader(h, a.Header)
+	copyResponseHeader(h, a.Header)
 	if length >= 0 && a.Status != http.StatusNoContent && a.Status != http.StatusNotModified {
 		h.Set("Content-Length", strconv.FormatInt(length, 10))
 	}
