--- a/internal/direct/gateway/attempts.go
+++ b/internal/direct/gateway/attempts.go
@@ -273,9 +273,9 @@
 	return b
 }
 
-// expire removes attempts of other entries whose deadline has passed, and updates the counts of
-// known and live entries.
-func (d *dispatcher) expire(now time.Time) {
+// removeExpired removes attempts of other entries whose deadline has passed, and updates the counts
+// of known and live entries.
+func (d *dispatcher) removeExpired(now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.table.Expire(now)
--- a/internal/direct/gateway/bodies.go
+++ b/internal/direct/gateway/bodies.go
@@ -24,9 +24,9 @@
 const (
 	// defaultBodyMemory limits the bytes of bodies if the memory limit is unknown.
 	defaultBodyMemory = 256 << 20
-	// memoryDivisor: bodies may use 1/memoryDivisor of the memory.
+	// memoryDivisor limits bodies to 1/memoryDivisor of the memory.
 	memoryDivisor = 4
-	// callerDivisor: the bodies of one caller may use 1/callerDivisor of the memory for bodies.
+	// callerDivisor limits one caller to 1/callerDivisor of the memory for bodies.
 	callerDivisor = 2
 	// maxSmallBody is the size in bytes up to which a body counts as small. 1/smallBodyDivisor of
 	// the memory is reserved for small bodies: few requests are large, and callers that send many
--- a/internal/direct/gateway/dump_test.go
+++ b/internal/direct/gateway/dump_test.go
@@ -9,7 +9,7 @@
 )
 
 var _ = Describe("the dump", func() {
-	It("shows settings, endpoints and open requests", func() {
+	It("contains settings, endpoints and open requests", func() {
 		h := newHarness(platformtest.Hang{}, okResponse)
 		h.store.Put("servers/i-2", h.runners[1].Entry("draining"))
 		Eventually(func() bool { return h.gateway.Dump().Endpoints[1].Leaving }).Should(BeTrue())
--- a/internal/direct/gateway/eligible_test.go
+++ b/internal/direct/gateway/eligible_test.go
@@ -9,7 +9,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// refused expects a refusal with a code that says that the request was not run.
+// expectRefused expects a refusal with the code that is marked as not run.
 func (r reply) expectRefused(code string) {
 	GinkgoHelper()
 	r.expectWhole(503)
@@ -19,7 +19,7 @@
 }
 
 var _ = Describe("an evacuated data centre", func() {
-	It("gets nothing new until it is given back, and requests are refused if there is no other", func() {
+	It("gets no new requests until the evacuation ends, and requests are refused if there is no other data centre", func() {
 		h := newHarness(okResponse, okResponse)
 		h.runners[1].DataCentre = "zone-2"
 		h.store.Enter(h.runners[1], "ready")
@@ -39,7 +39,7 @@
 		Expect(h.runners[1].Runs()).To(HaveLen(1))
 	})
 
-	It("lets what is under way there go on", func() {
+	It("completes its requests in progress", func() {
 		hold := make(chan struct{})
 		h := newHarness(platformtest.Events{To: 5, Hold: hold})
 		done := make(chan reply, 1)
@@ -55,7 +55,7 @@
 		Expect(eventIDs(a.body)).To(Equal(sequence(5)))
 	})
 
-	It("does not take up a stream that broke elsewhere", func() {
+	It("does not resume a stream that broke in another one", func() {
 		hold := make(chan struct{})
 		h := newHarness(platformtest.Events{To: 3, Hold: hold, Broken: true}, platformtest.Events{To: 3, Hold: hold, Broken: true})
 		h.runners[1].DataCentre = "zone-2"
@@ -74,7 +74,7 @@
 	})
 })
 
-var _ = Describe("a request that may be served in some regions", func() {
+var _ = Describe("a request restricted to regions", func() {
 	regions := func(class, team []string) (*harness, func() int) {
 		h := newHarness(okResponse, okResponse)
 		h.runners[1].DataCentre = "zone-2"
@@ -88,7 +88,7 @@
 		return h, func() int { return len(h.runners[0].Runs()) }
 	}
 
-	It("goes to endpoints there only", func() {
+	It("goes only to endpoints in them", func() {
 		h, outside := regions([]string{"region-2"}, nil)
 		for range 20 {
 			h.get("/page/1").expectWhole(200)
@@ -96,7 +96,7 @@
 		Expect(outside()).To(BeZero())
 	})
 
-	It("is bound by its team's regions too", func() {
+	It("is also restricted to its team's regions", func() {
 		h, outside := regions(nil, []string{"region-2"})
 		for range 20 {
 			h.get("/page/1").expectWhole(200)
@@ -109,7 +109,7 @@
 		Expect(outside()).To(BeZero())
 	})
 
-	It("is not sent again outside of them", func() {
+	It("is not retried outside of them", func() {
 		h, outside := regions([]string{"region-2"}, nil)
 		h.runners[1].Next(platformtest.Break{})
 		Expect(h.get("/page/1").status).To(Equal(502))
--- a/internal/direct/gateway/export_test.go
+++ b/internal/direct/gateway/export_test.go
@@ -6,10 +6,10 @@
 	"foxcross.dev/coord/result"
 )
 
-// Refusing tells whether new requests are refused near the end of a stop.
+// Refusing reports whether new requests are refused near the end of a graceful shutdown.
 func (g *Gateway) Refusing() bool { return g.refusing.Load() }
 
-// RefuseNow brings the gateway to the last part of a stop.
+// RefuseNow starts the last phase of a graceful shutdown.
 func (g *Gateway) RefuseNow() {
 	g.life.Stop()
 	g.refusing.Store(true)
@@ -18,5 +18,5 @@
 // WriteFailure writes the answer to a request that failed.
 func WriteFailure(w http.ResponseWriter, f *result.Error) { writeFailure(w, f) }
 
-// HeldBodies returns the bytes of bodies that a gateway holds.
+// HeldBodies returns the number of bytes reserved for bodies.
 func HeldBodies(g *Gateway) int64 { return g.bodyMemory.reserved() }
--- a/internal/direct/gateway/fetch_test.go
+++ b/internal/direct/gateway/fetch_test.go
@@ -19,10 +19,11 @@
 		return q
 	}
 
-	// sendTwice sends two prompts that share a part to the engines of a service. The one
-	// that has computed it fails the second prompt if it gets it, so that this one runs at
-	// the other. It returns the address of the first and what the other was sent. Stand-ins
-	// compute a prompt in no time, so only small tokens are worth a fetch.
+	// sendTwice sends two prompts with a common part to the engines of a service. The engine that
+	// has computed the part fails the second prompt if it gets it, so that it runs at the other
+	// engine. sendTwice returns the address of the first engine and the header that the other
+	// received. Simulated engines compute prompts instantly, so a fetch pays off only for small
+	// tokens.
 	sendTwice := func(engine map[string]any, between func(h *harness)) (string, http.Header) {
 		h := newHarness(okResponse, okResponse)
 		h.engines(engine)
@@ -38,21 +39,21 @@
 		return keeper.Address(), other.Runs()[0].Header
 	}
 
-	fetches := map[string]any{"slots": 8, "kvCapacity": 500_000, "kvBytes": 1_000, "linkMbps": 260_000.0}
+	fetchSettings := map[string]any{"slots": 8, "kvCapacity": 500_000, "kvBytes": 1_000, "linkMbps": 260_000.0}
 	nothing := func(*harness) {}
 
 	It("names the engine that has computed them", func() {
-		first, header := sendTwice(fetches, nothing)
+		first, header := sendTwice(fetchSettings, nothing)
 		Expect(header.Get(platformtest.FetchField)).To(Equal(first))
 	})
 
-	It("is not asked of engines that offer none", func() {
+	It("is not requested from engines that do not offer it", func() {
 		_, header := sendTwice(map[string]any{"slots": 8, "kvCapacity": 500_000}, nothing)
 		Expect(header).NotTo(HaveKey(platformtest.FetchField))
 	})
 
-	It("is not asked for once an engine has crashed under the prompt", func() {
-		_, header := sendTwice(fetches, func(h *harness) {
+	It("is not requested after an engine has crashed with the prompt", func() {
+		_, header := sendTwice(fetchSettings, func(h *harness) {
 			k := quarantine.KeyOf("studio-1", http.MethodGet, routeHost+"/page/", nil)
 			h.gateway.Listener().TakeEvents(99, []peers.Event{{
 				Kind: peers.EndpointCrashed, Endpoint: "i-gone", Runs: []quarantine.RunReport{{Content: k[:]}},
--- a/internal/direct/gateway/forward_test.go
+++ b/internal/direct/gateway/forward_test.go
@@ -16,7 +16,7 @@
 var okResponse = platformtest.Answer{Status: 200, Body: "the whole answer"}
 
 var _ = Describe("forwarding", func() {
-	It("passes the request on untouched but for the system's own fields", func() {
+	It("forwards the request unchanged except for the fields that the entry owns", func() {
 		h := newHarness(okResponse)
 		q := h.request(http.MethodPost, "/book/a%2Fb/../c?page=3&sort=new", "the body")
 		q.Header.Set(platformtest.TeamField, "somebody-else")
@@ -43,7 +43,7 @@
 		Expect(left).To(BeNumerically(">", 10000))
 	})
 
-	DescribeTable("passes on no field that only the system may set", func(field, value string) {
+	DescribeTable("does not forward fields that only the system may set", func(field, value string) {
 		h := newHarness(okResponse)
 		for _, name := range []string{field, strings.ToLower(field)} {
 			q := h.request(http.MethodPost, "/book/", "the body")
@@ -56,15 +56,15 @@
 			Expect(r.Header).NotTo(HaveKey(field))
 		}
 	},
-		Entry("a run to go on with", "Kv-From", "10.0.0.1:1/x"),
-		Entry("a source of memory", platformtest.FetchField, "10.0.0.1:1"),
-		Entry("a place set aside", "X-Kv-Hold", "h-1"),
-		Entry("a copy", "X-Kv-Replica", "10.0.0.1:1"),
-		Entry("a pin", "X-Pin-Ms", "4000"),
-		Entry("a version of the weights", "X-Expected-Version", "7"),
+		Entry("resumption of a run", "Kv-From", "10.0.0.1:1/x"),
+		Entry("source of a fetch", platformtest.FetchField, "10.0.0.1:1"),
+		Entry("reserved slot", "X-Kv-Hold", "h-1"),
+		Entry("replica", "X-Kv-Replica", "10.0.0.1:1"),
+		Entry("pin", "X-Pin-Ms", "4000"),
+		Entry("version of the weights", "X-Expected-Version", "7"),
 	)
 
-	It("uses a connection again", func() {
+	It("reuses a connection", func() {
 		h := newHarness(okResponse)
 		for range 5 {
 			h.get("/page/1").expectWhole(200)
@@ -72,14 +72,14 @@
 		Expect(h.runners[0].Dialed()).To(Equal(1))
 	})
 
-	It("runs what may not be repeated at most once and promises nothing", func() {
+	It("runs a non-repeatable request at most once and does not report it as not run", func() {
 		h := newHarness(platformtest.Break{}, platformtest.Break{})
 		a := h.do(h.request(http.MethodPost, "/book/1", "x"))
 		a.expectWhole(502)
 		Expect(h.runs()).To(Equal(1))
 	})
 
-	It("repeats what may be repeated at another endpoint, within the route's attempts", func() {
+	It("repeats a repeatable request at another endpoint, within the route's attempts", func() {
 		h := newHarness(platformtest.Break{}, platformtest.Break{}, platformtest.Break{})
 		h.get("/page/1").expectWhole(502)
 		Expect(h.runs()).To(Equal(2))
@@ -88,13 +88,13 @@
 		}
 	})
 
-	It("does not send a request of one attempt twice", func() {
+	It("does not retry a request whose route allows one attempt", func() {
 		h := newHarness(platformtest.Break{}, platformtest.Break{})
 		h.get("/once/1").expectWhole(502)
 		Expect(h.runs()).To(Equal(1))
 	})
 
-	It("says that a request has not run only if the endpoint says so", func() {
+	It("reports that a request was not run only if the endpoint does", func() {
 		h := newHarness(platformtest.Refuse{Status: 503})
 		a := h.do(h.request(http.MethodPost, "/book/1", "x"))
 		a.expectWhole(503)
@@ -102,14 +102,14 @@
 		Expect(h.runs()).To(Equal(0))
 	})
 
-	It("does not pass on a promise that the endpoint did not give", func() {
+	It("does not relay a status that implies not run without the endpoint's field", func() {
 		for _, status := range []int{503, 429, 408} {
 			h := newHarness(platformtest.Fail{Status: status})
 			h.do(h.request(http.MethodPost, "/book/1", "x")).expectWhole(502)
 		}
 	})
 
-	It("promises nothing after a first send that may have run", func() {
+	It("does not report a request as not run after a first attempt that may have run", func() {
 		h := newHarness(okResponse, okResponse)
 		for _, acts := range [][]platformtest.Act{
 			{platformtest.Break{}, platformtest.Refuse{Status: 503}},
@@ -123,7 +123,7 @@
 		}
 	})
 
-	It("promises that a request has not run that all endpoints turned away", func() {
+	It("reports a request refused by all endpoints as not run", func() {
 		h := newHarness(okResponse, okResponse)
 		platformtest.InTurn(h.runners, platformtest.Refuse{Status: 503}, platformtest.Refuse{Status: 503})
 		a := h.get("/page/1")
@@ -132,7 +132,7 @@
 		Expect(h.runs()).To(BeZero())
 	})
 
-	It("passes an endpoint's own failure on unchanged", func() {
+	It("relays an endpoint's own error unchanged", func() {
 		h := newHarness(platformtest.Answer{Status: 500, Body: "its words"})
 		a := h.do(h.request(http.MethodPost, "/book/1", "x"))
 		a.expectWhole(500)
@@ -140,7 +140,7 @@
 		Expect(a.header.Get(platformtest.SealField)).NotTo(BeEmpty())
 	})
 
-	It("tells answers apart by their ids", func() {
+	It("matches responses to requests by their IDs", func() {
 		h := newHarness(okResponse)
 		h.runners[0].Next(platformtest.Surplus{}, platformtest.Twice{})
 		for range 3 {
@@ -148,10 +148,10 @@
 			a.expectWhole(200)
 			Expect(a.body).To(BeElementOf("right", "the whole answer"))
 		}
-		Expect(h.runners[0].Dialed()).To(Equal(3), "a connection with surplus answers is not used again")
+		Expect(h.runners[0].Dialed()).To(Equal(3), "a connection with surplus responses is not reused")
 	})
 
-	It("takes nothing for an answer that is none", func() {
+	It("rejects invalid responses", func() {
 		h := newHarness(okResponse)
 		h.runners[0].Next(platformtest.Garbage{}, platformtest.Unsealed{}, platformtest.Cut{})
 		for range 3 {
@@ -159,7 +159,7 @@
 		}
 	})
 
-	It("passes on an answer without a length, unless its connection is reset", func() {
+	It("relays a response without a length, unless its connection is reset", func() {
 		h := newHarness(okResponse)
 		h.runners[0].Next(platformtest.Unframed{Body: "all of it"}, platformtest.Unframed{Body: "part of it", Broken: true})
 		a := h.get("/once/1")
@@ -168,13 +168,12 @@
 		h.get("/once/1").expectWhole(502)
 	})
 
-	// What was seen: under random faults a caller took "cut" for a whole answer, and a stream of no
-	// events for complete, each once in some 20 runs in which endpoints also crashed. The order of
-	// events: an endpoint begins an answer without a length, and crashes under another request;
-	// its connections close as that of an answer that has ended. Evidence: the request's endpoint
-	// crashed in the same millisecond in which the answer "ended", by the log of the other
-	// requests there.
-	It("takes an answer without a length for broken off whose endpoint crashed", func() {
+	// Guards against truncated responses that are taken for complete. An endpoint starts a response
+	// without a length and crashes while it runs another request. Its connections are then closed
+	// in the same way as after a complete response, so a caller took "cut" for a whole response,
+	// and a stream without events for complete (each once in some 20 runs with random faults and
+	// crashes).
+	It("treats a response without a length as truncated if its endpoint crashed", func() {
 		for _, target := range []string{"/once/1", "/chat/1"} {
 			h := newHarness(okResponse)
 			crash := make(chan struct{})
@@ -189,7 +188,7 @@
 		}
 	})
 
-	It("does not use a connection again whose request was answered early", func() {
+	It("does not reuse a connection whose request was answered early", func() {
 		h := newHarness(okResponse)
 		h.runners[0].Next(platformtest.Early{Status: 400})
 		h.do(h.request(http.MethodPost, "/once/1", strings.Repeat("x", 900<<10))).expectWhole(400)
@@ -199,7 +198,7 @@
 		}
 	})
 
-	It("goes elsewhere when another endpoint has the address", func() {
+	It("uses another endpoint if the address belongs to another one", func() {
 		h := newHarness(okResponse, okResponse)
 		e := h.runners[0].Entry("ready")
 		h.store.Put("servers/i-ghost", e)
@@ -214,7 +213,7 @@
 		}
 	})
 
-	It("tries another endpoint when no connection comes up", func() {
+	It("tries another endpoint if no connection can be established", func() {
 		h := newHarness(okResponse, okResponse)
 		h.runners[0].Close()
 		for range 10 {
@@ -222,7 +221,7 @@
 		}
 	})
 
-	It("does not blame the endpoint for a caller that leaves within a long answer", func() {
+	It("does not count a failure of the endpoint if the caller leaves during a long response", func() {
 		h := newHarness(platformtest.Answer{Status: 200, Body: strings.Repeat("x", 16<<20)})
 		q := h.request(http.MethodGet, "/page/1", "")
 		ctx, leave := context.WithCancel(context.Background())
@@ -236,7 +235,7 @@
 		Expect(h.gateway.Dump().Endpoints[0].Failures).To(BeZero())
 	})
 
-	It("ends the endpoint's work when the caller leaves", func() {
+	It("cancels the endpoint's work when the caller leaves", func() {
 		h := newHarness(platformtest.Hang{})
 		q := h.request(http.MethodGet, "/page/1", "")
 		ctx, cancel := context.WithCancel(context.Background())
@@ -248,13 +247,13 @@
 		Eventually(done).Should(Receive())
 	})
 
-	It("gives the final answer when the route's time is over", func() {
+	It("answers when the route's timeout is over", func() {
 		h := newHarness(platformtest.Hang{})
 		h.get("/short/1").expectWhole(504)
 		Eventually(h.runners[0].Left()).Should(Receive())
 	})
 
-	It("refuses truthfully when no endpoint is known", func() {
+	It("refuses a request as not run when no endpoint is known", func() {
 		h := newHarness(okResponse)
 		h.store.Remove("servers/i-1")
 		Eventually(func() int { return len(h.gateway.Directory().Endpoints().List) }).Should(Equal(0))
@@ -263,7 +262,7 @@
 		Expect(a.header.Get("Retry-After")).NotTo(BeEmpty())
 	})
 
-	It("refuses a body or header beyond the limits", func() {
+	It("refuses a body or header that exceeds the limits", func() {
 		h := newHarness(okResponse)
 		h.do(h.request(http.MethodPost, "/book/1", strings.Repeat("x", 2<<20))).expectWhole(413)
 		q := h.request(http.MethodGet, "/page/1", "")
--- a/internal/direct/gateway/fuzz_test.go
+++ b/internal/direct/gateway/fuzz_test.go
@@ -13,13 +13,14 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// namesOnly is a platform that is not there.
+// fieldsOnlyDriver is a driver with no platform and no field names.
 type fieldsOnlyDriver struct{ driver.Driver }
 
 func (fieldsOnlyDriver) Fields() driver.Fields { return driver.Fields{} }
 
-// FuzzEvents takes in any events of another entry, then chooses, dumps and hands on: an event
-// that stopped who takes it in would stop all entries, which are told of it alike.
+// FuzzEvents applies arbitrary events of another entry, then chooses an endpoint, dumps the state
+// and makes a snapshot. A panic in the receiver of an event would stop all entries, because each
+// event is broadcast to all.
 func FuzzEvents(f *testing.F) {
 	prompt := memory.Prompt{Tokens: 100, Parts: []memory.Part{{ID: 1, Tokens: 60}, {ID: 2, Tokens: 40}}}
 	request := placement.Request{Service: "pool", Prompt: prompt, TimeLeft: time.Second}
@@ -47,7 +48,7 @@
 		g.dispatcher.setEndpoints([]placement.Endpoint{
 			{ID: "i-1", Service: "pool", Slots: 4, Engine: true}, {ID: "i-2", Service: "pool", Slots: 4, Engine: true},
 		})
-		for range 2 { // some may be told again
+		for range 2 { // an event may be received twice
 			g.Listener().TakeEvents(2, events)
 		}
 		g.dispatcher.table.Choose(time.Now(), request, func(string) bool { return false }, g.dispatcher.random)
@@ -55,7 +56,7 @@
 		if _, err := g.Snapshot(); err != nil {
 			t.Error(err)
 		}
-		g.dispatcher.expire(time.Now().Add(time.Hour))
+		g.dispatcher.removeExpired(time.Now().Add(time.Hour))
 		g.suspects.removeExpired(time.Now().Add(time.Hour))
 		g.Listener().MemberGone(2)
 	})
--- a/internal/direct/gateway/gateway.go
+++ b/internal/direct/gateway/gateway.go
@@ -151,7 +151,7 @@
 // done.
 func (g *Gateway) Run(ctx context.Context) {
 	go workers.Every(ctx, expireInterval, func(now time.Time) {
-		g.dispatcher.expire(now)
+		g.dispatcher.removeExpired(now)
 		g.suspects.removeExpired(now)
 	})
 	g.pool.Run(ctx)
--- a/internal/direct/gateway/golden_test.go
+++ b/internal/direct/gateway/golden_test.go
@@ -20,11 +20,11 @@
 	. "github.com/onsi/gomega"
 )
 
-// deadlineLeft is the one value of a request's head that depends on the clock.
+// deadlineLeft matches the only value in the header of a request that depends on the clock.
 var deadlineLeft = regexp.MustCompile(platformtest.DeadlineField + `: \d+`)
 
-// recorder is an endpoint that keeps the bytes of each request it gets and
-// answers the first one with half a stream.
+// recorder is an endpoint that records the bytes of each request and answers the first request of a
+// stream with half of it.
 type recorder struct {
 	listener net.Listener
 	received chan string
@@ -67,14 +67,14 @@
 		id := q.Header.Get(platformtest.RequestIDField)
 		if strings.HasPrefix(q.URL.Path, "/chat/") && q.Header.Get(platformtest.LastEventField) == "" {
 			_, _ = fmt.Fprintf(c, head+"Transfer-Encoding: chunked\r\n\r\n10\r\nid: 1\ndata: a\n\n\r\n", platformtest.RequestIDField, id, platformtest.SealField)
-			time.Sleep(50 * time.Millisecond) // the event is to arrive before the end
+			time.Sleep(50 * time.Millisecond) // the event has to arrive before the connection is closed
 			return
 		}
 		_, _ = fmt.Fprintf(c, head+"Content-Length: 0\r\n\r\n", platformtest.RequestIDField, id, platformtest.SealField)
 	}
 }
 
-// tee keeps what is read from a connection.
+// recordingConn records what is read from a connection.
 type recordingConn struct {
 	net.Conn
 	received *strings.Builder
@@ -86,8 +86,8 @@
 	return n, err
 }
 
-var _ = Describe("what goes over the wire", func() {
-	It("is the recorded head and body towards an endpoint", func() {
+var _ = Describe("bytes on the wire", func() {
+	It("are the recorded requests to an endpoint", func() {
 		h := newHarness()
 		received := make(chan string, 8)
 		for n, r := range []*recorder{newRecorder(received), newRecorder(received)} {
@@ -121,7 +121,7 @@
 		golden.Compare(GinkgoT(), "endpoint_requests.golden", got.String())
 	})
 
-	It("is the recorded answer for each code", func() {
+	It("are the recorded response for each code", func() {
 		var got strings.Builder
 		for _, e := range result.Table {
 			for _, f := range []*result.Error{
--- a/internal/direct/gateway/harness_test.go
+++ b/internal/direct/gateway/harness_test.go
@@ -23,14 +23,14 @@
 	. "github.com/onsi/gomega"
 )
 
-// Names of the test deployment.
+// Names in the test deployment.
 const (
 	routeHost = "studio.example"
 	teamKey   = "key-of-a-team"
 	service   = "pool"
 )
 
-// world is a store, some runners and one gateway.
+// harness is a store, some runners and one gateway.
 type harness struct {
 	store       *platformtest.Store
 	runners     []*platformtest.Runner
@@ -40,13 +40,13 @@
 	address     string
 	source      driver.Store
 	version     int
-	engine      map[string]any // what the configuration says of the service's engines, nil for a plain service
-	teamRegions []string       // in which the team may be served, empty for all
+	engine      map[string]any // the service's engine settings, nil for a service without engines
+	teamRegions []string       // regions in which the team may be served, empty for all
 	ids         atomic.Int64
-	countedRuns atomic.Int64 // requests of the team that count as run
+	countedRuns atomic.Int64 // requests of the team that were counted as run
 }
 
-// route is one route of the configuration.
+// route returns one route of the settings.
 func route(prefix, kind string, more map[string]any) map[string]any {
 	r := map[string]any{
 		"name": "r-" + strings.Trim(prefix, "/"), "hostname": routeHost, "pathPrefix": prefix,
@@ -59,7 +59,7 @@
 	return r
 }
 
-// routes are the routes that most tests use.
+// routes returns the routes that most tests use.
 func routes() []map[string]any {
 	return []map[string]any{
 		route("/page/", "idempotent", nil),
@@ -72,7 +72,7 @@
 	}
 }
 
-// configure writes the next version of the configuration.
+// configure writes the next version of the settings.
 func (h *harness) configure(routes []map[string]any, keys ...string) {
 	h.version++
 	backend := map[string]any{"name": service, "healthPath": "/healthz", "maxConns": 100}
@@ -87,7 +87,7 @@
 	})
 }
 
-// engines makes the endpoints engines, of which the configuration says this.
+// engines turns the endpoints into engines with these settings.
 func (h *harness) engines(engine map[string]any) {
 	GinkgoHelper()
 	h.engine = engine
@@ -103,12 +103,12 @@
 	}).Should(BeTrue())
 }
 
-// start brings up a world with runners that behave as given.
+// newHarness starts a harness with one runner for each act.
 func newHarness(acts ...platformtest.Act) *harness {
 	return newHarnessWithLimits(driver.Limits{}, acts...)
 }
 
-// startWithin is start for a process with limits.
+// newHarnessWithLimits is newHarness with process limits.
 func newHarnessWithLimits(limits driver.Limits, acts ...platformtest.Act) *harness {
 	h := &harness{store: platformtest.NewStore()}
 	for n, act := range acts {
@@ -179,12 +179,12 @@
 	return q
 }
 
-// reply is what a caller got.
+// reply is a response as received by a caller.
 type reply struct {
 	status int
 	header http.Header
 	body   string
-	err    error // the answer didn't come whole
+	err    error // the response was not received completely
 }
 
 func (h *harness) do(q *http.Request) reply {
@@ -199,7 +199,7 @@
 
 func (h *harness) get(target string) reply { return h.do(h.request(http.MethodGet, target, "")) }
 
-// runs counts the runs at all runners.
+// runs returns the number of runs at all runners.
 func (h *harness) runs() int {
 	n := 0
 	for _, r := range h.runners {
@@ -208,7 +208,7 @@
 	return n
 }
 
-// inOrder returns the two runners of a request that went on at the second.
+// runnersInOrder returns the two runners of a request that was resumed at the second one.
 func (h *harness) runnersInOrder() (first, second *platformtest.Runner) {
 	GinkgoHelper()
 	Expect(h.runners).To(HaveLen(2))
@@ -221,26 +221,26 @@
 	return first, second
 }
 
-// whole expects an answer with the status that came whole.
+// expectWhole expects a complete response with the status.
 func (r reply) expectWhole(status int) {
 	GinkgoHelper()
 	Expect(r.err).NotTo(HaveOccurred())
 	Expect(r.status).To(Equal(status), r.body)
 }
 
-// cut expects an answer that broke off visibly.
+// expectTruncated expects a response that was visibly cut off.
 func (r reply) expectTruncated() {
 	GinkgoHelper()
 	Expect(errors.Is(r.err, io.ErrUnexpectedEOF) || errors.Is(r.err, io.EOF)).To(BeTrue(), "%v", r.err)
 }
 
-// gatewayVersion returns the version of the settings in force.
+// settingsVersion returns the version of the settings in force.
 func (h *harness) settingsVersion() uint64 {
 	version, _ := h.gateway.Directory().Versions()
 	return version
 }
 
-// newGateway returns a gateway that has read nothing.
+// newGateway returns a gateway that has no settings yet.
 func newGateway(h *harness) *gateway.Gateway {
 	factory, err := driver.Drivers.Get("fleet")
 	Expect(err).NotTo(HaveOccurred())
@@ -250,7 +250,7 @@
 	})
 }
 
-// bare returns a request as a server reads it.
+// serverRequest returns a request as a server receives it.
 func (h *harness) serverRequest(target string) *http.Request {
 	q := httptest.NewRequest(http.MethodGet, target, http.NoBody)
 	q.Host = routeHost
@@ -259,7 +259,7 @@
 	return q
 }
 
-// serveOnce hands a request to the gateway without a connection.
+// serveOnce passes a request to the gateway without a connection.
 func serveOnce(g *gateway.Gateway, q *http.Request) *httptest.ResponseRecorder {
 	w := httptest.NewRecorder()
 	g.ServeHTTP(w, q)
--- a/internal/direct/gateway/idle_test.go
+++ b/internal/direct/gateway/idle_test.go
@@ -12,17 +12,17 @@
 	"time"
 )
 
-// bound is a limit that may change while timers look at it.
+// atomicLimit is a limit that may change while timers read it.
 type atomicLimit struct{ nanoseconds atomic.Int64 }
 
 func (b *atomicLimit) set(d time.Duration) { b.nanoseconds.Store(int64(d)) }
 
 func (b *atomicLimit) get() time.Duration { return time.Duration(b.nanoseconds.Load()) }
 
-// limit of most tests.
+// testIdleLimit is the idle limit of most tests.
 const testIdleLimit = 10 * time.Second
 
-// resting returns a connection that rests, and the caller's end of it.
+// newIdleConn returns an idle connection and the caller's end of it.
 func newIdleConn(b *atomicLimit) (*callerConn, net.Conn) {
 	server, caller := net.Pipe()
 	b.set(testIdleLimit)
@@ -31,7 +31,7 @@
 	return c, caller
 }
 
-// open tells whether the caller's end is open.
+// isOpen reports whether the caller's end is open.
 func isOpen(caller net.Conn) bool {
 	_ = caller.SetReadDeadline(time.Now().Add(time.Millisecond))
 	_, err := caller.Read(make([]byte, 1))
@@ -44,22 +44,22 @@
 		_, caller := newIdleConn(&b)
 		time.Sleep(9 * time.Second)
 		if !isOpen(caller) {
-			t.Error("closed before its time")
+			t.Error("closed before the limit")
 		}
 		b.set(15 * time.Second)
 		time.Sleep(5 * time.Second)
 		if !isOpen(caller) {
-			t.Error("closed although the limit has been raised")
+			t.Error("closed although the limit was raised")
 		}
 		time.Sleep(2 * time.Second)
 		if isOpen(caller) {
-			t.Error("open after its time")
+			t.Error("open after the limit")
 		}
 	})
 }
 
-// TestRequestEndsTheRest has the first bytes of a request come just before the
-// time is over; the server tells of the new state only when it has read more.
+// TestRequestEndsIdleTime receives the first bytes of a request just before the idle time ends. The
+// server reports the new state only after it has read more.
 func TestRequestEndsIdleTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, caller := newIdleConn(new(atomicLimit))
@@ -70,18 +70,18 @@
 		}
 		time.Sleep(time.Minute)
 		if !isOpen(caller) {
-			t.Error("closed under a request")
+			t.Error("closed during a request")
 		}
 		connStateChanged(c, http.StateActive)
 		connStateChanged(c, http.StateIdle)
 		time.Sleep(testIdleLimit + time.Millisecond)
 		if isOpen(caller) {
-			t.Error("open after its next rest")
+			t.Error("open after the next idle time")
 		}
 	})
 }
 
-// TestNothingIsReadAfterTheRest expects that what comes too late is not taken.
+// TestReadAfterIdleTimeFails checks that bytes received after the idle time are not read.
 func TestReadAfterIdleTimeFails(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, _ := newIdleConn(new(atomicLimit))
@@ -92,10 +92,10 @@
 	})
 }
 
-// TestUnreadRequestKeepsTheConnection has a request come over a real connection just
-// before its idle time ends, while the only processor is busy until after that. Callers
-// whose requests came while an entry took in large settings found their connections
-// closed unanswered: the timer ran before the reader did.
+// TestUnreadRequestKeepsConnection receives a request over a TCP connection just before its idle
+// time ends, while the only processor is busy until after that. Requests that arrived while an
+// entry loaded large settings were lost, because the idle timer ran before the reader and closed
+// the connection.
 func TestUnreadRequestKeepsConnection(t *testing.T) {
 	const idle, busy = 50 * time.Millisecond, 4 * time.Millisecond
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
@@ -116,12 +116,12 @@
 			// The processor is busy: neither the timer nor the reader runs.
 		}
 		if readErr := <-failed; err == nil && inTime && readErr != nil {
-			t.Errorf("a request that had come was not read: %v", readErr)
+			t.Errorf("a request that had arrived was not read: %v", readErr)
 		}
 	}
 }
 
-// tcpPair returns both ends of a real connection.
+// tcpPair returns both ends of a TCP connection.
 func tcpPair(t *testing.T) (server, caller net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/direct/gateway/limits_test.go
+++ b/internal/direct/gateway/limits_test.go
@@ -10,7 +10,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// limitOf returns the limit that is known of an endpoint.
+// limitOf returns the known limit of an endpoint.
 func (h *harness) limitOf(r *platformtest.Runner) float64 {
 	for _, e := range h.gateway.Dump().Endpoints {
 		if e.ID == r.ID {
@@ -20,45 +20,45 @@
 	return -1
 }
 
-// join adds an endpoint to those that are listed.
+// addRunner adds a runner to the listed endpoints.
 func (h *harness) addRunner(r *platformtest.Runner) {
 	h.runners = append(h.runners, r)
 	h.store.Enter(r, "ready")
 	Eventually(func() int { return len(h.gateway.Directory().Endpoints().List) }).Should(Equal(len(h.runners)))
 }
 
-var _ = Describe("an endpoint that names a limit", func() {
-	// fewest is a limit of which nothing is left for the time of a test once one was sent.
-	const fewest = "0.05"
+var _ = Describe("an endpoint that advertises a rate limit", func() {
+	// lowLimit is a limit that allows no second request within the time of a test.
+	const lowLimit = "0.05"
 
-	DescribeTable("is not limited by what is no limit", func(values ...string) {
+	DescribeTable("is not limited by an invalid value", func(values ...string) {
 		h := newHarness(okResponse)
 		h.runners[0].NameLimit(values...)
 		h.get("/page/1").expectWhole(http.StatusOK)
 		Expect(h.limitOf(h.runners[0])).To(BeZero())
 		h.get("/page/2").expectWhole(http.StatusOK)
 	},
-		Entry("no number", "many"),
+		Entry("text", "many"),
 		Entry("not a number", "NaN"),
-		Entry("a negative one", "-1"),
-		Entry("more than all", "Inf"),
+		Entry("negative", "-1"),
+		Entry("infinite", "Inf"),
 		Entry("two fields", "1", "2"),
 		Entry("a list", "1, 2"),
 		Entry("nothing", ""),
 	)
 
-	DescribeTable("is limited by what can be kept to", func(value string, want float64) {
+	DescribeTable("is limited by a valid value, adjusted to the bounds", func(value string, want float64) {
 		h := newHarness(okResponse)
 		h.runners[0].NameLimit(value)
 		h.get("/page/1").expectWhole(http.StatusOK)
 		Expect(h.limitOf(h.runners[0])).To(Equal(want))
 	},
-		Entry("a decimal number", "2.25", 2.25),
-		Entry("none at all is raised", "0", 0.05),
-		Entry("a huge one is lowered", "1e300", 1e6),
+		Entry("decimal", "2.25", 2.25),
+		Entry("zero is raised", "0", 0.05),
+		Entry("too large is lowered", "1e300", 1e6),
 	)
 
-	It("is limited by an answer that it did not run the request", func() {
+	It("is limited by a response that reports the request as not run", func() {
 		h := newHarness(okResponse)
 		h.runners[0].NameLimit("3")
 		h.runners[0].Next(platformtest.Refuse{Status: http.StatusServiceUnavailable})
@@ -66,7 +66,7 @@
 		Expect(h.limitOf(h.runners[0])).To(Equal(3.0))
 	})
 
-	It("is limited until an answer names none", func() {
+	It("is limited until a response has no limit", func() {
 		h := newHarness(okResponse)
 		h.runners[0].NameLimit("500")
 		h.get("/page/1").expectWhole(http.StatusOK)
@@ -77,20 +77,20 @@
 		}).Should(BeZero())
 	})
 
-	It("stays limited where an answer without one is a failure", func() {
+	It("stays limited after an error response without a limit", func() {
 		h := newHarness(okResponse)
 		h.runners[0].NameLimit("500")
 		h.get("/page/1").expectWhole(http.StatusOK)
 		h.runners[0].NameLimit()
-		time.Sleep(100 * time.Millisecond) // what is sent now was sent after it had been named
+		time.Sleep(100 * time.Millisecond) // requests sent from now on are sent after the limit was received
 		h.runners[0].Next(platformtest.Fail{Status: http.StatusInternalServerError})
 		h.get("/once/1")
 		Expect(h.limitOf(h.runners[0])).To(Equal(500.0))
 	})
 
-	It("lets callers know when there is room where no other one is left", func() {
+	It("is named in the refusal with a Retry-After if no other endpoint is left", func() {
 		h := newHarness(okResponse)
-		h.runners[0].NameLimit(fewest)
+		h.runners[0].NameLimit(lowLimit)
 		h.get("/page/1").expectWhole(http.StatusOK)
 		refused := h.get("/page/2")
 		refused.expectWhole(http.StatusServiceUnavailable)
@@ -103,7 +103,7 @@
 
 	It("gets no retry", func() {
 		h := newHarness(okResponse)
-		h.runners[0].NameLimit(fewest)
+		h.runners[0].NameLimit(lowLimit)
 		h.get("/page/1").expectWhole(http.StatusOK)
 		h.addRunner(platformtest.NewRunner("i-2", service, platformtest.Fail{Status: http.StatusInternalServerError}))
 		Expect(h.get("/page/2").status).To(BeNumerically(">=", http.StatusInternalServerError))
@@ -113,17 +113,17 @@
 
 	It("gets no resumed stream", func() {
 		h := newHarness(okResponse)
-		h.runners[0].NameLimit(fewest)
+		h.runners[0].NameLimit(lowLimit)
 		h.get("/page/1").expectWhole(http.StatusOK)
 		h.addRunner(platformtest.NewRunner("i-2", service, platformtest.Events{To: 2, Broken: true}))
 		h.do(h.request(http.MethodPost, "/chat/1", "a question")).expectTruncated()
 		Expect(h.runners[0].Runs()).To(HaveLen(1))
 	})
 
-	It("that starts again under its id is limited no more", func() {
+	It("is not limited after it restarts under the same ID", func() {
 		h := newHarness(okResponse)
 		first := h.runners[0]
-		first.NameLimit(fewest)
+		first.NameLimit(lowLimit)
 		h.get("/page/1").expectWhole(http.StatusOK)
 		first.Close()
 		again := platformtest.NewRunner(first.ID, service, okResponse)
--- a/internal/direct/gateway/outcome_test.go
+++ b/internal/direct/gateway/outcome_test.go
@@ -14,7 +14,7 @@
 	"foxcross.dev/foxcross/internal/testing/golden"
 )
 
-// allEvents are the events of an attempt of which nothing was passed on.
+// allResults are the results of an attempt of whose response nothing was relayed.
 var allResults = []struct {
 	name  string
 	event attemptResult
@@ -33,7 +33,7 @@
 	{"caller left", callerLeft{}},
 }
 
-// words returns an outcome as an engineer would read it.
+// decisionText returns the text of a decision in the table.
 func decisionText(d decision) string {
 	switch d := d.(type) {
 	case retry:
@@ -62,8 +62,8 @@
 	return "no"
 }
 
-// TestDecisions holds what follows each event in each situation to a table that can
-// be read at night: testdata/outcomes.golden.
+// TestDecisions compares the decision for each result and state with a readable table:
+// testdata/outcomes.golden.
 func TestDecisions(t *testing.T) {
 	var got strings.Builder
 	fmt.Fprintln(&got, "| what happened | may another attempt follow | may the class run twice | may an earlier attempt have run | what follows |")
@@ -88,8 +88,8 @@
 	golden.Compare(t, "outcomes.golden", got.String())
 }
 
-// TestNothingRunsTwice holds the two promises over all situations: what may not run
-// twice is not sent again after it may have run, and "not run" is not said of it.
+// TestNothingRunsTwice checks two rules for all states: a request that may not run twice is not
+// sent again after it may have run, and it is not reported as not run.
 func TestNothingRunsTwice(t *testing.T) {
 	for _, e := range allResults {
 		for n := range 4 {
@@ -107,7 +107,7 @@
 			case fail:
 				impliesNot := d.err.Run == result.NotRun || impliesNotRun(d.err.Code.Entry().Status)
 				if (ran || s.mayHaveRun) && impliesNot {
-					t.Errorf("%s in %+v: %v promises that it was not run", e.name, s, d.err)
+					t.Errorf("%s in %+v: %v reports it as not run", e.name, s, d.err)
 				}
 			}
 		}
@@ -125,13 +125,13 @@
 		want   string
 	}{
 		{"whole", nil, 200, sealed, "gateway.responded{status:200}"},
-		{"without the endpoint's mark", nil, 200, http.Header{}, "gateway.noResponse"},
-		{"without it, too late", context.DeadlineExceeded, 200, http.Header{}, "gateway.deadlineExceeded{sent:true}"},
+		{"without the seal", nil, 200, http.Header{}, "gateway.noResponse"},
+		{"without the seal, after the deadline", context.DeadlineExceeded, 200, http.Header{}, "gateway.deadlineExceeded{sent:true}"},
 		{"not found", nil, 404, http.Header{}, "gateway.responded{status:404}"},
-		{"the endpoint's word", nil, 503, http.Header{"X-Not-Run": {"1"}}, "gateway.notRun{status:503}"},
-		{"another endpoint's request", nil, 421, http.Header{}, "gateway.notRun{status:421}"},
-		{"503 without the word", nil, 503, sealed, "gateway.endpointError{status:503}"},
-		{"429 without the word", nil, 429, sealed, "gateway.endpointError{status:429}"},
+		{"reported as not run", nil, 503, http.Header{"X-Not-Run": {"1"}}, "gateway.notRun{status:503}"},
+		{"misdirected request", nil, 421, http.Header{}, "gateway.notRun{status:421}"},
+		{"503 without the field", nil, 503, sealed, "gateway.endpointError{status:503}"},
+		{"429 without the field", nil, 429, sealed, "gateway.endpointError{status:429}"},
 		{"500", nil, 500, sealed, "gateway.endpointError{status:500}"},
 	} {
 		if got := fmt.Sprintf("%#v", resultOfResponse(c.ctxErr, f, c.status, c.header)); !strings.HasPrefix(got, c.want) {
@@ -151,8 +151,8 @@
 	}{
 		{"broke", nil, broke, noResponse{broke}},
 		{"no connection", nil, refused, unreachable{refused}},
-		{"too late", context.DeadlineExceeded, broke, deadlineExceeded{sent: true}},
-		{"too late to connect", context.DeadlineExceeded, refused, deadlineExceeded{}},
+		{"after the deadline", context.DeadlineExceeded, broke, deadlineExceeded{sent: true}},
+		{"no connection before the deadline", context.DeadlineExceeded, refused, deadlineExceeded{}},
 		{"the caller left", context.Canceled, broke, callerLeft{}},
 	} {
 		if got := resultOfError(c.ctxErr, c.err); got != c.want {
@@ -163,6 +163,6 @@
 
 func TestMayDeny(t *testing.T) {
 	if !mayDeny(maxConfirmationAge) || mayDeny(maxConfirmationAge+1) {
-		t.Error("settings are denied by for another time than currentFor")
+		t.Error("settings may be used for denials for another time than maxConfirmationAge")
 	}
 }
--- a/internal/direct/gateway/room_test.go
+++ b/internal/direct/gateway/room_test.go
@@ -11,8 +11,8 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("the room of a process", func() {
-	It("bounds open requests: what is beyond is not run and may come back", func() {
+var _ = Describe("the capacity of a process", func() {
+	It("limits open requests: those beyond the limit are not run and have a Retry-After", func() {
 		hold := make(chan struct{})
 		h := newHarnessWithLimits(driver.Limits{Descriptors: 302}, platformtest.Events{To: 2, Hold: hold})
 		first := make(chan reply, 1)
@@ -29,12 +29,12 @@
 		Eventually(func() int { return h.do(h.request(http.MethodPost, "/chat/3", "x")).status }).Should(Equal(200))
 	})
 
-	It("bounds the sum of bodies", func() {
+	It("limits the total size of bodies", func() {
 		h := newHarnessWithLimits(driver.Limits{MemoryBytes: 4000}, okResponse)
 		a := h.do(h.request(http.MethodPost, "/book/1", strings.Repeat("x", 1001)))
 		a.expectWhole(503)
 		Expect(h.runs()).To(BeZero())
-		for range 3 { // what is held is given back
+		for range 3 { // memory is freed after each request
 			h.do(h.request(http.MethodPost, "/book/1", strings.Repeat("x", 900))).expectWhole(200)
 		}
 	})
--- a/internal/direct/gateway/server_test.go
+++ b/internal/direct/gateway/server_test.go
@@ -14,12 +14,12 @@
 	"foxcross.dev/foxcross/internal/direct/directory"
 )
 
-// oneConn is a listener with one connection.
+// singleConnListener is a listener with one connection.
 type singleConnListener struct {
 	conns chan net.Conn // closed by Close
 }
 
-// listenOnce returns a listener that accepts the connection and no other.
+// newSingleConnListener returns a listener that accepts only the connection.
 func newSingleConnListener(c net.Conn) singleConnListener {
 	l := singleConnListener{make(chan net.Conn, 1)}
 	l.conns <- c
@@ -44,8 +44,8 @@
 // Addr implements net.Listener.
 func (l singleConnListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// headerLimited serves one connection by settings that limit the time of a header, by
-// the handler if there is one, and returns the caller's end.
+// serveWithHeaderLimit serves one connection with settings that limit the time for a header. It
+// uses the handler unless that is nil, and returns the caller's end.
 func serveWithHeaderLimit(t *testing.T, handler http.HandlerFunc) net.Conn {
 	t.Helper()
 	ms := int(testIdleLimit.Milliseconds())
@@ -62,27 +62,27 @@
 	return caller
 }
 
-// TestSlowHeaderIsCutOff sends half a header. The settings' limit for the header is
-// to end the connection, not the longer one of the server.
+// TestSlowHeaderClosesConnection sends half a header. The limit in the settings has to end the
+// connection, rather than the longer one of the server.
 func TestSlowHeaderClosesConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		caller := serveWithHeaderLimit(t, nil)
 		if _, err := caller.Write([]byte("GET / HTTP/1.1\r\nHost: a")); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(testIdleLimit - 2*time.Millisecond) // open looks for another one
+		time.Sleep(testIdleLimit - 2*time.Millisecond) // isOpen takes another one
 		if !isOpen(caller) {
-			t.Error("closed before its time")
+			t.Error("closed before the limit")
 		}
 		time.Sleep(2 * time.Second)
 		if isOpen(caller) {
-			t.Error("open after its time")
+			t.Error("open after the limit")
 		}
 	})
 }
 
-// TestHeaderLimitIsOfHeadersOnly sends a body, and later a second header, each of which
-// takes longer than a header may: only the header ends the connection.
+// TestHeaderLimitAppliesToHeadersOnly sends a body, and later a second header, each of which takes
+// longer than the limit for a header. Only the header ends the connection.
 func TestHeaderLimitAppliesToHeadersOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		caller := serveWithHeaderLimit(t, func(w http.ResponseWriter, r *http.Request) {
@@ -93,7 +93,7 @@
 				t.Fatalf("%q: %v", text, err)
 			}
 		}
-		time.Sleep(2 * testIdleLimit) // at rest before its first header
+		time.Sleep(2 * testIdleLimit) // idle before its first header
 		write("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\nab")
 		time.Sleep(2 * testIdleLimit)
 		write("cd")
@@ -105,15 +105,15 @@
 		if body, err := io.ReadAll(answer.Body); string(body) != "abcd" || err != nil {
 			t.Fatalf("got %q, %v", body, err)
 		}
-		time.Sleep(2 * testIdleLimit) // at rest between requests
+		time.Sleep(2 * testIdleLimit) // idle between requests
 		write("GET / HTTP/1.1\r\nHost: a")
 		time.Sleep(testIdleLimit - 2*time.Millisecond)
 		if !isOpen(caller) {
-			t.Error("closed before its time")
+			t.Error("closed before the limit")
 		}
 		time.Sleep(2 * time.Millisecond)
 		if isOpen(caller) {
-			t.Error("open after its time")
+			t.Error("open after the limit")
 		}
 	})
 }
--- a/internal/direct/gateway/settings_test.go
+++ b/internal/direct/gateway/settings_test.go
@@ -11,7 +11,7 @@
 )
 
 var _ = Describe("settings", func() {
-	It("decide the route by the longest prefix, and deny what they lack", func() {
+	It("select the route by the longest prefix, and deny unknown routes and keys", func() {
 		h := newHarness(okResponse)
 		Eventually(func() int { return h.get("/nowhere/").status }).Should(Equal(http.StatusNotFound), "the settings are confirmed")
 		q := h.request(http.MethodGet, "/page/1", "")
@@ -26,14 +26,14 @@
 		Expect(h.runs()).To(Equal(1))
 	})
 
-	It("take a key away while its callers are connected", func() {
+	It("revoke a key while its callers are connected", func() {
 		h := newHarness(okResponse)
 		h.get("/page/1").expectWhole(200)
 		h.configure(routes(), "another-key")
 		Eventually(func() int { return h.get("/page/1").status }).Should(Equal(401))
 	})
 
-	It("come into force without cutting a stream", func() {
+	It("are applied without interrupting a stream", func() {
 		hold := make(chan struct{})
 		h := newHarness(platformtest.Events{To: 5, Hold: hold})
 		done := make(chan reply, 1)
@@ -49,7 +49,7 @@
 		Expect(eventIDs(a.body)).To(Equal(sequence(5)))
 	})
 
-	It("are read anew when the history is gone", func() {
+	It("are read anew when the store's history is gone", func() {
 		h := newHarness(okResponse)
 		h.store.SetFault(platformtest.Busy)
 		h.configure(append(routes(), route("/new/", "idempotent", nil)), teamKey)
@@ -58,7 +58,7 @@
 		Eventually(func() int { return h.get("/new/1").status }).Should(Equal(200))
 	})
 
-	It("stay in force while the store fails, and nothing is denied that may be new", func() {
+	It("stay in force while the store fails, and then deny nothing that a newer version may contain", func() {
 		for _, f := range []platformtest.Fault{platformtest.Busy, platformtest.Many, platformtest.Reset, platformtest.Silent} {
 			h := newHarness(okResponse)
 			h.store.SetFault(f)
@@ -69,7 +69,7 @@
 		}
 	})
 
-	It("never go back", func() {
+	It("never go back to an older version", func() {
 		h := newHarness(okResponse)
 		h.version = 5
 		h.configure(routes(), teamKey)
@@ -82,7 +82,7 @@
 		h.get("/page/1").expectWhole(200)
 	})
 
-	It("take endpoints out that are leaving", func() {
+	It("exclude endpoints that are leaving", func() {
 		h := newHarness(okResponse, okResponse)
 		h.store.Put("servers/i-1", h.runners[0].Entry("draining"))
 		Eventually(func() bool {
@@ -100,7 +100,7 @@
 		Expect(h.runners[0].Runs()).To(HaveLen(before))
 	})
 
-	It("are not asked for before the first has come", func() {
+	It("are required before requests are served", func() {
 		h := &harness{store: platformtest.NewStore()}
 		defer h.store.Close()
 		h.store.SetFault(platformtest.Silent)
--- a/internal/direct/gateway/signals_test.go
+++ b/internal/direct/gateway/signals_test.go
@@ -14,7 +14,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// stateOf returns what is known of an endpoint.
+// stateOf returns the state of an endpoint.
 func (h *harness) stateOf(r *platformtest.Runner) placement.EndpointState {
 	GinkgoHelper()
 	for _, e := range h.gateway.Dump().Endpoints {
@@ -26,16 +26,16 @@
 	return placement.EndpointState{}
 }
 
-// pushBack is a refusal with a Retry-After.
+// backoffRefusal returns a refusal with a Retry-After.
 func backoffRefusal(values ...string) platformtest.Refuse {
 	return platformtest.Refuse{Status: http.StatusServiceUnavailable, RetryAfter: values}
 }
 
 var _ = Describe("an endpoint that asks for a backoff", func() {
-	// long is a Retry-After beyond the time of a test.
-	const long = "600"
+	// longDelay is a Retry-After that exceeds the time of a test.
+	const longDelay = "600"
 
-	DescribeTable("is sent to as before after what asks for none", func(act platformtest.Act) {
+	DescribeTable("gets requests as before after a response that asks for none", func(act platformtest.Act) {
 		h := newHarness(okResponse)
 		h.runners[0].Next(act)
 		h.get("/once/1")
@@ -43,22 +43,22 @@
 		h.get("/once/2").expectWhole(http.StatusOK)
 	},
 		Entry("no field", backoffRefusal()),
-		Entry("no time", backoffRefusal("0")),
-		Entry("a negative one", backoffRefusal("-3")),
-		Entry("no number", backoffRefusal("soon")),
+		Entry("zero", backoffRefusal("0")),
+		Entry("negative", backoffRefusal("-3")),
+		Entry("text", backoffRefusal("soon")),
 		Entry("not a number", backoffRefusal("NaN")),
-		Entry("without end", backoffRefusal("Inf")),
+		Entry("infinite", backoffRefusal("Inf")),
 		Entry("longer than is valid", backoffRefusal("1e300")),
 		Entry("a date", backoffRefusal("Fri, 01 Jan 2100 00:00:00 GMT")),
 		Entry("two fields", backoffRefusal("3", "4")),
 		Entry("a list", backoffRefusal("3, 4")),
-		Entry("an empty one", backoffRefusal("")),
-		Entry("a 429", platformtest.Refuse{Status: http.StatusTooManyRequests, RetryAfter: []string{long}}),
-		Entry("a 500", platformtest.Fail{Status: http.StatusInternalServerError, RetryAfter: []string{long}}),
-		Entry("another endpoint's 421", platformtest.Refuse{Status: http.StatusMisdirectedRequest, RetryAfter: []string{long}}),
+		Entry("empty", backoffRefusal("")),
+		Entry("a 429", platformtest.Refuse{Status: http.StatusTooManyRequests, RetryAfter: []string{longDelay}}),
+		Entry("a 500", platformtest.Fail{Status: http.StatusInternalServerError, RetryAfter: []string{longDelay}}),
+		Entry("a 421 for another endpoint", platformtest.Refuse{Status: http.StatusMisdirectedRequest, RetryAfter: []string{longDelay}}),
 	)
 
-	DescribeTable("gets nothing for the whole time, and then requests again", func(act platformtest.Act) {
+	DescribeTable("gets no requests for the whole delay, and then requests again", func(act platformtest.Act) {
 		h := newHarness(okResponse)
 		h.runners[0].Next(act)
 		began := time.Now()
@@ -70,12 +70,12 @@
 		arrivals := h.runners[0].Arrivals()
 		Expect(arrivals[1].At.Sub(arrivals[0].At)).To(BeNumerically(">=", 400*time.Millisecond))
 	},
-		Entry("that says that it did not run the request", backoffRefusal("0.4")),
-		Entry("that promises nothing", platformtest.Fail{Status: http.StatusServiceUnavailable, RetryAfter: []string{"0.4"}}),
+		Entry("with a response that reports the request as not run", backoffRefusal("0.4")),
+		Entry("with a response that does not", platformtest.Fail{Status: http.StatusServiceUnavailable, RetryAfter: []string{"0.4"}}),
 	)
 
-	It("lets callers know when the first backoff ends, and which it is", func() {
-		h := newHarness(backoffRefusal(long), backoffRefusal("60"))
+	It("is reported to refused callers, with the end of the first backoff as Retry-After", func() {
+		h := newHarness(backoffRefusal(longDelay), backoffRefusal("60"))
 		h.get("/page/1") // refused by both
 		refused := h.get("/page/2")
 		refused.expectWhole(http.StatusServiceUnavailable)
@@ -83,13 +83,13 @@
 		Expect(refused.header.Get("X-Foxcross-Run")).To(Equal("not run"))
 		after, err := strconv.ParseFloat(refused.header.Get("Retry-After"), 64)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(after).To(BeNumerically("~", 69, 10)) // the delay, and up to three tenths
+		Expect(after).To(BeNumerically("~", 69, 10)) // the delay, and up to three tenths of it
 		Expect(refused.body).To(ContainSubstring("asked for 1m0s without requests"))
 		Expect(h.runners[0].Arrivals()).To(HaveLen(1))
 		Expect(h.runners[1].Arrivals()).To(HaveLen(1))
 	})
 
-	It("lets the caller know whose last attempt it refused", func() {
+	It("has its backoff reported to the caller whose last attempt it refused", func() {
 		h := newHarness(backoffRefusal("60"))
 		refused := h.get("/once/1")
 		refused.expectWhole(http.StatusServiceUnavailable)
@@ -97,13 +97,13 @@
 	})
 
 	DescribeTable("gets no request on any path", func(path string, send func(h *harness)) {
-		h := newHarness(backoffRefusal(long))
+		h := newHarness(backoffRefusal(longDelay))
 		h.get("/once/1")
 		send(h)
 		Expect(h.runners[0].Arrivals()).To(HaveLen(1))
 	},
 		Entry("first attempts", "/page/", func(h *harness) { h.get("/page/1") }),
-		Entry("first attempts that may not be repeated", "/book/", func(h *harness) {
+		Entry("first attempts of non-repeatable requests", "/book/", func(h *harness) {
 			h.do(h.request(http.MethodPost, "/book/1", "a booking"))
 		}),
 		Entry("retries", "/page/", func(h *harness) {
@@ -115,19 +115,19 @@
 			h.addRunner(platformtest.NewRunner("i-2", service, platformtest.Events{To: 2, Broken: true}))
 			h.do(h.request(http.MethodPost, "/chat/1", "a question")).expectTruncated()
 		}),
-		Entry("a request that names it", "/page/", func(h *harness) {
+		Entry("a request that names it as its target", "/page/", func(h *harness) {
 			q := h.request(http.MethodGet, "/page/1", "")
 			q.Header.Set(platformtest.TargetField, h.runners[0].ID)
 			h.do(q)
 		}),
-		Entry("questions what an engine keeps", platformtest.KeptPath, func(h *harness) {
+		Entry("queries of kept prompt parts", platformtest.KeptPath, func(h *harness) {
 			h.engines(map[string]any{"slots": 4, "kvCapacity": 1000})
 			h.gateway.LearnMemory(context.Background(), func(string, string) bool { return true })
 		}),
 	)
 
-	It("has its request run elsewhere, also one that may not be repeated", func() {
-		h := newHarness(backoffRefusal(long), backoffRefusal(long))
+	It("has its requests run elsewhere, including non-repeatable ones", func() {
+		h := newHarness(backoffRefusal(longDelay), backoffRefusal(longDelay))
 		h.addRunner(platformtest.NewRunner("i-3", service, okResponse))
 		for n := range 20 {
 			h.do(h.request(http.MethodPost, "/book/"+strconv.Itoa(n), "a booking"))
@@ -137,8 +137,8 @@
 		Expect(len(h.runners[2].Runs())).To(BeNumerically(">=", 19))
 	})
 
-	It("that starts again under its id gets requests at once", func() {
-		h := newHarness(backoffRefusal(long))
+	It("gets requests at once after it restarts under the same ID", func() {
+		h := newHarness(backoffRefusal(longDelay))
 		first := h.runners[0]
 		h.get("/once/1")
 		first.Close()
@@ -150,17 +150,17 @@
 	})
 })
 
-var _ = Describe("an endpoint that says that it drains", func() {
+var _ = Describe("an endpoint that reports that it is draining", func() {
 	const grace = 500 * time.Millisecond
 
-	// allow sets the time within which an endpoint that drains gets requests.
-	allow := func(h *harness, within time.Duration) {
+	// setDrainTime sets the time for which a draining endpoint gets requests.
+	setDrainTime := func(h *harness, within time.Duration) {
 		h.gateway.SetBounds(driver.Bounds{LeaveWithin: within, RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 50})
 	}
 
-	It("is the last resort, and gets nothing after the grace period, though its record is ready", func() {
+	It("is used last, and gets no requests after the grace period although its record is ready", func() {
 		h := newHarness(okResponse)
-		allow(h, grace)
+		setDrainTime(h, grace)
 		h.runners[0].Drain("1")
 		h.get("/page/1").expectWhole(http.StatusOK)
 		began := time.Now()
@@ -170,13 +170,13 @@
 		Expect(h.runners[1].Runs()).To(HaveLen(1))
 		h.store.Enter(h.runners[0], "ready")
 		h.runners[1].SetRest(platformtest.Fail{Status: http.StatusInternalServerError})
-		time.Sleep(grace - time.Since(began)) // the end of the grace period
+		time.Sleep(grace - time.Since(began)) // until the end of the grace period
 		before := len(h.runners[0].Arrivals())
 		h.get("/page/4")
 		Expect(h.runners[0].Arrivals()).To(HaveLen(before))
 	})
 
-	DescribeTable("is used as before after what says nothing", func(values ...string) {
+	DescribeTable("is used as before after an invalid value", func(values ...string) {
 		h := newHarness(okResponse)
 		h.runners[0].Drain(values...)
 		h.get("/page/1").expectWhole(http.StatusOK)
@@ -184,32 +184,32 @@
 		Expect(h.stateOf(h.runners[0]).DrainingMS).To(BeZero())
 	},
 		Entry("another value", "0"),
-		Entry("a word", "true"),
+		Entry("text", "true"),
 		Entry("two fields", "1", "1"),
-		Entry("an empty one", ""),
+		Entry("empty", ""),
 	)
 
-	DescribeTable("is known to drain from any response of its own", func(act platformtest.Act) {
+	DescribeTable("is draining after any response of its own", func(act platformtest.Act) {
 		h := newHarness(act)
 		h.runners[0].Drain("1")
 		h.get("/once/1")
 		Expect(h.stateOf(h.runners[0]).DrainingMS).NotTo(BeZero())
 	},
 		Entry("a success", okResponse),
-		Entry("a failure", platformtest.Fail{Status: http.StatusInternalServerError}),
+		Entry("an error", platformtest.Fail{Status: http.StatusInternalServerError}),
 		Entry("a refusal", platformtest.Refuse{Status: http.StatusServiceUnavailable}),
 	)
 
-	It("is not known to drain by a 421 of another one", func() {
+	It("is not draining after a 421 for another endpoint", func() {
 		h := newHarness(platformtest.Refuse{Status: http.StatusMisdirectedRequest})
 		h.runners[0].Drain("1")
 		h.get("/once/1")
 		Expect(h.stateOf(h.runners[0]).DrainingMS).To(BeZero())
 	})
 
-	It("keeps the streams that it has", func() {
+	It("completes its streams", func() {
 		h := newHarness(platformtest.Events{To: 3, Pause: 300 * time.Millisecond})
-		allow(h, grace)
+		setDrainTime(h, grace)
 		h.runners[0].Drain("1")
 		h.do(h.request(http.MethodPost, "/plan/1", "a question")).expectWhole(http.StatusOK)
 	})
--- a/internal/direct/gateway/slow_test.go
+++ b/internal/direct/gateway/slow_test.go
@@ -17,21 +17,20 @@
 	. "github.com/onsi/gomega"
 )
 
-// Bodies of a caller that sends slowly, or reads slowly. A process of this memory holds a
-// megabyte of them.
+// Bodies of slow callers. A process with this memory reserves at most a megabyte for bodies.
 const (
 	smallMemory   = 4 << 20
 	maxBodyMemory = 1 << 20
 	slowBody      = 300 << 10
 )
 
-// slowCaller is a connection to an entry that the test reads and writes itself.
+// slowCaller is a connection to an entry that the test reads and writes directly.
 type slowCaller struct {
 	net.Conn
 	responses *bufio.Reader
 }
 
-// connect opens such a connection. Little of what comes is taken off it unless it is read.
+// connect opens a connection with a small receive buffer.
 func (h *harness) connect() *slowCaller {
 	GinkgoHelper()
 	c, err := net.Dial("tcp", h.address)
@@ -41,8 +40,8 @@
 	return &slowCaller{Conn: c, responses: bufio.NewReader(c)}
 }
 
-// begin sends the head of a request and so many bytes of its body, in one chunk that does
-// not end it.
+// startRequest sends the header of a request and that many bytes of its body, in one chunk that is
+// not the last.
 func (c *slowCaller) startRequest(h *harness, method, target string, bytes int) {
 	GinkgoHelper()
 	head := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: %s\r\n%s: id-%d\r\n%s: 15000\r\n%s: %s\r\n",
@@ -56,7 +55,7 @@
 	Expect(err).NotTo(HaveOccurred())
 }
 
-// code returns the status and the code of the answer.
+// readCode returns the status and the code of the response.
 func (c *slowCaller) readCode() (int, string) {
 	GinkgoHelper()
 	Expect(c.SetReadDeadline(time.Now().Add(10 * time.Second))).To(Succeed())
@@ -66,10 +65,10 @@
 }
 
 var _ = Describe("callers that send slowly", func() {
-	It("hold no more memory than there is room for, and give way to others", func() {
+	It("do not exceed the memory for bodies, and are evicted for others", func() {
 		h := newHarnessWithLimits(driver.Limits{MemoryBytes: smallMemory}, okResponse)
 		var slow []*slowCaller
-		for range 6 { // more than there is room for, and more than one caller may hold
+		for range 6 { // exceeds the memory for bodies, and the limit of one caller
 			c := h.connect()
 			c.startRequest(h, http.MethodPost, "/book/1", slowBody)
 			slow = append(slow, c)
@@ -82,7 +81,7 @@
 		Expect(h.runs()).To(Equal(1))
 	})
 
-	It("are answered when the time of their request is over", func() {
+	It("are answered when their request's deadline passes", func() {
 		h := newHarness(okResponse)
 		c := h.connect()
 		c.startRequest(h, http.MethodPost, "/short/1", 100)
@@ -93,8 +92,8 @@
 	})
 })
 
-var _ = Describe("a caller that does not read its answer", func() {
-	It("is given up, and the endpoint's work with it", func() {
+var _ = Describe("a caller that does not read its response", func() {
+	It("is disconnected, and the endpoint's work is cancelled", func() {
 		h := newHarness(platformtest.Answer{Status: 200, Body: strings.Repeat("z", 8<<20)})
 		c := h.connect()
 		c.startRequest(h, http.MethodGet, "/page/1", 0)
--- a/internal/direct/gateway/snapshot_test.go
+++ b/internal/direct/gateway/snapshot_test.go
@@ -13,9 +13,9 @@
 
 var _ = Describe("an entry that has just started", func() {
 	const engines, subjects = 3, 9
-	// keptWorld starts engines that each keep some subjects, more than one of which no home
-	// would be by chance.
-	keptWorld := func() *harness {
+	// newHarnessWithParts starts engines that each keep the parts of several subjects. Without
+	// knowledge of the parts, placement would not send all prompts to the right engine by chance.
+	newHarnessWithParts := func() *harness {
 		h := newHarness(okResponse, okResponse, okResponse)
 		h.engines(map[string]any{"slots": 8, "kvCapacity": 500_000})
 		for n := range subjects {
@@ -23,8 +23,9 @@
 		}
 		return h
 	}
-	// ask sends a prompt on each subject and returns how many ran where their subject is kept.
-	ask := func(h *harness) int {
+	// countHits sends a prompt on each subject and returns how many ran at the engine that keeps its
+	// subject.
+	countHits := func(h *harness) int {
 		for n := range subjects {
 			q := h.request(http.MethodGet, "/page/", "")
 			q.Header.Set(platformtest.TokensField, "9000,100")
@@ -46,33 +47,33 @@
 	}
 	all := func(string, string) bool { return true }
 
-	It("sends prompts where engines say that their parts are kept", func() {
-		h := keptWorld()
+	It("sends prompts to the engines that report to keep their parts", func() {
+		h := newHarnessWithParts()
 		h.gateway.LearnMemory(context.Background(), all)
-		Expect(ask(h)).To(Equal(subjects))
+		Expect(countHits(h)).To(Equal(subjects))
 	})
 
-	It("asks only the engines that are its own to ask", func() {
-		h := keptWorld()
+	It("queries only the engines that it is responsible for", func() {
+		h := newHarnessWithParts()
 		h.gateway.LearnMemory(context.Background(), func(endpoint, _ string) bool { return endpoint == "i-2" })
 		Expect(h.runners[0].Dialed()).To(BeZero())
 		Expect(h.runners[1].Dialed()).To(Equal(1))
 	})
 
-	It("goes on where an engine does not answer", func() {
-		h := keptWorld()
+	It("continues if an engine does not answer", func() {
+		h := newHarnessWithParts()
 		h.runners[1].Close()
 		h.gateway.LearnMemory(context.Background(), all)
 		Expect(h.runners[2].Dialed()).To(Equal(1))
 	})
 
-	It("takes over what another entry knows, but nothing that can't be read", func() {
-		h := keptWorld()
+	It("applies the snapshot of another entry, but rejects invalid data", func() {
+		h := newHarnessWithParts()
 		h.gateway.LearnMemory(context.Background(), all)
 		data, err := h.gateway.Snapshot()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(h.gateway.Restore([]byte("no snapshot"))).NotTo(Succeed())
 		Expect(h.gateway.Restore(data)).To(Succeed())
-		Expect(ask(h)).To(Equal(subjects))
+		Expect(countHits(h)).To(Equal(subjects))
 	})
 })
--- a/internal/direct/gateway/stop_test.go
+++ b/internal/direct/gateway/stop_test.go
@@ -11,8 +11,8 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("a clean stop", func() {
-	It("is not ready at once, finishes what it has and refuses truthfully at its end", func() {
+var _ = Describe("a graceful shutdown", func() {
+	It("is not ready at once, completes open requests and refuses new ones at its end", func() {
 		hold := make(chan struct{})
 		h := newHarness(platformtest.Events{To: 5, Hold: hold})
 		streamed := make(chan reply, 1)
@@ -25,7 +25,7 @@
 
 		early := make(chan reply, 1)
 		go func() { early <- h.do(h.request(http.MethodPost, "/chat/2", "x")) }()
-		Eventually(h.runs).Should(Equal(2), "the balancer still sends requests for a moment")
+		Eventually(h.runs).Should(Equal(2), "the load balancer still sends requests for a moment")
 
 		Eventually(func() bool { return h.gateway.Refusing() }).Should(BeTrue())
 		close(hold)
@@ -39,7 +39,7 @@
 		Expect(h.gateway.State()).To(Equal(lifecycle.Stopped))
 	})
 
-	It("tells callers to close their connections, and runs nothing that it refuses", func() {
+	It("asks callers to close their connections, and does not run requests that it refuses", func() {
 		hold := make(chan struct{})
 		h := newHarness(platformtest.Events{To: 5, Hold: hold})
 		q := h.request(http.MethodPost, "/chat/1", "x")
--- a/internal/direct/gateway/stream_test.go
+++ b/internal/direct/gateway/stream_test.go
@@ -12,7 +12,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// eventIDs returns the ids of the events in order.
+// eventIDs returns the IDs of the events in order.
 func eventIDs(body string) []string {
 	var ids []string
 	for line := range strings.Lines(body) {
@@ -32,7 +32,7 @@
 }
 
 var _ = Describe("streams", func() {
-	It("pass all events on in order", func() {
+	It("relay all events in order", func() {
 		h := newHarness(platformtest.Events{To: 20})
 		a := h.do(h.request(http.MethodPost, "/chat/1", "x"))
 		a.expectWhole(200)
@@ -40,7 +40,7 @@
 		Expect(a.header.Get("Content-Type")).To(Equal("text/event-stream"))
 	})
 
-	It("pass an event on before the next one comes", func() {
+	It("relay an event before the next one arrives", func() {
 		hold := make(chan struct{})
 		h := newHarness(platformtest.Events{To: 2, Hold: hold})
 		a, err := h.client.Do(h.request(http.MethodPost, "/chat/1", "x"))
@@ -52,7 +52,7 @@
 		close(hold)
 	})
 
-	It("go on at another endpoint after the last whole event, where that is allowed", func() {
+	It("are resumed at another endpoint after the last complete event, if that is allowed", func() {
 		h := newHarness(platformtest.Events{To: 30}, platformtest.Events{To: 30})
 		platformtest.InTurn(h.runners, platformtest.Events{To: 7, Broken: true}, platformtest.Events{To: 30})
 		a := h.do(h.request(http.MethodPost, "/chat/1", "x"))
@@ -63,7 +63,7 @@
 		Expect(second.Runs()[0].Header.Get(platformtest.LastEventField)).To(Equal("7"))
 	})
 
-	It("break off where all endpoints that the route allows broke off", func() {
+	It("are truncated if they broke at all endpoints that the route allows", func() {
 		h := newHarness(platformtest.Events{To: 30}, platformtest.Events{To: 30}, platformtest.Events{To: 30})
 		platformtest.InTurn(h.runners, platformtest.Events{To: 7, Broken: true}, platformtest.Events{To: 12, Broken: true})
 		a := h.do(h.request(http.MethodPost, "/chat/1", "x"))
@@ -72,7 +72,7 @@
 		Expect(h.runs()).To(Equal(2))
 	})
 
-	It("keep the head of the first endpoint when they go on", func() {
+	It("have the header of the first endpoint after they are resumed", func() {
 		h := newHarness(platformtest.Events{To: 30}, platformtest.Events{To: 30})
 		platformtest.InTurn(h.runners, platformtest.Events{To: 7, Broken: true}, platformtest.Events{To: 30})
 		a := h.do(h.request(http.MethodPost, "/chat/1", "x"))
@@ -81,7 +81,7 @@
 		Expect(a.header.Get(platformtest.InstanceField)).To(Equal(first.ID))
 	})
 
-	It("break off visibly where they may not go on", func() {
+	It("are visibly truncated if they may not be resumed", func() {
 		h := newHarness(platformtest.Events{To: 7, Broken: true}, platformtest.Events{To: 7, Broken: true})
 		a := h.do(h.request(http.MethodPost, "/plan/1", "x"))
 		a.expectTruncated()
--- a/internal/direct/gateway/suspects.go
+++ b/internal/direct/gateway/suspects.go
@@ -61,6 +61,6 @@
 	return s.table.Snapshot(now, self)
 }
 
-func (s *suspects) restore(now time.Time, s2 quarantine.Snapshot) {
-	s.update(func(t *quarantine.Table) { t.Learn(now, s2) })
+func (s *suspects) restore(now time.Time, snapshot quarantine.Snapshot) {
+	s.update(func(t *quarantine.Table) { t.Learn(now, snapshot) })
 }
--- a/internal/direct/gateway/suspension_test.go
+++ b/internal/direct/gateway/suspension_test.go
@@ -20,7 +20,7 @@
 		go steady.Watch(watching)
 	})
 
-	It("gives up at once what ran out of time meanwhile", func() {
+	It("fails requests at once whose deadline passed in the meantime", func() {
 		h := newHarness(platformtest.Hang{})
 		answered := make(chan reply, 1)
 		q := h.request(http.MethodGet, "/page/1", "")
@@ -30,18 +30,19 @@
 		var a reply
 		Eventually(answered, "5s").Should(Receive(&a))
 		a.expectWhole(http.StatusGatewayTimeout)
-		Eventually(h.runners[0].Left()).Should(Receive(), "the endpoint is to stop its work")
+		Eventually(h.runners[0].Left()).Should(Receive(), "the endpoint has to stop its work")
 	})
 
-	// Requests that came meanwhile are read in the millisecond in which it wakes.
-	DescribeTable("denies nothing by settings that were the newest before", func(suspend func(time.Duration) func()) {
+	// Requests that arrived during the suspension are read in the millisecond in which the machine
+	// resumes.
+	DescribeTable("does not deny requests by settings that were the newest before", func(suspend func(time.Duration) func()) {
 		h := newHarness(okResponse)
 		Eventually(func() int { return h.get("/nothing").status }).Should(Equal(http.StatusNotFound), "the settings are confirmed")
 		h.store.SetFault(platformtest.Busy)
 		DeferCleanup(suspend(time.Minute))
 		h.get("/nothing").expectWhole(http.StatusServiceUnavailable)
 	},
-		Entry("once it is noticed", suspension.Suspend),
-		Entry("right after it has woken", suspension.Waken),
+		Entry("after the suspension is noticed", suspension.Suspend),
+		Entry("right after it resumes", suspension.Waken),
 	)
 })
--- a/internal/direct/gateway/unread_test.go
+++ b/internal/direct/gateway/unread_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// writeTo writes an answer over a caller's connection, which reader reads.
+// writeResponse writes a response over a caller's connection that reader reads.
 func writeResponse(t *testing.T, response []byte, reader func(net.Conn)) (c *callerConn, elapsed time.Duration, err error) {
 	t.Helper()
 	server, caller := net.Pipe()
@@ -24,7 +24,7 @@
 	return c, elapsed, err
 }
 
-// TestSlowReadersAreServed reads some of an answer now and then, for a minute.
+// TestSlowReaderIsServed reads part of a response from time to time, for a minute.
 func TestSlowReaderIsServed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, elapsed, err := writeResponse(t, make([]byte, 16*maxWriteBytes), func(caller net.Conn) {
@@ -39,7 +39,7 @@
 	})
 }
 
-// TestUnreadAnswersEnd reads the beginning of an answer and nothing more.
+// TestUnreadResponseIsAborted reads the beginning of a response and nothing more.
 func TestUnreadResponseIsAborted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, elapsed, err := writeResponse(t, make([]byte, 16*maxWriteBytes), func(caller net.Conn) {
--- a/internal/direct/gateway/whole.go
+++ b/internal/direct/gateway/whole.go
@@ -33,15 +33,15 @@
 
 // relayBuffered buffers a short response before it is relayed, if there is memory for it.
 func (f *forwarding) relayBuffered(a *attempt, response *upstream.Answer, res attemptResult) decision {
-	reservation := &reservation{caller: callerOf(f.request)}
+	r := &reservation{caller: callerOf(f.request)}
 	bytes := response.Length
 	if bytes < 0 {
 		bytes = maxBufferedBytes
 	}
-	if !f.gateway.bodyMemory.reserve(steady.Now(), reservation, bytes) {
+	if !f.gateway.bodyMemory.reserve(steady.Now(), r, bytes) {
 		return f.relayUnbuffered(a, response, nil, res)
 	}
-	defer f.gateway.bodyMemory.release(reservation)
+	defer f.gateway.bodyMemory.release(r)
 	return f.relayWhole(a, response, res)
 }
 
