--- a/internal/direct/gateway/harness_test.go
+++ b/internal/direct/gateway/harness_test.go
@@ -23,15 +23,15 @@
 	. "github.com/onsi/gomega"
 )
 
-// Names of the test deployment.
+// Names in the test deployment.
 const (
 	routeHost = "studio.example"
 	teamKey   = "key-of-a-team"
 	service   = "pool"
 )
 
-// world is a store, some runners and one gateway.
-type world struct {
+// harness is a store, some runners and one gateway.
+type harness struct {
 	store       *platformtest.Store
 	runners     []*platformtest.Runner
 	gateway     *gateway.Gateway
@@ -40,13 +40,13 @@
 	address     string
 	source      driver.Store
 	version     int
-	engine      map[string]any // what the configuration says of the service's engines, nil for a plain service
-	teamRegions []string       // in which the team may be served, empty for all
+	engine      map[string]any // the service's engine settings, nil for a service without engines
+	teamRegions []string       // regions in which the team may be served, empty for all
 	ids         atomic.Int64
-	began       atomic.Int64 // requests of the team that count as run
+	countedRuns atomic.Int64 // requests of the team that were counted as run
 }
 
-// route is one route of the configuration.
+// route returns one route of the settings.
 func route(prefix, kind string, more map[string]any) map[string]any {
 	r := map[string]any{
 		"name": "r-" + strings.Trim(prefix, "/"), "hostname": routeHost, "pathPrefix": prefix,
@@ -59,7 +59,7 @@
 	return r
 }
 
-// routes are the routes that most tests use.
+// routes returns the routes that most tests use.
 func routes() []map[string]any {
 	return []map[string]any{
 		route("/page/", "idempotent", nil),
@@ -72,87 +72,89 @@
 	}
 }
 
-// configure writes the next version of the configuration.
-func (w *world) configure(routes []map[string]any, keys ...string) {
-	w.version++
+// configure writes the next version of the settings.
+func (h *harness) configure(routes []map[string]any, keys ...string) {
+	h.version++
 	backend := map[string]any{"name": service, "healthPath": "/healthz", "maxConns": 100}
-	if w.engine != nil {
-		backend["engine"] = w.engine
+	if h.engine != nil {
+		backend["engine"] = h.engine
 	}
-	w.store.Configure(map[string]any{
-		"version": w.version, "routes": routes,
+	h.store.Configure(map[string]any{
+		"version": h.version, "routes": routes,
 		"backends": []map[string]any{backend},
 		"limits":   map[string]any{"maxHeaderBytes": 16384, "maxBodyBytes": 1 << 20, "headerTimeoutMs": 3000, "idleTimeoutMs": 15000},
-		"tenants":  []map[string]any{{"name": "studio-1", "apiKeys": keys, "priority": 1, "allowedRegions": w.teamRegions}},
+		"tenants":  []map[string]any{{"name": "studio-1", "apiKeys": keys, "priority": 1, "allowedRegions": h.teamRegions}},
 	})
 }
 
-// engines makes the endpoints engines, of which the configuration says this.
-func (w *world) engines(engine map[string]any) {
+// engines turns the endpoints into engines with these settings.
+func (h *harness) engines(engine map[string]any) {
 	GinkgoHelper()
-	w.engine = engine
-	for _, r := range w.runners {
+	h.engine = engine
+	for _, r := range h.runners {
 		r.Engine = true
-		w.store.Enter(r, "ready")
+		h.store.Enter(r, "ready")
 	}
-	w.configure(routes(), teamKey)
+	h.configure(routes(), teamKey)
 	Eventually(func() bool {
-		endpoints := w.gateway.Directory().Endpoints().List
-		listed := len(endpoints) == len(w.runners) && endpoints[0].Engine && endpoints[len(endpoints)-1].Engine
-		return listed && w.gatewayVersion() == uint64(w.version)
+		endpoints := h.gateway.Directory().Endpoints().List
+		listed := len(endpoints) == len(h.runners) && endpoints[0].Engine && endpoints[len(endpoints)-1].Engine
+		return listed && h.settingsVersion() == uint64(h.version)
 	}).Should(BeTrue())
 }
 
-// start brings up a world with runners that behave as given.
-func start(rest ...platformtest.Act) *world { return startWithin(driver.Limits{}, rest...) }
+// newHarness starts a harness with one runner for each act.
+func newHarness(acts ...platformtest.Act) *harness {
+	return newHarnessWithLimits(driver.Limits{}, acts...)
+}
 
-// startWithin is start for a process with limits.
-func startWithin(limits driver.Limits, rest ...platformtest.Act) *world {
-	w := &world{store: platformtest.NewStore()}
-	for n, act := range rest {
+// newHarnessWithLimits is newHarness with process limits.
+func newHarnessWithLimits(limits driver.Limits, acts ...platformtest.Act) *harness {
+	h := &harness{store: platformtest.NewStore()}
+	for n, act := range acts {
 		r := platformtest.NewRunner(fmt.Sprintf("i-%d", n+1), service, act)
-		w.runners = append(w.runners, r)
-		w.store.Enter(r, "ready")
+		h.runners = append(h.runners, r)
+		h.store.Enter(r, "ready")
 	}
-	w.configure(routes(), teamKey)
+	h.configure(routes(), teamKey)
 	factory, err := driver.Drivers.Get("fleet")
 	Expect(err).NotTo(HaveOccurred())
 	platform := factory()
 	process := driver.Process{
-		Name: "entry-1", DataCentre: "zone-1", Source: w.store.Address(), Limits: limits,
+		Name: "entry-1", DataCentre: "zone-1", Source: h.store.Address(), Limits: limits,
 		Regions: map[string]string{"zone-1": "region-1", "zone-2": "region-2"},
 		Bounds: driver.Bounds{
 			StopGrace: 4 * time.Second, RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 50,
 			ReuseWithin: 10 * time.Second,
 		},
 	}
-	w.source = platform.Store(process, func() {})
-	w.gateway = gateway.New(gateway.Options{
+	h.source = platform.Store(process, func() {})
+	h.gateway = gateway.New(gateway.Options{
 		Process: process, Driver: platform, Owner: 1, Seed: 1,
 		Began: func(team string) {
 			if team == "studio-1" {
-				w.began.Add(1)
+				h.countedRuns.Add(1)
 			}
 		},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
-	go w.gateway.Directory().Follow(ctx, w.source)
-	go w.gateway.Run(ctx)
-	Eventually(w.gateway.Ready).Should(BeTrue())
-	w.address = freeAddress()
-	w.server, err = w.gateway.Serve(w.address)
+	go h.gateway.Directory().Follow(ctx, h.source)
+	go h.gateway.Run(ctx)
+	Eventually(h.gateway.Ready).Should(BeTrue())
+	h.address = freeAddress()
+	h.server, err = h.gateway.Serve(h.address)
 	Expect(err).NotTo(HaveOccurred())
-	w.client = &http.Client{Transport: &http.Transport{DisableCompression: true}}
+	h.client = &http.Client{Transport: &http.Transport{DisableCompression: true}}
 	DeferCleanup(func() {
 		cancel()
-		w.client.CloseIdleConnections()
-		_ = w.server.Close()
-		w.store.Close()
-		for _, r := range w.runners {
+		h.client.CloseIdleConnections()
+		_ = h.server.Close()
+		h.store.Close()
+		for _, r := range h.runners {
 			r.Close()
 		}
 	})
-	return w
+	return h
 }
 
 func freeAddress() string {
@@ -163,54 +165,54 @@
 }
 
 // request returns a request of a caller with the team's key.
-func (w *world) request(method, target, body string) *http.Request {
+func (h *harness) request(method, target, body string) *http.Request {
 	var reader io.Reader
 	if body != "" {
 		reader = bytes.NewBufferString(body)
 	}
-	q, err := http.NewRequest(method, "http://"+w.address+target, reader)
+	q, err := http.NewRequest(method, "http://"+h.address+target, reader)
 	Expect(err).NotTo(HaveOccurred())
 	q.Host = routeHost
-	q.Header.Set(platformtest.RequestIDField, fmt.Sprintf("id-%d", w.ids.Add(1)))
+	q.Header.Set(platformtest.RequestIDField, fmt.Sprintf("id-%d", h.ids.Add(1)))
 	q.Header.Set(platformtest.DeadlineField, "15000")
 	q.Header.Set(platformtest.KeyField, teamKey)
 	return q
 }
 
-// reply is what a caller got.
+// reply is a response as received by a caller.
 type reply struct {
 	status int
 	header http.Header
 	body   string
-	broken error // the answer didn't come whole
+	err    error // the response was not received completely
 }
 
-func (w *world) do(q *http.Request) reply {
-	a, err := w.client.Do(q)
+func (h *harness) do(q *http.Request) reply {
+	a, err := h.client.Do(q)
 	if err != nil {
-		return reply{broken: err}
+		return reply{err: err}
 	}
 	defer func() { _ = a.Body.Close() }()
 	body, err := io.ReadAll(a.Body)
-	return reply{status: a.StatusCode, header: a.Header, body: string(body), broken: err}
+	return reply{status: a.StatusCode, header: a.Header, body: string(body), err: err}
 }
 
-func (w *world) get(target string) reply { return w.do(w.request(http.MethodGet, target, "")) }
+func (h *harness) get(target string) reply { return h.do(h.request(http.MethodGet, target, "")) }
 
-// runs counts the runs at all runners.
-func (w *world) runs() int {
+// runs returns the number of runs at all runners.
+func (h *harness) runs() int {
 	n := 0
-	for _, r := range w.runners {
+	for _, r := range h.runners {
 		n += len(r.Runs())
 	}
 	return n
 }
 
-// inOrder returns the two runners of a request that went on at the second.
-func (w *world) inOrder() (first, second *platformtest.Runner) {
+// runnersInOrder returns the two runners of a request that was resumed at the second one.
+func (h *harness) runnersInOrder() (first, second *platformtest.Runner) {
 	GinkgoHelper()
-	Expect(w.runners).To(HaveLen(2))
-	first, second = w.runners[0], w.runners[1]
+	Expect(h.runners).To(HaveLen(2))
+	first, second = h.runners[0], h.runners[1]
 	Expect(first.Runs()).To(HaveLen(1))
 	Expect(second.Runs()).To(HaveLen(1))
 	if first.Runs()[0].Header.Get(platformtest.LastEventField) != "" {
@@ -219,45 +221,45 @@
 	return first, second
 }
 
-// whole expects an answer with the status that came whole.
-func (r reply) whole(status int) {
+// expectWhole expects a complete response with the status.
+func (r reply) expectWhole(status int) {
 	GinkgoHelper()
-	Expect(r.broken).NotTo(HaveOccurred())
+	Expect(r.err).NotTo(HaveOccurred())
 	Expect(r.status).To(Equal(status), r.body)
 }
 
-// cut expects an answer that broke off visibly.
-func (r reply) cut() {
+// expectTruncated expects a response that was visibly cut off.
+func (r reply) expectTruncated() {
 	GinkgoHelper()
-	Expect(errors.Is(r.broken, io.ErrUnexpectedEOF) || errors.Is(r.broken, io.EOF)).To(BeTrue(), "%v", r.broken)
+	Expect(errors.Is(r.err, io.ErrUnexpectedEOF) || errors.Is(r.err, io.EOF)).To(BeTrue(), "%v", r.err)
 }
 
-// gatewayVersion returns the version of the settings in force.
-func (w *world) gatewayVersion() uint64 {
-	version, _ := w.gateway.Directory().Versions()
+// settingsVersion returns the version of the settings in force.
+func (h *harness) settingsVersion() uint64 {
+	version, _ := h.gateway.Directory().Versions()
 	return version
 }
 
-// newGateway returns a gateway that has read nothing.
-func newGateway(w *world) *gateway.Gateway {
+// newGateway returns a gateway that has no settings yet.
+func newGateway(h *harness) *gateway.Gateway {
 	factory, err := driver.Drivers.Get("fleet")
 	Expect(err).NotTo(HaveOccurred())
 	return gateway.New(gateway.Options{
-		Process: driver.Process{Name: "entry-1", DataCentre: "zone-1", Source: w.store.Address()},
+		Process: driver.Process{Name: "entry-1", DataCentre: "zone-1", Source: h.store.Address()},
 		Driver:  factory(), Owner: 1, Seed: 1,
 	})
 }
 
-// bare returns a request as a server reads it.
-func (w *world) bare(target string) *http.Request {
+// serverRequest returns a request as a server receives it.
+func (h *harness) serverRequest(target string) *http.Request {
 	q := httptest.NewRequest(http.MethodGet, target, http.NoBody)
 	q.Host = routeHost
-	q.Header.Set(platformtest.RequestIDField, fmt.Sprintf("id-%d", w.ids.Add(1)))
+	q.Header.Set(platformtest.RequestIDField, fmt.Sprintf("id-%d", h.ids.Add(1)))
 	q.Header.Set(platformtest.KeyField, teamKey)
 	return q
 }
 
-// serveOnce hands a request to the gateway without a connection.
+// serveOnce passes a request to the gateway without a connection.
 func serveOnce(g *gateway.Gateway, q *http.Request) *httptest.ResponseRecorder {
 	w := httptest.NewRecorder()
 	g.ServeHTTP(w, q)
--- a/internal/direct/gateway/room_test.go
+++ b/internal/direct/gateway/room_test.go
@@ -11,31 +11,31 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("the room of a process", func() {
-	It("bounds open requests: what is beyond is not run and may come back", func() {
+var _ = Describe("the capacity of a process", func() {
+	It("limits open requests: those beyond the limit are not run and have a Retry-After", func() {
 		hold := make(chan struct{})
-		w := startWithin(driver.Limits{Descriptors: 302}, platformtest.Events{To: 2, Hold: hold})
+		h := newHarnessWithLimits(driver.Limits{Descriptors: 302}, platformtest.Events{To: 2, Hold: hold})
 		first := make(chan reply, 1)
-		q := w.request(http.MethodPost, "/chat/1", "x")
-		go func() { first <- w.do(q) }()
-		Eventually(w.runs).Should(Equal(1))
-		a := w.do(w.request(http.MethodPost, "/chat/2", "x"))
-		a.whole(503)
+		q := h.request(http.MethodPost, "/chat/1", "x")
+		go func() { first <- h.do(q) }()
+		Eventually(h.runs).Should(Equal(1))
+		a := h.do(h.request(http.MethodPost, "/chat/2", "x"))
+		a.expectWhole(503)
 		Expect(a.header.Get("Retry-After")).NotTo(BeEmpty())
-		Expect(w.runs()).To(Equal(1))
+		Expect(h.runs()).To(Equal(1))
 		close(hold)
 		Eventually(first).Should(Receive(&a))
-		a.whole(200)
-		Eventually(func() int { return w.do(w.request(http.MethodPost, "/chat/3", "x")).status }).Should(Equal(200))
+		a.expectWhole(200)
+		Eventually(func() int { return h.do(h.request(http.MethodPost, "/chat/3", "x")).status }).Should(Equal(200))
 	})
 
-	It("bounds the sum of bodies", func() {
-		w := startWithin(driver.Limits{MemoryBytes: 4000}, ok)
-		a := w.do(w.request(http.MethodPost, "/book/1", strings.Repeat("x", 1001)))
-		a.whole(503)
-		Expect(w.runs()).To(BeZero())
-		for range 3 { // what is held is given back
-			w.do(w.request(http.MethodPost, "/book/1", strings.Repeat("x", 900))).whole(200)
+	It("limits the total size of bodies", func() {
+		h := newHarnessWithLimits(driver.Limits{MemoryBytes: 4000}, okResponse)
+		a := h.do(h.request(http.MethodPost, "/book/1", strings.Repeat("x", 1001)))
+		a.expectWhole(503)
+		Expect(h.runs()).To(BeZero())
+		for range 3 { // memory is freed after each request
+			h.do(h.request(http.MethodPost, "/book/1", strings.Repeat("x", 900))).expectWhole(200)
 		}
 	})
 })
