--- a/internal/relay/entry/agents.go
+++ b/internal/relay/entry/agents.go
@@ -14,112 +14,113 @@
 )
 
 const (
-	// dialTimeout bounds a new connection to an agent.
+	// dialTimeout bounds setting up a connection to an agent.
 	dialTimeout = 3 * time.Second
-	// firstRedial and maxRedial bound the time between two tries of an agent. An agent that
-	// restarts is back within a second and a half.
-	firstRedial = 50 * time.Millisecond
-	maxRedial   = time.Second
-	// keepAbsent is how long an agent that is missing from the list is kept without a
-	// connection. The list may be wrong for minutes.
-	keepAbsent = time.Minute
+	// minRedialDelay and maxRedialDelay bound the delay between connection attempts to an agent. An
+	// agent that restarts is reachable again within 1.5 seconds.
+	minRedialDelay = 50 * time.Millisecond
+	maxRedialDelay = time.Second
+	// absentTimeout is how long an unconnected agent is kept after it is missing from the member
+	// list. The list may be wrong for minutes.
+	absentTimeout = time.Minute
 )
 
-// agent is an agent that the entry keeps a connection to.
-type agent struct {
+// agentConn is an agent that the entry maintains a connection to.
+type agentConn struct {
 	name    string
 	address string
 	session link.Session // nil while not connected
 	outbox  chan message.Message
 	stop    context.CancelFunc
-	absent  time.Time // since when the list lacks the agent
+	absent  time.Time // when it was first missing from the member list, zero while listed
 
-	contents bool // it understands message.Contents
+	contents bool // whether the agent supports message.Contents
 }
 
-// send queues a control message. Entry.mu is held. An agent that does not read
-// is cut off.
-func (p *agent) send(m message.Message) {
-	if p.session == nil {
+// send queues a control message. It closes the connection of an agent whose queue is
+// full. Entry.mu must be held.
+func (c *agentConn) send(m message.Message) {
+	if c.session == nil {
 		return
 	}
 	select {
-	case p.outbox <- m:
+	case c.outbox <- m:
 	default:
-		log.Warnf("Agent %s does not read, connection closed.", p.name)
-		p.session.Close()
+		log.Warnf("Agent %s does not read its control messages, connection closed.", c.name)
+		c.session.Close()
 	}
 }
 
-// applyAgent takes in what the list says of one agent: it is connected to if it is
-// wanted, and dropped if its address changed or nothing of this entry is there.
-func (e *Entry) applyAgent(ctx context.Context, m kv.Member, wanted bool) {
-	p := e.agents[m.Name]
-	if p != nil && (p.address != m.Address || !wanted && !m.Leaving && !e.core.Uses(m.Name)) {
-		e.dropAgent(p)
-		p = nil
-	}
-	if p == nil && wanted {
-		p = &agent{name: m.Name, address: m.Address}
-		e.agents[m.Name] = p
-		own, stop := context.WithCancel(ctx)
-		p.stop = stop
-		go e.keepAgent(own, p)
-	}
-	if p != nil && m.Leaving {
+// applyListed applies the member list's record of one agent. It connects to a wanted agent,
+// and drops one whose address changed or that is not wanted, not leaving and not in use.
+func (e *Entry) applyListed(ctx context.Context, m kv.Member, wanted bool) {
+	c := e.agents[m.Name]
+	if c != nil && (c.address != m.Address || !wanted && !m.Leaving && !e.core.Uses(m.Name)) {
+		e.dropAgent(c)
+		c = nil
+	}
+	if c == nil && wanted {
+		c = &agentConn{name: m.Name, address: m.Address}
+		e.agents[m.Name] = c
+		connCtx, stop := context.WithCancel(ctx)
+		c.stop = stop
+		go e.keepAgent(connCtx, c)
+	}
+	if c != nil && m.Leaving {
 		e.core.AgentLeaving(m.Name)
 	}
 }
 
-// applyAbsence drops an agent that the list lacks for long and that is not connected.
-func (e *Entry) applyAbsence(now time.Time, p *agent, listed bool) {
+// applyUnlisted drops an unconnected agent that has been missing from the list for longer
+// than absentTimeout.
+func (e *Entry) applyUnlisted(now time.Time, c *agentConn, listed bool) {
 	switch {
 	case listed:
-		p.absent = time.Time{}
-	case p.absent.IsZero():
-		p.absent = now
-	case p.session == nil && now.Sub(p.absent) > keepAbsent:
-		e.dropAgent(p)
+		c.absent = time.Time{}
+	case c.absent.IsZero():
+		c.absent = now
+	case c.session == nil && now.Sub(c.absent) > absentTimeout:
+		e.dropAgent(c)
 	}
 }
 
-// dropAgent forgets an agent and closes its connection. Entry.mu is held.
-func (e *Entry) dropAgent(p *agent) {
-	p.stop()
-	delete(e.agents, p.name)
-	if p.session != nil {
-		p.session.Close()
-		p.session = nil
-		e.perform(e.core.AgentDown(steady.Now(), p.name))
+// dropAgent removes an agent and closes its connection. Entry.mu must be held.
+func (e *Entry) dropAgent(c *agentConn) {
+	c.stop()
+	delete(e.agents, c.name)
+	if c.session != nil {
+		c.session.Close()
+		c.session = nil
+		e.perform(e.core.AgentDown(steady.Now(), c.name))
 	}
 }
 
-// keepAgent keeps a connection to an agent until it is dropped.
-func (e *Entry) keepAgent(ctx context.Context, p *agent) {
-	wait := backoff.NewExponentialBackOff()
-	wait.InitialInterval = firstRedial
-	wait.MaxInterval = maxRedial
+// keepAgent maintains a connection to an agent until the agent is dropped.
+func (e *Entry) keepAgent(ctx context.Context, c *agentConn) {
+	delay := backoff.NewExponentialBackOff()
+	delay.InitialInterval = minRedialDelay
+	delay.MaxInterval = maxRedialDelay
 	for ctx.Err() == nil {
-		s, h, err := e.dial(ctx, p.address)
+		s, h, err := e.dial(ctx, c.address)
 		if err == nil {
-			wait.Reset()
-			e.serveAgent(ctx, p, s, h)
+			delay.Reset()
+			e.serveAgent(ctx, c, s, h)
 		} else {
-			log.Debugf("Agent %s can't be reached: %v.", p.name, err)
+			log.Debugf("Can't connect to agent %s: %v.", c.name, err)
 		}
-		workers.Sleep(ctx, wait.NextBackOff())
+		workers.Sleep(ctx, delay.NextBackOff())
 	}
 }
 
-// dial connects and exchanges hellos.
+// dial connects to an agent and exchanges Hello messages.
 func (e *Entry) dial(ctx context.Context, address string) (link.Session, message.Hello, error) {
-	wait, cancel := context.WithTimeout(ctx, dialTimeout)
+	dialCtx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	s, err := e.options.Dialer.Dial(wait, address)
+	s, err := e.options.Dialer.Dial(dialCtx, address)
 	if err != nil {
 		return nil, message.Hello{}, err
 	}
-	stop := context.AfterFunc(wait, s.Close)
+	stop := context.AfterFunc(dialCtx, s.Close)
 	defer stop()
 	hello := message.Hello{
 		Name:       e.options.Name,
@@ -143,60 +144,61 @@
 	return s, h, nil
 }
 
-// serveAgent handles one connection until it is gone.
-func (e *Entry) serveAgent(ctx context.Context, p *agent, s link.Session, h message.Hello) {
+// serveAgent handles one connection until it is closed.
+func (e *Entry) serveAgent(ctx context.Context, c *agentConn, s link.Session, h message.Hello) {
 	defer s.Close()
 	stop := context.AfterFunc(ctx, s.Close)
 	defer stop()
-	if h.Name != p.name {
-		log.Errorf("Agent %s answers at the address of %s.", h.Name, p.name)
+	if h.Name != c.name {
+		log.Errorf("Agent %s responded at the address of agent %s.", h.Name, c.name)
 		return
 	}
-	if !e.connected(p, s, h) {
+	if !e.connected(c, s, h) {
 		return
 	}
-	defer e.disconnected(p, s)
-	e.announced(s, h.Settings)
-	go sendControl(s, p.outbox)
+	defer e.disconnected(c, s)
+	e.noteVersion(s, h.Settings)
+	go sendControl(s, c.outbox)
 	go e.acceptStreams(ctx, s)
 	for {
 		m, err := s.Control().Receive()
 		if err != nil {
 			return
 		}
-		e.control(p, s, m)
+		e.handleControl(c, s, m)
 	}
 }
 
-// connected takes in a new connection; false if the agent was dropped meanwhile.
-func (e *Entry) connected(p *agent, s link.Session, h message.Hello) bool {
+// connected registers a new connection. It returns false if the agent was dropped
+// meanwhile.
+func (e *Entry) connected(c *agentConn, s link.Session, h message.Hello) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.agents[p.name] != p {
+	if e.agents[c.name] != c {
 		return false
 	}
-	p.session = s
-	p.contents = h.Contents
-	p.outbox = make(chan message.Message, outboxSize)
-	e.perform(e.core.AgentUp(steady.Now(), p.name, s.Trip()))
-	log.Infof("Agent %s connected.", p.name)
+	c.session = s
+	c.contents = h.Contents
+	c.outbox = make(chan message.Message, outboxSize)
+	e.perform(e.core.AgentUp(steady.Now(), c.name, s.Trip()))
+	log.Infof("Agent %s connected.", c.name)
 	return true
 }
 
-// disconnected takes in the end of a connection.
-func (e *Entry) disconnected(p *agent, s link.Session) {
+// disconnected unregisters a closed connection.
+func (e *Entry) disconnected(c *agentConn, s link.Session) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if p.session != s {
+	if c.session != s {
 		return
 	}
-	p.session = nil
-	e.perform(e.core.AgentDown(steady.Now(), p.name))
+	c.session = nil
+	e.perform(e.core.AgentDown(steady.Now(), c.name))
 	e.wake()
-	log.Infof("Agent %s is gone.", p.name)
+	log.Infof("Agent %s disconnected.", c.name)
 }
 
-// sendControl writes the outbox until the connection is gone.
+// sendControl sends the queued control messages until the connection is closed.
 func sendControl(s link.Session, outbox <-chan message.Message) {
 	for {
 		select {
@@ -211,29 +213,29 @@
 	}
 }
 
-// control handles one control message.
-func (e *Entry) control(p *agent, s link.Session, m message.Message) {
+// handleControl handles one control message.
+func (e *Entry) handleControl(c *agentConn, s link.Session, m message.Message) {
 	now := steady.Now()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if p.session != s {
+	if c.session != s {
 		return
 	}
 	switch m := m.(type) {
 	case message.Ready:
-		e.perform(e.core.Ready(now, p.name, m))
+		e.perform(e.core.Ready(now, c.name, m))
 	case message.Declined:
-		e.perform(e.core.Declined(now, p.name, m))
+		e.perform(e.core.Declined(now, c.name, m))
 	case message.Heartbeat:
-		e.perform(e.core.Heartbeat(now, p.name, m))
-		e.announced(s, m.Settings)
-		e.remind(p, m.Settings)
+		e.perform(e.core.Heartbeat(now, c.name, m))
+		e.noteVersion(s, m.Settings)
+		e.announceIfBehind(c, m.Settings)
 	case message.Leaving:
-		e.core.AgentLeaving(p.name)
+		e.core.AgentLeaving(c.name)
 	case message.Contents:
-		e.takeContents(now, p.name, m.Known)
+		e.applyContents(now, c.name, m.Known)
 	default:
-		log.Warnf("Agent %s sent an unexpected %T.", p.name, m)
+		log.Warnf("Agent %s sent an unexpected message of type %T.", c.name, m)
 	}
 	e.wake()
 }
--- a/internal/relay/entry/announce.go
+++ b/internal/relay/entry/announce.go
@@ -8,7 +8,7 @@
 	"foxcross.dev/foxcross/internal/relay/versions"
 )
 
-// acceptStreams answers an agent that asks for settings.
+// acceptStreams serves the settings requests of an agent.
 func (e *Entry) acceptStreams(ctx context.Context, s link.Session) {
 	for {
 		st, err := s.Accept(ctx)
@@ -21,26 +21,27 @@
 	}
 }
 
-// announced tells the settings which version an agent holds.
-func (e *Entry) announced(s link.Session, version uint64) {
+// noteVersion passes the settings version that an agent holds to the settings holder,
+// which fetches it from the agent if it is newer.
+func (e *Entry) noteVersion(s link.Session, version uint64) {
 	e.options.Settings.Announced(version, func(ctx context.Context, q message.SettingsRequest) (message.SettingsReply, error) {
 		return link.FetchSettings(ctx, s, q)
 	})
 }
 
-// remind tells an agent that is behind which version is in force here. Its last
-// fetch may have failed.
-func (e *Entry) remind(p *agent, held uint64) {
+// announceIfBehind sends the version in force here to an agent that holds an older one.
+// The agent's last fetch may have failed.
+func (e *Entry) announceIfBehind(c *agentConn, held uint64) {
 	if own := e.options.Settings.Version(); held < own {
-		p.send(message.Heartbeat{Settings: own})
+		c.send(message.Heartbeat{Settings: own})
 	}
 }
 
-// announce tells every agent that a new version is in force here.
-func (e *Entry) announce(v versions.State) {
+// broadcastVersion sends the number of a new version to all agents.
+func (e *Entry) broadcastVersion(v versions.State) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for _, p := range e.agents {
-		p.send(message.Heartbeat{Settings: v.Root.Version})
+	for _, c := range e.agents {
+		c.send(message.Heartbeat{Settings: v.Root.Version})
 	}
 }
--- a/internal/relay/entry/answer.go
+++ b/internal/relay/entry/answer.go
@@ -11,18 +11,19 @@
 	"foxcross.dev/foxcross/internal/failure"
 )
 
-var errNoHello = errors.New("entry: the agent did not say hello")
+var errNoHello = errors.New("entry: the agent's first message is not a Hello")
 
-// writeFailure answers with a code. Nothing may have been written before.
+// writeFailure writes an error response. Nothing may have been written before.
 func writeFailure(w http.ResponseWriter, f *result.Error) {
-	retry := ""
+	retryAfter := ""
 	if f.RetryAfter > 0 {
-		retry = strconv.Itoa(seconds(f.RetryAfter))
+		retryAfter = strconv.Itoa(retryAfterSeconds(f.RetryAfter))
 	}
-	failure.Write(w, f, retry)
+	failure.Write(w, f, retryAfter)
 }
 
-func seconds(d time.Duration) int { return max(1, int(math.Ceil(d.Seconds()))) }
+// retryAfterSeconds rounds up to whole seconds, at least 1.
+func retryAfterSeconds(d time.Duration) int { return max(1, int(math.Ceil(d.Seconds()))) }
 
 func (f finished) failure() *result.Error {
 	return &result.Error{Code: f.Code, Run: f.Run, Reason: f.End.Reason, RetryAfter: f.RetryAfter}
--- a/internal/relay/entry/attempt.go
+++ b/internal/relay/entry/attempt.go
@@ -11,50 +11,51 @@
 	"foxcross.dev/foxcross/internal/steady"
 )
 
-// openTimeout bounds the opening of an attempt's stream. An agent holds the slot for 250 ms.
+// openTimeout bounds opening an attempt's stream. An agent holds the slot for 250 ms.
 const openTimeout = 2 * time.Second
 
-// attemptKey names an attempt at this entry.
+// attemptKey identifies an attempt within this entry.
 type attemptKey struct {
 	request message.RequestID
 	attempt message.Attempt
 }
 
-// attempt is a start and the stream its answer comes on.
+// attempt is a started attempt and the session its stream is opened on.
 type attempt struct {
 	entry     *Entry
 	key       attemptKey
 	agent     string
-	session   link.Session // as it was when the core decided
+	session   link.Session // the agent's session when the core chose it
 	call      *call
 	start     message.Start
-	cancelled chan struct{} // closed by the core's cancel
+	cancelled chan struct{} // closed when the core cancels the attempt
 }
 
-// startAttempt sends the start from a worker. Entry.mu is held.
+// startAttempt sends the start on a worker. Entry.mu must be held.
 func (e *Entry) startAttempt(x binding.Start) {
 	key := attemptKey{x.Request, x.Attempt}
 	c := e.calls[x.Request]
-	p := e.agents[x.Agent]
-	if c == nil || p == nil || p.session == nil {
-		go e.ended(x.Agent, notStarted(key, "the connection is gone"))
+	conn := e.agents[x.Agent]
+	if c == nil || conn == nil || conn.session == nil {
+		go e.attemptEnded(x.Agent, notStarted(key, "the connection is gone"))
 		return
 	}
 	start := c.startFor(x.Attempt)
-	start.Known = e.knownCrashes(c)
-	a := &attempt{entry: e, key: key, agent: p.name, session: p.session, call: c, start: start, cancelled: make(chan struct{})}
+	start.Known = e.crashCount(c)
+	a := &attempt{entry: e, key: key, agent: conn.name, session: conn.session, call: c, start: start, cancelled: make(chan struct{})}
 	e.attempts[key] = a
 	if err := e.pool.Do(a.run); err != nil {
 		delete(e.attempts, key)
-		go e.ended(x.Agent, notStarted(key, err.Error()))
+		go e.attemptEnded(x.Agent, notStarted(key, err.Error()))
 	}
 }
 
+// notStarted returns the end of an attempt whose start was not sent.
 func notStarted(k attemptKey, reason string) message.End {
 	return message.End{Request: k.request, Attempt: k.attempt, Code: result.SlotGone, Run: result.NotRun, Reason: reason}
 }
 
-// cancelAttempt tells the agent to stop. Entry.mu is held.
+// cancelAttempt makes the attempt's worker send a cancel to the agent. Entry.mu must be held.
 func (e *Entry) cancelAttempt(x binding.Cancel) {
 	key := attemptKey{x.Request, x.Attempt}
 	if a := e.attempts[key]; a != nil {
@@ -63,17 +64,17 @@
 	}
 }
 
-// ended reports the end of an attempt to the core.
-func (e *Entry) ended(agent string, m message.End) {
+// attemptEnded reports the end of an attempt to the core.
+func (e *Entry) attemptEnded(agent string, m message.End) {
 	if m.Crash != nil {
-		e.takeCrash(agent, *m.Crash)
+		e.applyCrash(agent, *m.Crash)
 	}
-	content, suspect := e.suspectOf(m.Request)
+	content, check := e.contentToCheck(m.Request)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	delete(e.attempts, attemptKey{m.Request, m.Attempt})
 	now := steady.Now()
-	if suspect && !e.judgeContent(now, content, m) {
+	if check && !e.recordOutcome(now, content, m) {
 		e.perform(e.core.Abandon(now, agent, m))
 	} else {
 		e.perform(e.core.End(now, agent, m))
@@ -81,32 +82,32 @@
 	e.wake()
 }
 
-// run sends the start and reads the answer.
+// run sends the start and forwards the answer.
 func (a *attempt) run() {
 	ctx, cancel := context.WithTimeout(context.Background(), openTimeout)
 	st, err := a.session.Open(ctx)
 	cancel()
 	if err != nil {
-		a.entry.ended(a.agent, notStarted(a.key, err.Error()))
+		a.entry.attemptEnded(a.agent, notStarted(a.key, err.Error()))
 		return
 	}
-	finished := make(chan struct{})
-	defer close(finished)
-	go a.forwardCancel(st, finished)
+	done := make(chan struct{})
+	defer close(done)
+	go a.forwardCancel(st, done)
 	if err := st.Send(a.start); err != nil {
 		st.Reset()
-		a.entry.ended(a.agent, a.lost(err))
+		a.entry.attemptEnded(a.agent, a.streamFailed(err))
 		return
 	}
 	end := a.read(st)
-	_ = st.CloseSend() // the agent may be gone
-	a.entry.ended(a.agent, end)
+	_ = st.CloseSend() // the agent may have disconnected
+	a.entry.attemptEnded(a.agent, end)
 }
 
-// forwardCancel sends a cancel if the core asks for it.
-func (a *attempt) forwardCancel(st link.Stream, finished <-chan struct{}) {
+// forwardCancel sends a cancel if the core cancels the attempt before it ends.
+func (a *attempt) forwardCancel(st link.Stream, done <-chan struct{}) {
 	select {
-	case <-finished:
+	case <-done:
 	case <-a.cancelled:
 		if err := st.Send(message.Cancel{Request: a.key.request, Attempt: a.key.attempt}); err != nil {
 			st.Reset()
@@ -114,7 +115,8 @@
 	}
 }
 
-func (a *attempt) lost(err error) message.End {
+// streamFailed returns the end of an attempt whose stream failed.
+func (a *attempt) streamFailed(err error) message.End {
 	return message.End{
 		Request: a.key.request,
 		Attempt: a.key.attempt,
@@ -124,20 +126,20 @@
 	}
 }
 
-// read passes the answer on until its end.
+// read forwards the answer until its end.
 func (a *attempt) read(st link.Stream) message.End {
 	for {
 		m, err := st.Receive()
 		if err != nil {
 			st.Reset()
-			return a.lost(err)
+			return a.streamFailed(err)
 		}
 		switch m := m.(type) {
 		case message.Head:
-			a.take(m.Request, m.Attempt, true, func() { a.call.put(head(m)) })
+			a.deliver(m.Request, m.Attempt, true, func() { a.call.put(head(m)) })
 		case message.Chunk:
-			a.take(m.Request, m.Attempt, len(m.Data) > 0, func() { a.call.putChunk(m) })
-			a.call.waitRoom(a.cancelled)
+			a.deliver(m.Request, m.Attempt, len(m.Data) > 0, func() { a.call.putChunk(m) })
+			a.call.waitForSpace(a.cancelled)
 		case message.End:
 			if m.Request == a.key.request && m.Attempt == a.key.attempt {
 				return m
@@ -146,16 +148,17 @@
 	}
 }
 
-// take passes a piece on if it belongs to this attempt and the attempt is the
-// current one. A piece that is more than text can't be continued elsewhere.
-func (a *attempt) take(id message.RequestID, n message.Attempt, stuck bool, put func()) {
+// deliver calls put if the message belongs to this attempt and the attempt is the current
+// one of its request. An answer is unresumable once it holds more than text: it can't be
+// continued by another attempt.
+func (a *attempt) deliver(id message.RequestID, n message.Attempt, unresumable bool, put func()) {
 	if id != a.key.request || n != a.key.attempt {
 		return
 	}
 	e := a.entry
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.core.Progress(steady.Now(), id, n, stuck) {
+	if e.core.Progress(steady.Now(), id, n, unresumable) {
 		put()
 	}
 }
--- a/internal/relay/entry/call.go
+++ b/internal/relay/entry/call.go
@@ -13,85 +13,85 @@
 	"foxcross.dev/foxcross/internal/workers"
 )
 
-// maxPending is how many bytes of an answer wait for a slow caller before the agent's stream
-// is no longer read.
-const maxPending = 1 << 20
+// maxPendingBytes is how many bytes of an answer may wait for a slow caller before the entry stops
+// reading the agent's stream.
+const maxPendingBytes = 1 << 20
 
-// piece is something to write to the caller: text, data, head or finished.
-type piece interface{ piece() }
+// fragment is what one write to the caller consists of: text, data, head or finished.
+type fragment interface{ fragment() }
 
 // text is answer text of a model.
 type text string
 
-// data is a service's bytes, or choices of a model that are more than text.
+// data is bytes from a service, or choices of a model that are not plain text.
 type data []byte
 
-// head begins a service's answer.
+// head is the status and the header of a service's response.
 type head message.Head
 
-// finished ends the answer.
+// finished ends the response.
 type finished struct{ binding.Finish }
 
-func (text) piece()     {}
-func (data) piece()     {}
-func (head) piece()     {}
-func (finished) piece() {}
+func (text) fragment()     {}
+func (data) fragment()     {}
+func (head) fragment()     {}
+func (finished) fragment() {}
 
-// call is an accepted request and the answer on its way to the caller.
+// call is an accepted request and the answer that is buffered for its caller.
 type call struct {
 	id      message.RequestID
 	request binding.Request
 	start   message.Start
 
-	hash sync.Once
-	key  quarantine.Key // of its content, once it was asked for
-
-	mu      sync.Mutex
-	sent    strings.Builder // text so far, to continue elsewhere
-	tokens  int
-	pending []piece
-	bytes   int
-	over    bool          // the caller is gone or has the finish
-	run     result.Run    // what the finish said
-	ready   chan struct{} // something is pending
-	room    chan struct{} // the caller has taken something
+	contentOnce sync.Once
+	contentKey  quarantine.Key // set by content
+
+	mu           sync.Mutex
+	sentText     strings.Builder // text received so far, from which another attempt can continue
+	sentTokens   int
+	pending      []fragment
+	pendingBytes int
+	closed       bool          // the caller has disconnected or has the complete response
+	run          result.Run    // as reported by finished
+	ready        chan struct{} // signalled when pending grows
+	consumed     chan struct{} // signalled when pending was read
 }
 
 func newCall(q binding.Request, s message.Start) *call {
-	return &call{request: q, start: s, ready: make(chan struct{}, 1), room: make(chan struct{}, 1)}
+	return &call{request: q, start: s, ready: make(chan struct{}, 1), consumed: make(chan struct{}, 1)}
 }
 
-// put adds a piece. It never blocks.
-func (c *call) put(p piece) {
+// put adds a fragment to the pending ones. It never blocks.
+func (c *call) put(p fragment) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.add(p)
+	c.addLocked(p)
 }
 
-func (c *call) add(p piece) {
+func (c *call) addLocked(p fragment) {
 	if f, ok := p.(finished); ok {
 		c.run = f.Run
 	}
 	c.pending = append(c.pending, p)
-	c.bytes += sizeOf(p)
+	c.pendingBytes += sizeOf(p)
 	workers.Signal(c.ready)
 }
 
-// putChunk adds a chunk and notes its text for a continuation.
+// putChunk adds a chunk and records its text, so that another attempt can continue from it.
 func (c *call) putChunk(m message.Chunk) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.tokens += m.Tokens
+	c.sentTokens += m.Tokens
 	if m.Text != "" {
-		c.sent.WriteString(m.Text)
-		c.add(text(m.Text))
+		c.sentText.WriteString(m.Text)
+		c.addLocked(text(m.Text))
 	}
 	if len(m.Data) > 0 {
-		c.add(data(m.Data))
+		c.addLocked(data(m.Data))
 	}
 }
 
-func sizeOf(p piece) int {
+func sizeOf(p fragment) int {
 	switch p := p.(type) {
 	case text:
 		return len(p)
@@ -102,15 +102,15 @@
 	}
 }
 
-// next waits for the next pieces.
-func (c *call) next(ctx context.Context) ([]piece, error) {
+// next waits for pending fragments and returns them all.
+func (c *call) next(ctx context.Context) ([]fragment, error) {
 	for {
 		c.mu.Lock()
 		taken := c.pending
 		c.pending = nil
-		c.bytes = 0
+		c.pendingBytes = 0
 		c.mu.Unlock()
-		workers.Signal(c.room)
+		workers.Signal(c.consumed)
 		if len(taken) > 0 {
 			return taken, nil
 		}
@@ -122,46 +122,46 @@
 	}
 }
 
-// waitRoom blocks while too much is pending.
-func (c *call) waitRoom(done <-chan struct{}) {
+// waitForSpace blocks while more than maxPendingBytes are pending.
+func (c *call) waitForSpace(done <-chan struct{}) {
 	for {
 		c.mu.Lock()
-		full := c.bytes > maxPending && !c.over
+		full := c.pendingBytes > maxPendingBytes && !c.closed
 		c.mu.Unlock()
 		if !full {
 			return
 		}
 		select {
-		case <-c.room:
+		case <-c.consumed:
 		case <-done:
 			return
 		}
 	}
 }
 
-// close lets nobody wait for the caller any more.
+// close unblocks waitForSpace for good.
 func (c *call) close() {
 	c.mu.Lock()
-	c.over = true
+	c.closed = true
 	c.mu.Unlock()
-	workers.Signal(c.room)
+	workers.Signal(c.consumed)
 }
 
-// notRun tells whether the request ended without having been run.
+// notRun reports whether the request ended without having been run.
 func (c *call) notRun() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.run == result.NotRun
 }
 
-// startFor returns the start of an attempt, with the text the caller has.
+// startFor returns the start of an attempt, including the text that the caller already has.
 func (c *call) startFor(a message.Attempt) message.Start {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	m := c.start
 	m.Request = c.id
 	m.Attempt = a
-	m.SentText = c.sent.String()
-	m.SentTokens = c.tokens
+	m.SentText = c.sentText.String()
+	m.SentTokens = c.sentTokens
 	return m
 }
--- a/internal/relay/entry/chat.go
+++ b/internal/relay/entry/chat.go
@@ -15,19 +15,19 @@
 	"foxcross.dev/foxcross/internal/failure"
 )
 
-// bytesPerToken is a rough size of a token, for choosing agents only.
+// bytesPerToken is a rough size of a token. It is only used to choose agents.
 const bytesPerToken = 4
 
-// chatRequest is the part of a chat request that the entry reads.
+// chatRequest holds the fields of a chat completion request that the entry reads.
 type chatRequest struct {
 	Model    string          `json:"model"`
 	Stream   bool            `json:"stream"`
 	Messages json.RawMessage `json:"messages"`
 }
 
-// serveChat answers a chat completion.
+// serveChat serves a chat completion request.
 func (e *Entry) serveChat(w http.ResponseWriter, r *http.Request) *result.Error {
-	c, failure := e.identify(r)
+	c, failure := e.authenticate(r)
 	if failure != nil {
 		return failure
 	}
@@ -43,17 +43,17 @@
 	if failure != nil {
 		return failure
 	}
-	a, done, failure := e.submit(r, c, k, chatBinding(c, k, q), message.Start{Body: body})
+	a, done, failure := e.submit(r, c, k, bindingRequest(c, k, q), message.Start{Body: body})
 	if failure != nil {
 		return failure
 	}
 	defer done()
-	answer := chatAnswer{model: q.Model, created: time.Now().Unix(), id: fmt.Sprintf("chatcmpl-%s-%d", e.options.Name, a.id)}
+	cw := chatWriter{model: q.Model, created: time.Now().Unix(), id: fmt.Sprintf("chatcmpl-%s-%d", e.options.Name, a.id)}
 	if q.Stream {
-		answer.stream(w, r, a)
+		cw.stream(w, r, a)
 		return nil
 	}
-	answer.whole(w, r, a)
+	cw.writeAll(w, r, a)
 	return nil
 }
 
@@ -69,21 +69,21 @@
 	return q, nil
 }
 
-// chatClass finds the class: named by the header, else the team's default if it
-// serves the model, else the first class of the model that the team may use.
+// chatClass returns the class of a request: the one that the header names, else the team's
+// default if it serves the model, else the first class of the model that the team may use.
 func (c caller) chatClass(r *http.Request, model string) (settings.ClassInfo, *result.Error) {
-	k, named, failure := c.named(r)
+	k, found, failure := c.headerClass(r)
 	if failure != nil {
 		return k, failure
 	}
 	if !c.snapshot.ServesModel(model) {
 		return k, result.Errorf(result.UnknownModel, "%q", model)
 	}
-	if named {
+	if found {
 		if k.Model != model {
 			return k, result.Errorf(result.UnknownModel, "class %s does not serve %q", k.Name, model)
 		}
-		return k, c.allow(k)
+		return k, c.checkClass(k)
 	}
 	if k, ok := c.snapshot.Class(c.team.DefaultClass); ok && k.Model == model {
 		return k, nil
@@ -96,7 +96,7 @@
 	return k, result.Errorf(result.UnknownClass, "team %s may use no class of %q", c.team.Name, model)
 }
 
-func chatBinding(c caller, k settings.ClassInfo, q chatRequest) binding.Request {
+func bindingRequest(c caller, k settings.ClassInfo, q chatRequest) binding.Request {
 	return binding.Request{
 		Target:        k.Target(),
 		Terms:         c.terms(k),
@@ -107,15 +107,15 @@
 	}
 }
 
-// chatAnswer writes an answer in the shape of the chat-completions protocol.
-type chatAnswer struct {
+// chatWriter writes a response in the format of the chat completions API.
+type chatWriter struct {
 	id      string
 	model   string
 	created int64
 }
 
-// chatBody is a chunk of a streamed answer, or a whole one.
-type chatBody struct {
+// chatCompletion is a complete response or a chunk of a streamed one.
+type chatCompletion struct {
 	ID      string          `json:"id"`
 	Object  string          `json:"object"`
 	Created int64           `json:"created"`
@@ -130,50 +130,51 @@
 	Total      int `json:"total_tokens"`
 }
 
-type chatDelta struct {
+// chatChoice is a choice of a chatCompletion.
+type chatChoice struct {
 	Index  int          `json:"index"`
-	Delta  *chatContent `json:"delta,omitempty"`
-	Whole  *chatContent `json:"message,omitempty"`
+	Delta  *chatMessage `json:"delta,omitempty"`
+	Whole  *chatMessage `json:"message,omitempty"`
 	Finish *string      `json:"finish_reason"`
 }
 
-type chatContent struct {
+type chatMessage struct {
 	Role    string  `json:"role,omitempty"`
 	Content *string `json:"content,omitempty"`
 }
 
-func (a chatAnswer) body(object string, choices any) chatBody {
+func (cw chatWriter) completion(object string, choices any) chatCompletion {
 	raw, ok := choices.(json.RawMessage)
 	if !ok {
-		raw, _ = json.Marshal(choices) // plain structs always have a JSON form
+		raw, _ = json.Marshal(choices) // plain structs can always be marshalled
 	}
-	return chatBody{ID: a.id, Object: object, Created: a.created, Model: a.model, Choices: raw}
+	return chatCompletion{ID: cw.id, Object: object, Created: cw.created, Model: cw.model, Choices: raw}
 }
 
-// whole collects the answer and writes it at once.
-func (a chatAnswer) whole(w http.ResponseWriter, r *http.Request, c *call) {
-	var all strings.Builder
+// writeAll collects the answer and writes it as one response.
+func (cw chatWriter) writeAll(w http.ResponseWriter, r *http.Request, c *call) {
+	var content strings.Builder
 	var choices json.RawMessage
 	for {
-		pieces, err := c.next(r.Context())
+		fragments, err := c.next(r.Context())
 		if err != nil {
-			return // the caller is gone
+			return // the caller has disconnected
 		}
-		for _, p := range pieces {
+		for _, p := range fragments {
 			switch p := p.(type) {
 			case text:
-				all.WriteString(string(p))
+				content.WriteString(string(p))
 			case data:
 				choices = json.RawMessage(p)
 			case finished:
-				a.writeWhole(w, p, all.String(), choices, c)
+				cw.writeCompletion(w, p, content.String(), choices, c)
 				return
 			}
 		}
 	}
 }
 
-func (a chatAnswer) writeWhole(w http.ResponseWriter, f finished, all string, choices json.RawMessage, c *call) {
+func (cw chatWriter) writeCompletion(w http.ResponseWriter, f finished, content string, choices json.RawMessage, c *call) {
 	if f.Code == result.OK && choices != nil {
 		writeFailure(w, &result.Error{Code: result.Unresumable, Run: result.Ran, Reason: "this answer can only be streamed"})
 		return
@@ -182,14 +183,14 @@
 		writeFailure(w, f.failure())
 		return
 	}
-	b := a.body("chat.completion", []chatDelta{{
-		Whole:  &chatContent{Role: "assistant", Content: &all},
+	b := cw.completion("chat.completion", []chatChoice{{
+		Whole:  &chatMessage{Role: "assistant", Content: &content},
 		Finish: finishReason(f),
 	}})
 	b.Usage = usageOf(f, c)
 	w.Header().Set("Content-Type", "application/json")
 	failure.SetCode(w.Header(), f.Code, f.Run)
-	_ = json.NewEncoder(w).Encode(b) // the caller may be gone
+	_ = json.NewEncoder(w).Encode(b) // the caller may have disconnected
 }
 
 func finishReason(f finished) *string {
@@ -203,19 +204,19 @@
 func usageOf(f finished, c *call) *chatUsage {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return &chatUsage{Prompt: f.End.PromptTokens, Completion: c.tokens, Total: f.End.PromptTokens + c.tokens}
+	return &chatUsage{Prompt: f.End.PromptTokens, Completion: c.sentTokens, Total: f.End.PromptTokens + c.sentTokens}
 }
 
-// stream writes the answer as it comes.
-func (a chatAnswer) stream(w http.ResponseWriter, r *http.Request, c *call) {
-	s := eventStream{writer: w, control: http.NewResponseController(w)}
+// stream writes the answer as server-sent events while it is received.
+func (cw chatWriter) stream(w http.ResponseWriter, r *http.Request, c *call) {
+	s := eventStream{writer: w, controller: http.NewResponseController(w)}
 	for {
-		pieces, err := c.next(r.Context())
+		fragments, err := c.next(r.Context())
 		if err != nil {
-			return // the caller is gone
+			return // the caller has disconnected
 		}
-		for _, p := range pieces {
-			if over := a.streamPiece(&s, p, c); over {
+		for _, p := range fragments {
+			if ended := cw.streamFragment(&s, p, c); ended {
 				return
 			}
 		}
@@ -225,20 +226,20 @@
 	}
 }
 
-func (a chatAnswer) streamPiece(s *eventStream, p piece, c *call) (over bool) {
+func (cw chatWriter) streamFragment(s *eventStream, p fragment, c *call) (ended bool) {
 	const object = "chat.completion.chunk"
 	switch p := p.(type) {
 	case text:
 		content := string(p)
-		s.event(a.body(object, []chatDelta{{Delta: &chatContent{Role: "assistant", Content: &content}}}))
+		s.event(cw.completion(object, []chatChoice{{Delta: &chatMessage{Role: "assistant", Content: &content}}}))
 	case data:
-		s.event(a.body(object, json.RawMessage(p)))
+		s.event(cw.completion(object, json.RawMessage(p)))
 	case finished:
 		if p.Code != result.OK {
 			s.fail(p.failure())
 			return true
 		}
-		last := a.body(object, []chatDelta{{Delta: &chatContent{}, Finish: finishReason(p)}})
+		last := cw.completion(object, []chatChoice{{Delta: &chatMessage{}, Finish: finishReason(p)}})
 		last.Usage = usageOf(p, c)
 		s.event(last)
 		s.done(p)
--- a/internal/relay/entry/contents.go
+++ b/internal/relay/entry/contents.go
@@ -1,12 +1,13 @@
-// Which requests are refused, because endpoints that ran the same content have crashed.
+// Refusal of requests whose content has crashed endpoints.
 //
-// Rule: coord/quarantine decides, from what agents tell. A content that is held is refused at once;
-// an attempt of it that failed is not made again. When a hold is over this entry tries the content
-// once, and tells the others by its agents. A run that succeeded clears it everywhere.
-// Inputs: what agents tell, ends of attempts, the time.
-// Units: a hash of the body for a request, and only while something is counted against any.
-// Never: "not run" is said of a request of which an attempt may have run. Nothing waits for what
-// others know: entries whose hold is over in the same moment may each try it once.
+// Rule: coord/quarantine decides, from the reports of agents. A request whose content is held is
+// refused immediately, and a failed attempt of such a content is not retried. When a hold ends, this
+// entry runs one request with the content as a trial, and reports the trial to the other entries
+// through its agents. A successful run clears the content at all entries.
+// Inputs: reports of agents, ends of attempts, the time.
+// Units: one hash of a request's body per request, computed only while any content has crashes.
+// Never: a request of which an attempt may have run is never reported as "not run". No request waits
+// for reports of other entries, so entries whose hold ends at the same moment may each run a trial.
 
 package entry
 
@@ -20,36 +21,37 @@
 	"foxcross.dev/foxcross/internal/steady"
 )
 
-// minHeldRetryAfter is the shortest time after which a refused caller may come back.
+// minHeldRetryAfter is the shortest retry delay given to a refused caller.
 const minHeldRetryAfter = time.Second
 
-// content returns the key of what a request asks for. It is hashed once.
+// content returns the key of the request's content. The hash is computed once.
 func (c *call) content() quarantine.Key {
-	c.hash.Do(func() { c.key = c.start.Content(c.request.Target, c.request.Terms) })
-	return c.key
+	c.contentOnce.Do(func() { c.contentKey = c.start.Content(c.request.Target, c.request.Terms) })
+	return c.contentKey
 }
 
-// suspects tells whether anything is counted against any content.
-func (e *Entry) suspects() bool {
+// hasCrashes reports whether crashes are counted against any content.
+func (e *Entry) hasCrashes() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return !e.contents.Empty()
 }
 
-// suspectOf returns the content of a request that is open, if anything is counted against any.
-func (e *Entry) suspectOf(id message.RequestID) (k quarantine.Key, ok bool) {
+// contentToCheck returns the content of an open request. It returns false if no content has
+// crashes, since no outcome needs a check then.
+func (e *Entry) contentToCheck(id message.RequestID) (k quarantine.Key, ok bool) {
 	e.mu.Lock()
 	c := e.calls[id]
-	known := !e.contents.Empty()
+	counted := !e.contents.Empty()
 	e.mu.Unlock()
-	if c == nil || !known {
+	if c == nil || !counted {
 		return quarantine.Key{}, false
 	}
 	return c.content(), true
 }
 
-// checkContent returns the refusal of a request whose content is held, nil for none.
-func (e *Entry) checkContent(now time.Time, k quarantine.Key) *result.Error {
+// checkQuarantine returns the refusal of a request whose content is held, nil if it is not held.
+func (e *Entry) checkQuarantine(now time.Time, k quarantine.Key) *result.Error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	v := e.contents.Verdict(now, k)
@@ -57,7 +59,7 @@
 	case !v.Held:
 		return nil
 	case v.For == 0:
-		e.tryContent(now, k, v)
+		e.startTrial(now, k, v)
 		return nil
 	}
 	e.metrics.Counter("quarantine_refused").Inc(1)
@@ -67,78 +69,80 @@
 	}
 }
 
-// tryContent lets a request be the trial of its content. Entry.mu is held.
-func (e *Entry) tryContent(now time.Time, k quarantine.Key, v quarantine.Verdict) {
+// startTrial makes a request the trial of its content. Entry.mu must be held.
+func (e *Entry) startTrial(now time.Time, k quarantine.Key, v quarantine.Verdict) {
 	e.contents.Try(k, v.Trials+1, now.Add(quarantine.TrialTime))
-	log.With("content", k.String()).With("crashes", v.Crashes).With("trials", v.Trials+1).Info("A content that was held is tried.")
+	log.With("content", k.String()).With("crashes", v.Crashes).With("trials", v.Trials+1).Info("The hold of a content has ended; running one request as a trial.")
 	if v.Doubtful {
-		return // others are told of what is certain
+		return // only certain crashes are reported to other entries
 	}
-	e.tellContents("", quarantine.Snapshot{Holds: []quarantine.HoldReport{{
+	e.broadcastContents("", quarantine.Snapshot{Holds: []quarantine.HoldReport{{
 		Content: k[:], Crashes: v.Crashes, Trials: v.Trials + 1, ForMS: quarantine.TrialTime.Milliseconds(),
 	}}})
 }
 
-// judgeContent takes in what the end of an attempt says of its content. It returns whether the
-// request may be tried again. Entry.mu is held.
-func (e *Entry) judgeContent(now time.Time, k quarantine.Key, m message.End) (again bool) {
+// recordOutcome records the end of an attempt for its content. It returns whether the request
+// may be retried. Entry.mu must be held.
+func (e *Entry) recordOutcome(now time.Time, k quarantine.Key, m message.End) (retry bool) {
 	if m.Code != result.OK {
 		return m.Run == result.NotRun || !e.contents.Verdict(now, k).Held
 	}
 	if e.contents.Succeeded(k) {
-		e.tellContents("", quarantine.Snapshot{Cleared: [][]byte{k[:]}})
+		e.broadcastContents("", quarantine.Snapshot{Cleared: [][]byte{k[:]}})
 	}
 	return true
 }
 
-// ReleaseContent drops what is counted against a content, by an operator's word, here and at the
-// other entries. It returns false if nothing is.
+// ReleaseContent clears the crashes counted against a content, on request of an operator, here and
+// at the other entries. It returns false if none are counted.
 func (e *Entry) ReleaseContent(k quarantine.Key) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if !e.contents.Succeeded(k) {
 		return false
 	}
-	e.tellContents("", quarantine.Snapshot{Cleared: [][]byte{k[:]}})
-	log.With("content", k.String()).Info("A content is not held any more: an operator let it through.")
+	e.broadcastContents("", quarantine.Snapshot{Cleared: [][]byte{k[:]}})
+	log.With("content", k.String()).Info("An operator released the content.")
 	return true
 }
 
-// tellContents tells all agents but one. Entry.mu is held.
-func (e *Entry) tellContents(but string, s quarantine.Snapshot) {
+// broadcastContents sends crash reports to all connected agents that support them, except one.
+// Entry.mu must be held.
+func (e *Entry) broadcastContents(except string, s quarantine.Snapshot) {
 	if s.Empty() {
 		return
 	}
-	for _, p := range e.agents {
-		if p.name != but && p.session != nil && p.contents {
-			p.send(message.Contents{Known: s})
+	for _, c := range e.agents {
+		if c.name != except && c.session != nil && c.contents {
+			c.send(message.Contents{Known: s})
 		}
 	}
 }
 
-// knownCrashes returns how many crashes count against the content of a request. Entry.mu is held.
-func (e *Entry) knownCrashes(c *call) int {
+// crashCount returns the number of crashes counted against a request's content. Entry.mu must be
+// held.
+func (e *Entry) crashCount(c *call) int {
 	if e.contents.Empty() {
 		return 0
 	}
 	return e.contents.Verdict(steady.Now(), c.content()).Crashes
 }
 
-// takeCrash takes in a crash that comes with the end of an attempt.
-func (e *Entry) takeCrash(agent string, r quarantine.CrashReport) {
+// applyCrash applies a crash reported with the end of an attempt.
+func (e *Entry) applyCrash(agent string, r quarantine.CrashReport) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.takeContents(steady.Now(), agent, quarantine.Snapshot{Crashes: []quarantine.CrashReport{r}})
+	e.applyContents(steady.Now(), agent, quarantine.Snapshot{Crashes: []quarantine.CrashReport{r}})
 }
 
-// takeContents takes in what an agent tells, and tells the other agents what is news. Entry.mu is
-// held.
-func (e *Entry) takeContents(now time.Time, agent string, s quarantine.Snapshot) {
-	held, news := e.contents.Learn(now, s)
+// applyContents applies the reports of an agent, and forwards those that are new to the other
+// agents. Entry.mu must be held.
+func (e *Entry) applyContents(now time.Time, agent string, s quarantine.Snapshot) {
+	held, updates := e.contents.Learn(now, s)
 	for _, k := range held {
 		state := e.contents.State(now, k)
 		log.With("content", k.String()).With("crashes", state.Crashes).With("endpoints", state.Endpoints).
-			With("held_for_ms", state.ForMS).With("told_by", agent).Warnf("Endpoints have crashed under one content; it is held.")
+			With("held_for_ms", state.ForMS).With("told_by", agent).Warnf("Endpoints have crashed while running one content; requests with it are refused.")
 	}
-	e.tellContents(agent, news)
+	e.broadcastContents(agent, updates)
 }
--- a/internal/relay/entry/dump.go
+++ b/internal/relay/entry/dump.go
@@ -10,10 +10,10 @@
 	"foxcross.dev/foxcross/internal/steady"
 )
 
-// recentSize is how many finished requests are kept for the dump.
+// recentSize is the number of finished requests kept for the state dump.
 const recentSize = 128
 
-// RecentResult is a request that has its answer.
+// RecentResult is a finished request in the state dump.
 type RecentResult struct {
 	At      time.Time         `json:"at"`
 	Request message.RequestID `json:"request"`
@@ -24,7 +24,7 @@
 	Reason  string            `json:"reason,omitempty"`
 }
 
-// recentResult returns what the dump shows of a finished request.
+// recentResult returns a finished request for the state dump.
 func recentResult(c *call, f binding.Finish) RecentResult {
 	return RecentResult{
 		At:      time.Now(),
@@ -37,7 +37,7 @@
 	}
 }
 
-// Dump is the state of an entry at one moment.
+// Dump is a snapshot of an entry's state.
 type Dump struct {
 	Name     string          `json:"name"`
 	State    lifecycle.State `json:"state"`
@@ -46,20 +46,20 @@
 	Open     int             `json:"open_requests"`
 	Binding  binding.Dump    `json:"binding"`
 	Recent   []RecentResult  `json:"recent"`
-	// Contents are those under which endpoints have crashed.
+	// Contents lists the request contents under which endpoints have crashed.
 	Contents []quarantine.State `json:"contents"`
 }
 
-// Dump returns the state.
+// Dump returns a snapshot of the entry's state.
 func (e *Entry) Dump() Dump {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := steady.Now()
 	return Dump{
 		Name:     e.options.Name,
-		State:    e.life.State(),
+		State:    e.lifecycle.State(),
 		Settings: e.options.Settings.Version(),
-		Entries:  e.entries,
+		Entries:  e.liveEntries,
 		Open:     len(e.calls),
 		Binding:  e.core.Dump(now),
 		Recent:   e.recent.Values(),
--- a/internal/relay/entry/entry.go
+++ b/internal/relay/entry/entry.go
@@ -1,5 +1,6 @@
-// Package entry is the process that takes callers' requests. It owns each
-// request it has accepted, lets package binding decide, and talks to agents.
+// Package entry implements the entry process, which accepts requests from callers. It owns
+// each accepted request until the answer is written, leaves decisions to package binding,
+// and exchanges messages with agents.
 //
 // Lock order: Entry.mu, then call.mu. Nothing blocks while Entry.mu is held.
 package entry
@@ -30,17 +31,17 @@
 )
 
 const (
-	// DefaultMaxBody bounds a request's body, in bytes.
+	// DefaultMaxBody is the largest request body, in bytes.
 	DefaultMaxBody = 8 << 20
-	// DefaultListInterval is how often the member list is read.
+	// DefaultListInterval is the default time between reads of the member list.
 	DefaultListInterval = time.Second
-	// outboxSize bounds the control messages that wait for an agent that does not read.
+	// outboxSize bounds the control messages queued for an agent that does not read them.
 	outboxSize = 16384
 )
 
 var log = logs.For("entry")
 
-// Options are what an entry is made of.
+// Options configures an Entry.
 type Options struct {
 	Name       string
 	DataCentre string
@@ -48,44 +49,44 @@
 	Members    kv.Members
 	Settings   *versions.Holder
 	Metrics    tally.Scope
-	Seed       uint64        // of the choice among equals
+	Seed       uint64        // seeds the random choice among equally good agents
 	MaxBody    int           // bytes, 0 for DefaultMaxBody
-	Requests   int           // most requests at once, 0 for the default
-	Agents     int           // most agents connected to, 0 for subset.Default
-	Fanout     int           // agents offered at once, 0 for the default
-	ListEvery  time.Duration // how often the member list is read, 0 for DefaultListInterval
-	Claims     Claims        // nil: idempotency keys are refused
+	Requests   int           // maximum open requests, 0 for binding.DefaultRequests
+	Agents     int           // maximum agents to connect to, 0 for subset.Default
+	Fanout     int           // agents that a request is offered to at once, 0 for the default
+	ListEvery  time.Duration // interval between reads of the member list, 0 for DefaultListInterval
+	Claims     Claims        // if nil, idempotency keys are refused
 }
 
-// Claims takes idempotency keys for requests that may not be repeated.
+// Claims claims idempotency keys for requests that must not be repeated.
 type Claims interface {
-	// Claim returns once the key is this request's alone. The returned function
-	// frees it, for a request that was not run after all.
+	// Claim blocks until the key belongs to this request alone. The returned function
+	// releases the key, for a request that was not run.
 	Claim(ctx context.Context, key string) (release func(), err error)
 }
 
-// Entry is one entry process. Create it with New.
+// Entry is an entry process. Create it with New.
 type Entry struct {
-	options Options
-	life    *lifecycle.Life
-	pool    workers.Pool
-	metrics tally.Scope
+	options   Options
+	lifecycle *lifecycle.Life
+	pool      workers.Pool
+	metrics   tally.Scope
 
-	mu       sync.Mutex
-	core     binding.Core
-	calls    map[message.RequestID]*call
-	attempts map[attemptKey]*attempt
-	agents   map[string]*agent // by name, dialled or connected
-	teams    limit.Teams
-	contents quarantine.Table // under which endpoints have crashed, as agents tell
-	entries  int              // live entries by the member list
-	watches  bool             // among the watchers of its data centre
-	kick     chan struct{}
-	onIdle   chan struct{}
-	recent   recent.Ring[RecentResult]
+	mu          sync.Mutex
+	core        binding.Core // decides; Entry carries out its actions
+	calls       map[message.RequestID]*call
+	attempts    map[attemptKey]*attempt
+	agents      map[string]*agentConn // by name; being dialled or connected
+	teams       limit.Teams
+	contents    quarantine.Table // request contents under which endpoints have crashed, as agents report
+	liveEntries int              // live entries in the member list
+	watcher     bool             // whether this entry is one of its data centre's watchers
+	wakeup      chan struct{}    // signals that the core's next deadline may have changed
+	requestDone chan struct{}    // signalled each time a request ends
+	recent      recent.Ring[RecentResult]
 }
 
-// New returns an entry that does not run yet.
+// New returns an entry that is not yet running.
 func New(o Options) *Entry {
 	if o.MaxBody <= 0 {
 		o.MaxBody = DefaultMaxBody
@@ -100,132 +101,131 @@
 		o.ListEvery = DefaultListInterval
 	}
 	e := &Entry{
-		options:  o,
-		life:     lifecycle.New(),
-		metrics:  o.Metrics,
-		calls:    map[message.RequestID]*call{},
-		attempts: map[attemptKey]*attempt{},
-		agents:   map[string]*agent{},
-		entries:  1,
-		recent:   recent.Of[RecentResult](recentSize),
-		watches:  true,
-		kick:     make(chan struct{}, 1),
-		onIdle:   make(chan struct{}, 1),
+		options:     o,
+		lifecycle:   lifecycle.New(),
+		metrics:     o.Metrics,
+		calls:       map[message.RequestID]*call{},
+		attempts:    map[attemptKey]*attempt{},
+		agents:      map[string]*agentConn{},
+		liveEntries: 1,
+		recent:      recent.Of[RecentResult](recentSize),
+		watcher:     true,
+		wakeup:      make(chan struct{}, 1),
+		requestDone: make(chan struct{}, 1),
 	}
 	e.core = binding.Core{
 		Rand:     rand.New(rand.NewPCG(o.Seed, o.Seed+1)),
 		Fanout:   o.Fanout,
 		Requests: o.Requests,
 	}
-	e.pool.Most = o.Requests // an attempt never waits for a worker
+	e.pool.Most = o.Requests // one worker per request: an attempt never waits for one
 	if e.metrics == nil {
 		e.metrics = tally.NoopScope
 	}
 	return e
 }
 
-// Run keeps connections to the agents and the clock of the core until ctx is
-// done.
+// Run maintains the connections to agents and runs the core's timers until ctx is done.
 func (e *Entry) Run(ctx context.Context) {
 	defer e.pool.Close()
-	e.options.Settings.OnChange(e.announce)
-	go e.tick(ctx)
-	e.follow(ctx)
+	e.options.Settings.OnChange(e.broadcastVersion)
+	go e.runTimers(ctx)
+	e.followMembers(ctx)
 }
 
-// leastTick is the least time until the core is looked at again.
-const leastTick = time.Millisecond
+// minTickInterval is the shortest time between two timer calls to the core.
+const minTickInterval = time.Millisecond
 
-// tick calls the core when it has something to do.
-func (e *Entry) tick(ctx context.Context) {
-	timer := time.NewTimer(leastTick)
+// runTimers calls the core when its next deadline is due or when wake was called.
+func (e *Entry) runTimers(ctx context.Context) {
+	timer := time.NewTimer(minTickInterval)
 	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-timer.C:
-		case <-e.kick:
+		case <-e.wakeup:
 		}
 		e.mu.Lock()
 		e.perform(e.core.Tick(steady.Now()))
 		if at, ok := e.core.Next(); ok {
-			timer.Reset(max(leastTick, steady.Until(at)))
+			timer.Reset(max(minTickInterval, steady.Until(at)))
 		}
 		e.mu.Unlock()
 	}
 }
 
-// wake lets the tick loop look at the core again.
-func (e *Entry) wake() { workers.Signal(e.kick) }
+// wake makes the timer loop call the core.
+func (e *Entry) wake() { workers.Signal(e.wakeup) }
 
-// Ready tells whether the balancer may send requests here.
+// Ready reports whether the load balancer may send requests to this entry.
 func (e *Entry) Ready() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.options.Settings.Version() > 0 && e.core.Targets() > 0 {
-		e.life.Ready()
+		e.lifecycle.Ready()
 	}
-	return e.life.State() == lifecycle.Serving
+	return e.lifecycle.State() == lifecycle.Serving
 }
 
-// Entries returns how many entries the member list names, at least 1.
+// Entries returns the number of live entries in the member list, at least 1.
 func (e *Entry) Entries() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.entries
+	return e.liveEntries
 }
 
-// Watches tells whether this entry is one of the few of its data centre that
-// watch the settings in the platform's service.
+// Watches reports whether this entry is one of the few in its data centre that
+// watch the settings in the platform's key-value service.
 func (e *Entry) Watches() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.watches
+	return e.watcher
 }
 
-// State returns where the entry is in its life.
-func (e *Entry) State() lifecycle.State { return e.life.State() }
+// State returns the entry's lifecycle state.
+func (e *Entry) State() lifecycle.State { return e.lifecycle.State() }
 
-// StopTaking makes the readiness check fail, while requests are still taken:
-// the balancer needs a moment to see it.
-func (e *Entry) StopTaking() { e.life.Stop() }
+// StopTaking makes the readiness check fail. Requests are still accepted, because the
+// balancer needs a moment to notice.
+func (e *Entry) StopTaking() { e.lifecycle.Stop() }
 
-// Drain refuses new requests and waits for the last answer, or until ctx is
+// Drain refuses new requests and waits until all open requests are answered or ctx is
 // done.
 func (e *Entry) Drain(ctx context.Context) error {
-	e.life.Stop()
+	e.lifecycle.Stop()
 	e.mu.Lock()
 	e.core.Drain()
 	e.mu.Unlock()
-	defer e.life.Done()
-	if err := workers.Await(ctx, e.onIdle, func() bool { return e.open() == 0 }); err != nil {
-		return fmt.Errorf("entry: stopped with requests open: %w", err)
+	defer e.lifecycle.Done()
+	if err := workers.Await(ctx, e.requestDone, func() bool { return e.openRequests() == 0 }); err != nil {
+		return fmt.Errorf("entry: requests still open at shutdown: %w", err)
 	}
-	log.Info("All requests are answered.")
+	log.Info("Drained: all requests are answered.")
 	return nil
 }
 
-// open counts the requests whose answer is not written yet.
-func (e *Entry) open() int {
+// openRequests returns the number of requests whose answer is not yet written.
+func (e *Entry) openRequests() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.calls)
 }
 
-// accept gives a request to the core.
+// accept checks quarantine and the team's limit and passes the request to the core.
 func (e *Entry) accept(q binding.Request, s message.Start, a limit.Allowance) (*call, *result.Error) {
 	now := steady.Now()
 	c := newCall(q, s)
-	if e.suspects() {
-		if refusal := e.checkContent(now, c.content()); refusal != nil {
+	if e.hasCrashes() {
+		if refusal := e.checkQuarantine(now, c.content()); refusal != nil {
 			return nil, refusal
 		}
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	team := q.Terms.Team
-	ok, retry := e.teams.Acquire(now, team, a.Share(e.entries))
+	ok, retry := e.teams.Acquire(now, team, a.Share(e.liveEntries))
 	if !ok {
 		return nil, &result.Error{Code: result.TeamLimit, Run: result.NotRun, RetryAfter: retry, Reason: "team " + team}
 	}
@@ -237,23 +237,23 @@
 	return c, nil
 }
 
-// release forgets a call whose answer is written or whose caller is gone.
+// release removes a call after its answer is written or its caller has disconnected.
 func (e *Entry) release(c *call) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.perform(e.core.Hangup(c.id))
 	delete(e.calls, c.id)
 	e.teams.Release(c.request.Terms.Team)
-	workers.Signal(e.onIdle)
+	workers.Signal(e.requestDone)
 }
 
-// perform carries out the core's actions. Entry.mu is held.
+// perform carries out the core's actions. Entry.mu must be held.
 func (e *Entry) perform(actions []binding.Action) {
 	for _, x := range actions {
 		switch x := x.(type) {
 		case binding.Send:
-			if p := e.agents[x.Agent]; p != nil {
-				p.send(x.Message)
+			if c := e.agents[x.Agent]; c != nil {
+				c.send(x.Message)
 			}
 		case binding.Start:
 			e.startAttempt(x)
@@ -265,6 +265,7 @@
 	}
 }
 
+// finish passes the final result to the caller's handler and records it.
 func (e *Entry) finish(x binding.Finish) {
 	c := e.calls[x.Request]
 	if c == nil {
--- a/internal/relay/entry/events.go
+++ b/internal/relay/entry/events.go
@@ -11,19 +11,20 @@
 	"github.com/tmaxmax/go-sse"
 )
 
-// eventStream writes server-sent events. The status is sent with the first.
+// eventStream writes server-sent events. The response status is written with the first
+// event.
 type eventStream struct {
-	writer  http.ResponseWriter
-	control *http.ResponseController
-	begun   bool
-	err     error
+	writer     http.ResponseWriter
+	controller *http.ResponseController
+	started    bool
+	err        error
 }
 
-func (s *eventStream) begin() {
-	if s.begun {
+func (s *eventStream) start() {
+	if s.started {
 		return
 	}
-	s.begun = true
+	s.started = true
 	h := s.writer.Header()
 	h.Set("Content-Type", "text/event-stream")
 	h.Set("Cache-Control", "no-cache")
@@ -42,7 +43,7 @@
 }
 
 func (s *eventStream) send(data string) {
-	s.begin()
+	s.start()
 	var m sse.Message
 	m.AppendData(data)
 	if _, err := m.WriteTo(s.writer); err != nil {
@@ -50,31 +51,31 @@
 	}
 }
 
-// fail ends the answer with a numbered error: as the status if nothing was
-// written, else as the last event, without the mark of a whole answer.
+// fail ends the response with an error. If nothing was written, the error sets the
+// status; otherwise it is the last event, and the [DONE] event is not sent.
 func (s *eventStream) fail(f *result.Error) {
-	if !s.begun {
+	if !s.started {
 		writeFailure(s.writer, f)
 		return
 	}
 	s.event(failure.BodyOf(f))
 	s.writer.Header().Set(failure.CodeField, strconv.Itoa(int(f.Code)))
-	_ = s.flush() // the caller may be gone
+	_ = s.flush() // the caller may have disconnected
 }
 
-// done marks the answer as whole.
+// done ends a complete response with the [DONE] event.
 func (s *eventStream) done(f finished) {
 	s.send("[DONE]")
 	s.writer.Header().Set(failure.CodeField, strconv.Itoa(int(f.Code)))
-	_ = s.flush() // the caller may be gone
+	_ = s.flush() // the caller may have disconnected
 }
 
 func (s *eventStream) flush() error {
 	if s.err != nil {
 		return s.err
 	}
-	if !s.begun {
+	if !s.started {
 		return nil
 	}
-	return s.control.Flush()
+	return s.controller.Flush()
 }
--- a/internal/relay/entry/golden_test.go
+++ b/internal/relay/entry/golden_test.go
@@ -12,7 +12,8 @@
 	"foxcross.dev/foxcross/internal/testing/golden"
 )
 
-// TestGoldenAnswers holds the answer for each code to what callers know.
+// TestGoldenAnswers compares the error response of each code with the recorded one, which
+// callers rely on.
 func TestGoldenAnswers(t *testing.T) {
 	var got strings.Builder
 	for _, e := range result.Table {
--- a/internal/relay/entry/handler.go
+++ b/internal/relay/entry/handler.go
@@ -16,21 +16,21 @@
 	"github.com/alexedwards/flow"
 )
 
-// Header fields that callers may send.
+// Request header fields that callers may set, and their limits.
 const (
-	classField = "X-Foxcross-Class"
-	keyField   = "Idempotency-Key"
-	maxKey     = 256 // bytes of an idempotency key
+	classField          = "X-Foxcross-Class"
+	idempotencyKeyField = "Idempotency-Key"
+	maxKeyBytes         = 256 // of an idempotency key
 )
 
-// MaxHeader is the largest header in bytes that callers may send.
+// MaxHeader is the largest request header accepted from callers, in bytes.
 const MaxHeader = 64 << 10
 
-// Handler returns the routes for callers and the balancer.
+// Handler returns the HTTP routes for callers and the load balancer.
 func (e *Entry) Handler() http.Handler {
 	mux := flow.New()
-	mux.HandleFunc("/v1/chat/completions", orFailure(e.serveChat), http.MethodPost)
-	mux.HandleFunc("/services/:service/...", orFailure(e.serveService))
+	mux.HandleFunc("/v1/chat/completions", withFailure(e.serveChat), http.MethodPost)
+	mux.HandleFunc("/services/:service/...", withFailure(e.serveService))
 	mux.HandleFunc("/health", e.serveHealth, http.MethodGet)
 	mux.HandleFunc("/ready", e.serveReady, http.MethodGet)
 	mux.NotFound = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -39,9 +39,9 @@
 	return mux
 }
 
-// orFailure returns a handler that answers with the failure that serve returns. A
-// serve that has written anything returns nil.
-func orFailure(serve func(w http.ResponseWriter, r *http.Request) *result.Error) http.HandlerFunc {
+// withFailure returns a handler that writes the error returned by serve. If serve has
+// written any of the response, it must return nil.
+func withFailure(serve func(w http.ResponseWriter, r *http.Request) *result.Error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if failure := serve(w, r); failure != nil {
 			writeFailure(w, failure)
@@ -49,14 +49,15 @@
 	}
 }
 
-// caller is who asks, and the settings in force when the request came.
+// caller is the authenticated team of a request, and the settings in force when the
+// request arrived.
 type caller struct {
 	team     settings.TeamInfo
 	snapshot settings.Snapshot
 }
 
-// identify finds the team by its bearer key.
-func (e *Entry) identify(r *http.Request) (caller, *result.Error) {
+// authenticate returns the team whose bearer key the request holds.
+func (e *Entry) authenticate(r *http.Request) (caller, *result.Error) {
 	s := e.options.Settings.State()
 	if s.Root.Version == 0 {
 		return caller{}, result.Errorf(result.NotReady, "no settings yet")
@@ -72,8 +73,8 @@
 	return caller{team: t, snapshot: s.Snapshot}, nil
 }
 
-// named returns the class that the header names.
-func (c caller) named(r *http.Request) (settings.ClassInfo, bool, *result.Error) {
+// headerClass returns the class that the request header names, false if it names none.
+func (c caller) headerClass(r *http.Request) (settings.ClassInfo, bool, *result.Error) {
 	name := r.Header.Get(classField)
 	if name == "" {
 		return settings.ClassInfo{}, false, nil
@@ -85,15 +86,15 @@
 	return k, true, nil
 }
 
-// allow checks that the team may use the class.
-func (c caller) allow(k settings.ClassInfo) *result.Error {
+// checkClass checks that the team may use the class.
+func (c caller) checkClass(k settings.ClassInfo) *result.Error {
 	if c.team.MayUse(k.Name) {
 		return nil
 	}
 	return result.Errorf(result.UnknownClass, "team %s may not use class %q", c.team.Name, k.Name)
 }
 
-// terms returns the class's terms filled in for the team.
+// terms returns the class's terms with the team's name and weight.
 func (c caller) terms(k settings.ClassInfo) message.Terms {
 	t := k.Terms
 	t.Team = c.team.Name
@@ -105,7 +106,7 @@
 	return limit.Allowance{Rate: c.team.Rate, Concurrency: c.team.Concurrency}
 }
 
-// readBody reads a body within the bound.
+// readBody reads a request body of at most MaxBody bytes.
 func (e *Entry) readBody(w http.ResponseWriter, r *http.Request) ([]byte, *result.Error) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, int64(e.options.MaxBody)))
 	var large *http.MaxBytesError
@@ -118,14 +119,14 @@
 	return body, nil
 }
 
-// claim takes the idempotency key of a request that may not be repeated.
-func (e *Entry) claim(r *http.Request, c caller, k settings.ClassInfo) (release func(), failure *result.Error) {
-	key := r.Header.Get(keyField)
+// claimKey claims the idempotency key of a request that must not be repeated.
+func (e *Entry) claimKey(r *http.Request, c caller, k settings.ClassInfo) (release func(), failure *result.Error) {
+	key := r.Header.Get(idempotencyKeyField)
 	if key == "" || k.Terms.Repeatable {
 		return func() {}, nil
 	}
-	if len(key) > maxKey || e.options.Claims == nil {
-		return nil, result.Errorf(result.BadKey, "at most %d bytes", maxKey)
+	if len(key) > maxKeyBytes || e.options.Claims == nil {
+		return nil, result.Errorf(result.BadKey, "at most %d bytes", maxKeyBytes)
 	}
 	ctx, cancel := steady.WithTimeout(r.Context(), k.GiveUp)
 	defer cancel()
@@ -133,17 +134,17 @@
 	if err == nil {
 		return release, nil
 	}
-	var code *result.Error
-	if errors.As(err, &code) {
-		return nil, code
+	var resultErr *result.Error
+	if errors.As(err, &resultErr) {
+		return nil, resultErr
 	}
 	return nil, result.Errorf(result.ClaimUnavailable, "%v", err)
 }
 
-// submit claims the request's key if it has one and gives it to the core. The
-// returned function must be called when the answer is written.
+// submit claims the request's idempotency key, if any, and passes the request to the core.
+// The returned function must be called when the response is written.
 func (e *Entry) submit(r *http.Request, c caller, k settings.ClassInfo, q binding.Request, s message.Start) (*call, func(), *result.Error) {
-	release, failure := e.claim(r, c, k)
+	release, failure := e.claimKey(r, c, k)
 	if failure != nil {
 		return nil, nil, failure
 	}
--- a/internal/relay/entry/health.go
+++ b/internal/relay/entry/health.go
@@ -6,12 +6,12 @@
 	"foxcross.dev/coord/result"
 )
 
-// serveHealth answers whether the process works at all.
+// serveHealth responds to liveness checks.
 func (e *Entry) serveHealth(w http.ResponseWriter, _ *http.Request) {
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// serveReady answers whether the balancer may send requests.
+// serveReady responds to readiness checks of the load balancer.
 func (e *Entry) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if !e.Ready() {
 		writeFailure(w, result.Errorf(result.NotReady, "state %s", e.State()))
--- a/internal/relay/entry/members.go
+++ b/internal/relay/entry/members.go
@@ -12,31 +12,31 @@
 )
 
 const (
-	// listTimeout bounds a read of the member list.
-	listTimeout = 2 * time.Second
+	// membersTimeout bounds one read of the member list.
+	membersTimeout = 2 * time.Second
 )
 
-// follow reads the member list again and again and keeps the connections to
-// match it.
-func (e *Entry) follow(ctx context.Context) {
-	e.readList(ctx)
-	workers.Every(ctx, e.options.ListEvery, func(time.Time) { e.readList(ctx) })
+// followMembers reads the member list at an interval and adjusts the connections to it.
+func (e *Entry) followMembers(ctx context.Context) {
+	e.readMembers(ctx)
+	workers.Every(ctx, e.options.ListEvery, func(time.Time) { e.readMembers(ctx) })
 }
 
-func (e *Entry) readList(ctx context.Context) {
-	wait, cancel := context.WithTimeout(ctx, listTimeout)
+func (e *Entry) readMembers(ctx context.Context) {
+	listCtx, cancel := context.WithTimeout(ctx, membersTimeout)
 	defer cancel()
-	members, err := e.options.Members.Members(wait)
+	members, err := e.options.Members.Members(listCtx)
 	if err != nil {
-		log.Debugf("The member list can't be read, keeping the old one: %v.", err)
+		log.Debugf("Can't read the member list, keeping the previous one: %v.", err)
 		return
 	}
-	e.apply(ctx, steady.Now(), members)
+	e.applyMembers(ctx, steady.Now(), members)
 }
 
-// apply takes a list. It may lag or be empty by mistake: an agent that is not
-// on it is only dropped after a while without a connection.
-func (e *Entry) apply(ctx context.Context, now time.Time, members []kv.Member) {
+// applyMembers applies a member list. The list may lag or be empty by mistake, so an agent
+// that is missing from it is dropped only once it is not connected and has been missing
+// for absentTimeout.
+func (e *Entry) applyMembers(ctx context.Context, now time.Time, members []kv.Member) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	listed := map[string]bool{}
@@ -50,39 +50,39 @@
 			}
 		case kv.Agent:
 			listed[m.Name] = true
-			e.applyAgent(ctx, m, wanted[m.Name])
+			e.applyListed(ctx, m, wanted[m.Name])
 		}
 	}
-	e.entries = max(1, entries)
-	e.watches = e.isWatcher(members)
-	for _, p := range e.agents {
-		e.applyAbsence(now, p, listed[p.name])
+	e.liveEntries = max(1, entries)
+	e.watcher = e.isWatcher(members)
+	for _, c := range e.agents {
+		e.applyUnlisted(now, c, listed[c.name])
 	}
 }
 
-// maxWatchers is how many entries of a data centre watch the settings' root. The service
-// counts each watch.
+// maxWatchers is how many entries of a data centre watch the settings root. The
+// key-value service counts every watch.
 const maxWatchers = 3
 
-// isWatcher tells whether this entry is among the watchers of its data centre.
-// Entries that see different lists may come to different answers; then a few
-// more or fewer watch.
+// isWatcher reports whether this entry is among the watchers of its data centre.
+// Entries that see different lists may disagree; then slightly more or fewer than
+// maxWatchers watch.
 func (e *Entry) isWatcher(members []kv.Member) bool {
 	key := rendezvous.Hash(e.options.DataCentre)
 	own := rendezvous.Rank(key, rendezvous.Hash(e.options.Name))
-	before := 0
+	lowerRanks := 0
 	for _, m := range members {
 		if m.Role != kv.Entry || m.Leaving || m.DataCentre != e.options.DataCentre {
 			continue
 		}
 		if rendezvous.Rank(key, rendezvous.Hash(m.Name)) < own {
-			before++
+			lowerRanks++
 		}
 	}
-	return before < maxWatchers
+	return lowerRanks < maxWatchers
 }
 
-// wanted returns the agents of the entry's subset.
+// wanted returns the agents in this entry's subset, by name.
 func (e *Entry) wanted(members []kv.Member) map[string]bool {
 	var agents []subset.Agent
 	for _, m := range members {
--- a/internal/relay/entry/service.go
+++ b/internal/relay/entry/service.go
@@ -13,9 +13,9 @@
 	"github.com/alexedwards/flow"
 )
 
-// ownFields are header fields that are not passed on: those of one connection
-// (RFC 9110, 7.6.1) and those meant for the entry.
-var ownFields = map[string]bool{
+// unforwardedFields are header fields that are not forwarded: those that apply to one
+// connection (RFC 9110, 7.6.1) and those meant for the entry.
+var unforwardedFields = map[string]bool{
 	"Authorization":       true,
 	"Connection":          true,
 	"Content-Length":      true,
@@ -31,9 +31,9 @@
 	failure.RunField:      true,
 }
 
-// serveService passes a call on to a plain service.
+// serveService serves a request to a plain service.
 func (e *Entry) serveService(w http.ResponseWriter, r *http.Request) *result.Error {
-	c, failure := e.identify(r)
+	c, failure := e.authenticate(r)
 	if failure != nil {
 		return failure
 	}
@@ -48,7 +48,7 @@
 		return failure
 	}
 	q := binding.Request{Target: k.Target(), Terms: c.terms(k), GiveUp: k.GiveUp, RetryPermille: k.RetryPermille}
-	a, done, failure := e.submit(r, c, k, q, serviceStart(r, path, body))
+	a, done, failure := e.submit(r, c, k, q, newServiceStart(r, path, body))
 	if failure != nil {
 		return failure
 	}
@@ -57,16 +57,17 @@
 	return nil
 }
 
-// serviceClass finds the class: named by the header, else by its match.
+// serviceClass returns the class of a request: the one that the header names, else the
+// one whose match covers the method and the path.
 func (c caller) serviceClass(r *http.Request, service, path string) (settings.ClassInfo, *result.Error) {
-	k, named, failure := c.named(r)
+	k, found, failure := c.headerClass(r)
 	if failure != nil {
 		return k, failure
 	}
 	if !c.snapshot.HasService(service) {
 		return k, result.Errorf(result.UnknownService, "%q", service)
 	}
-	if !named {
+	if !found {
 		var ok bool
 		k, ok = c.snapshot.ServiceClass(service, r.Method, path)
 		if !ok {
@@ -76,16 +77,16 @@
 	if k.Service != service {
 		return k, result.Errorf(result.UnknownService, "class %s does not serve %q", k.Name, service)
 	}
-	return k, c.allow(k)
+	return k, c.checkClass(k)
 }
 
-func serviceStart(r *http.Request, path string, body []byte) message.Start {
+func newServiceStart(r *http.Request, path string, body []byte) message.Start {
 	if r.URL.RawQuery != "" {
 		path += "?" + r.URL.RawQuery
 	}
 	m := message.Start{Method: r.Method, Path: path, Body: body}
 	for name, values := range r.Header {
-		if ownFields[name] {
+		if unforwardedFields[name] {
 			continue
 		}
 		for _, v := range values {
@@ -95,36 +96,36 @@
 	return m
 }
 
-// writeService writes the answer as it comes. An answer that breaks off ends
-// with a broken connection, so that the caller can't take it for whole.
+// writeService writes the response while it is received. If the response breaks off, it
+// aborts the connection, so that the caller can't take the response for complete.
 func writeService(w http.ResponseWriter, r *http.Request, c *call) {
-	control := http.NewResponseController(w)
-	begun := false
+	controller := http.NewResponseController(w)
+	started := false
 	for {
-		pieces, err := c.next(r.Context())
+		fragments, err := c.next(r.Context())
 		if err != nil {
-			return // the caller is gone
+			return // the caller has disconnected
 		}
-		for _, p := range pieces {
+		for _, p := range fragments {
 			switch p := p.(type) {
 			case head:
-				begun = true
+				started = true
 				writeHead(w, p)
 			case data:
-				_, _ = w.Write(p) // the caller may be gone
+				_, _ = w.Write(p) // the caller may have disconnected
 			case finished:
 				if p.Code == result.OK {
 					return
 				}
-				if begun {
+				if started {
 					panic(http.ErrAbortHandler)
 				}
 				writeFailure(w, p.failure())
 				return
 			}
 		}
-		if begun {
-			_ = control.Flush() // the caller may be gone
+		if started {
+			_ = controller.Flush() // the caller may have disconnected
 		}
 	}
 }
@@ -132,7 +133,7 @@
 func writeHead(w http.ResponseWriter, m head) {
 	h := w.Header()
 	for _, f := range m.Header {
-		if !ownFields[http.CanonicalHeaderKey(f.Name)] {
+		if !unforwardedFields[http.CanonicalHeaderKey(f.Name)] {
 			h.Add(f.Name, f.Value)
 		}
 	}
