--- a/internal/relay/agent/agent.go
+++ b/internal/relay/agent/agent.go
@@ -1,5 +1,5 @@
-// Package agent is the process beside the endpoints: it takes offers over
-// connections from entries, lets package dispatch decide, and runs the work.
+// Package agent implements the agent process, which runs beside the endpoints. It accepts
+// offers from entries, leaves decisions to package dispatch, and runs the work.
 //
 // Lock order: Agent.mu, then run.mu. Nothing blocks while Agent.mu is held.
 package agent
@@ -26,61 +26,61 @@
 )
 
 const (
-	// DefaultHeartbeat is the time between reports to each entry.
+	// DefaultHeartbeat is the default time between heartbeats to each entry.
 	DefaultHeartbeat = time.Second
 
-	// outboxSize bounds the control messages that wait for an entry that does not read.
+	// outboxSize bounds the control messages queued for an entry that does not read them.
 	outboxSize = 4096
 )
 
-// Local is an endpoint beside the agent and its driver.
+// Local is an endpoint of the agent with its driver.
 type Local struct {
 	Description dispatch.Endpoint
 	Driver      endpoint.Driver
 }
 
-// Options are what an agent is made of.
+// Options configures an Agent.
 type Options struct {
 	Name       string
 	DataCentre string
-	Heartbeat  time.Duration // between reports to each entry, 0 for DefaultHeartbeat
-	Hold       time.Duration // how long a slot waits for its start, 0 for the default
-	QueueBound int           // offers per target, 0 for the default
+	Heartbeat  time.Duration // between heartbeats to each entry, 0 for DefaultHeartbeat
+	Hold       time.Duration // how long a slot is held for its start, 0 for the default
+	QueueBound int           // maximum queued offers per target, 0 for the default
 	Locals     []Local
 	Metrics    tally.Scope
 	Versions   Versions
 }
 
-// Versions is the settings that the agent passes between entries. It never
-// needs them for its own decisions.
+// Versions holds the settings that the agent relays between entries. The agent's own
+// decisions never depend on them.
 type Versions interface {
 	Version() uint64
-	// Announced notes that a peer holds the version; fetch asks it for that.
+	// Announced records that a peer holds the version. fetch requests it from that peer.
 	Announced(version uint64, fetch func(context.Context, message.SettingsRequest) (message.SettingsReply, error))
 	Reply(message.SettingsRequest) message.SettingsReply
 }
 
-// Agent is one agent process. Create it with New.
+// Agent is an agent process. Create it with New.
 type Agent struct {
-	options Options
-	drivers map[string]endpoint.Driver
-	life    *lifecycle.Life
-	pool    workers.Pool
-	metrics tally.Scope
-
-	mu      sync.Mutex
-	base    context.Context // of all runs, ends with Serve
-	core    dispatch.Core
-	owners  map[uint64]*owner
-	runs    map[queue.Key]*run
-	last    uint64
-	kick    chan struct{}
-	recent  recent.Ring[RecentEnd]
-	onIdle  chan struct{}
-	streams int // attempts whose stream is not over
-
-	contents quarantine.Table // under which endpoints have crashed, as far as it was seen or told
-	crashes  map[string]crash // the last one of each endpoint
+	options   Options
+	drivers   map[string]endpoint.Driver
+	lifecycle *lifecycle.Life
+	pool      workers.Pool
+	metrics   tally.Scope
+
+	mu          sync.Mutex
+	runContext  context.Context   // parent context of all runs, cancelled when Serve returns
+	core        dispatch.Core     // decides; Agent carries out its actions
+	owners      map[uint64]*owner // connections from entries, by id
+	runs        map[queue.Key]*run
+	lastOwner   uint64        // id of the newest owner
+	wakeup      chan struct{} // signals that the core's next deadline may have changed
+	recent      recent.Ring[RecentEnd]
+	workDone    chan struct{} // signalled each time a run or a stream ends
+	openStreams int           // attempts whose stream is still open
+
+	contents quarantine.Table // request contents under which endpoints have crashed, as observed or reported
+	crashes  map[string]crash // last crash by endpoint
 }
 
 var log = logs.For("agent")
@@ -88,17 +88,17 @@
 // New returns an agent that is not yet listening.
 func New(o Options) *Agent {
 	a := &Agent{
-		options: o,
-		drivers: map[string]endpoint.Driver{},
-		life:    lifecycle.New(),
-		metrics: o.Metrics,
-		core:    dispatch.Core{Hold: o.Hold, Bound: o.QueueBound},
-		owners:  map[uint64]*owner{},
-		runs:    map[queue.Key]*run{},
-		kick:    make(chan struct{}, 1),
-		onIdle:  make(chan struct{}, 1),
-		crashes: map[string]crash{},
-		recent:  recent.Of[RecentEnd](recentSize),
+		options:   o,
+		drivers:   map[string]endpoint.Driver{},
+		lifecycle: lifecycle.New(),
+		metrics:   o.Metrics,
+		core:      dispatch.Core{Hold: o.Hold, Bound: o.QueueBound},
+		owners:    map[uint64]*owner{},
+		runs:      map[queue.Key]*run{},
+		wakeup:    make(chan struct{}, 1),
+		workDone:  make(chan struct{}, 1),
+		crashes:   map[string]crash{},
+		recent:    recent.Of[RecentEnd](recentSize),
 	}
 	if a.options.Heartbeat <= 0 {
 		a.options.Heartbeat = DefaultHeartbeat
@@ -113,17 +113,17 @@
 	return a
 }
 
-// Serve takes connections until ctx is done or the listener is closed.
+// Serve accepts connections until ctx is done or the listener is closed.
 func (a *Agent) Serve(ctx context.Context, l link.Listener) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer a.pool.Close()
 	a.mu.Lock()
-	a.base = ctx
+	a.runContext = ctx
 	a.mu.Unlock()
-	a.life.Ready()
-	log.Infof("Serving on %s.", l.Address())
-	go a.tick(ctx)
+	a.lifecycle.Ready()
+	log.Infof("Listening for entries on %s.", l.Address())
+	go a.runTimers(ctx)
 	for {
 		s, err := l.Accept(ctx)
 		if ctx.Err() != nil {
@@ -136,39 +136,40 @@
 	}
 }
 
-// leastTick is the least time until the core is looked at again.
-const leastTick = time.Millisecond
+// minTickInterval is the shortest time between two timer calls to the core.
+const minTickInterval = time.Millisecond
 
-// tick calls the core when it has something to do, and sends heartbeats.
-func (a *Agent) tick(ctx context.Context) {
-	beat := time.NewTimer(a.options.Heartbeat)
-	defer beat.Stop()
-	timer := time.NewTimer(leastTick)
+// runTimers calls the core when its next deadline is due or when wake was called, and
+// sends heartbeats.
+func (a *Agent) runTimers(ctx context.Context) {
+	heartbeatTimer := time.NewTimer(a.options.Heartbeat)
+	defer heartbeatTimer.Stop()
+	timer := time.NewTimer(minTickInterval)
 	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-beat.C:
+		case <-heartbeatTimer.C:
 			a.heartbeat()
-			beat.Reset(a.options.Heartbeat)
+			heartbeatTimer.Reset(a.options.Heartbeat)
 		case <-timer.C:
-		case <-a.kick:
+		case <-a.wakeup:
 		}
 		a.mu.Lock()
 		now := steady.Now()
 		a.perform(a.core.Tick(now))
-		timer.Reset(max(leastTick, a.core.Next(now).Sub(now)))
+		timer.Reset(max(minTickInterval, a.core.Next(now).Sub(now)))
 		a.mu.Unlock()
 	}
 }
 
-// heartbeat sends the loads to every owner.
+// heartbeat sends the load of each target to every owner and updates the load metrics.
 func (a *Agent) heartbeat() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.contents.Expire(steady.Now())
-	h := a.report()
+	h := a.loadReport()
 	for _, o := range a.owners {
 		o.send(h)
 	}
@@ -179,46 +180,46 @@
 	}
 }
 
-func (a *Agent) report() message.Heartbeat {
+func (a *Agent) loadReport() message.Heartbeat {
 	return message.Heartbeat{
-		Settings: a.version(),
+		Settings: a.settingsVersion(),
 		Loads:    a.core.Loads(steady.Now()),
 		Leaving:  a.core.Leaving(),
 	}
 }
 
-func (a *Agent) version() uint64 {
+func (a *Agent) settingsVersion() uint64 {
 	return a.options.Versions.Version()
 }
 
-// wake lets the tick loop look at the core again.
-func (a *Agent) wake() { workers.Signal(a.kick) }
+// wake makes the timer loop call the core.
+func (a *Agent) wake() { workers.Signal(a.wakeup) }
 
-// State returns where the agent is in its life.
-func (a *Agent) State() lifecycle.State { return a.life.State() }
+// State returns the agent's lifecycle state.
+func (a *Agent) State() lifecycle.State { return a.lifecycle.State() }
 
-// Stop takes no new work and waits until the running work has ended and the
-// owners have its ends, or ctx is done.
+// Stop refuses new work and waits until all running work has ended and its ends are sent
+// to the owners, or ctx is done.
 func (a *Agent) Stop(ctx context.Context) error {
 	a.mu.Lock()
-	a.life.Stop()
+	a.lifecycle.Stop()
 	actions := a.core.Leave(steady.Now())
 	for _, o := range a.owners {
 		o.send(message.Leaving{})
 	}
 	a.perform(actions)
 	a.mu.Unlock()
-	log.Info("Leaving, taking no new work.")
-	defer a.life.Done()
-	if err := workers.Await(ctx, a.onIdle, a.idle); err != nil {
-		return fmt.Errorf("agent: stopped with work left: %w", err)
+	log.Info("Shutting down; no new work is accepted.")
+	defer a.lifecycle.Done()
+	if err := workers.Await(ctx, a.workDone, a.isIdle); err != nil {
+		return fmt.Errorf("agent: work still running at shutdown: %w", err)
 	}
-	log.Info("All work has ended.")
+	log.Info("Drained: all work has ended.")
 	return nil
 }
 
-func (a *Agent) idle() bool {
+func (a *Agent) isIdle() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.core.Idle() && a.streams == 0
+	return a.core.Idle() && a.openStreams == 0
 }
--- a/internal/relay/agent/contents.go
+++ b/internal/relay/agent/contents.go
@@ -1,11 +1,12 @@
-// Which contents were under way when an endpoint beside the agent crashed.
+// Detection of request contents that crash an endpoint.
 //
-// Rule: a call that the endpoint was given and that broke, without having been stopped, counts if
-// the endpoint turns out to be gone; calls that break within sameCrashFor belong to one crash. The
-// agent tells all its entries, and one that connects later. What an entry tells is told on to the
-// others if it was news, so that entries hear of each other that keep no agent in common.
-// Units: a message to each entry for each call that a crash broke, a trial or a success.
-// Never: the agent refuses a call by what it knows; its entries do (internal/relay/entry).
+// Rule: a call that was sent to the endpoint and failed without having been stopped counts as a crash
+// if the endpoint is no longer running. Calls that fail within sameCrashWindow belong to one crash. The
+// agent reports a crash to all its entries, and to an entry that connects later. It forwards the
+// reports of an entry to the others if they are new, so that entries without a common agent receive
+// each other's reports.
+// Units: one message to each entry for each call that a crash ended, each trial and each success.
+// Never: the agent does not refuse calls on account of crashes; its entries do (internal/relay/entry).
 
 package agent
 
@@ -22,19 +23,19 @@
 	"foxcross.dev/foxcross/internal/steady"
 )
 
-// sameCrashFor is the time within which the calls that a crash breaks have ended. An engine
-// takes seconds to start again.
-const sameCrashFor = time.Second
+// sameCrashWindow is the time within which all calls ended by one crash have failed. An engine
+// takes seconds to restart.
+const sameCrashWindow = time.Second
 
 // crash is one crash of an endpoint.
 type crash struct {
-	name string // of the endpoint and the crash, in all the fleet
+	name string // identifies the endpoint and the crash in the whole deployment
 	at   time.Time
 }
 
-// examine finds out whether an endpoint crashed under a call that has ended, and tells all entries
-// if it did. It returns what it tells, nil for nothing.
-func (a *Agent) examine(ctx context.Context, x dispatch.Run, began time.Time, end message.End) *quarantine.CrashReport {
+// detectCrash checks whether an endpoint crashed while running a call that has ended, and reports a
+// crash to all entries. It returns the report, nil if there was no crash.
+func (a *Agent) detectCrash(ctx context.Context, x dispatch.Run, began time.Time, end message.End) *quarantine.CrashReport {
 	if end.Code != result.EndpointFailed || end.Run == result.NotRun || ctx.Err() != nil {
 		return nil
 	}
@@ -48,37 +49,38 @@
 	now := steady.Now()
 	c, known := a.crashes[x.Endpoint]
 	switch {
-	case !known || now.Sub(c.at) >= sameCrashFor:
+	case !known || now.Sub(c.at) >= sameCrashWindow:
 		c = crash{name: fmt.Sprintf("%s/%s@%d", a.options.Name, x.Endpoint, steady.Wall().UnixMilli()), at: now}
 		a.crashes[x.Endpoint] = c
 	case began.After(c.at):
-		return nil // it was sent to an endpoint that was gone
+		return nil // the call began after the crash
 	}
 	a.contents.Crashed(c.name, c.at, 0, run)
-	log.With("endpoint", x.Endpoint).With("content", run.Content.String()).Info("The endpoint has crashed under a call.")
+	log.With("endpoint", x.Endpoint).With("content", run.Content.String()).Info("The endpoint crashed while running a call.")
 	r := quarantine.CrashReport{
 		Endpoint: c.name, AgeMS: now.Sub(c.at).Milliseconds(), Runs: []quarantine.RunReport{quarantine.ReportOf(run, c.at)},
 	}
-	a.tellContents(0, quarantine.Snapshot{Crashes: []quarantine.CrashReport{r}})
+	a.broadcastContents(0, quarantine.Snapshot{Crashes: []quarantine.CrashReport{r}})
 	return &r
 }
 
-// takeContents takes in what an entry tells, and tells the others what is news. Agent.mu is held.
-func (a *Agent) takeContents(now time.Time, o *owner, m message.Contents) {
-	_, news := a.contents.Learn(now, m.Known)
-	a.tellContents(o.id, news)
+// applyContents applies the reports of an entry, and forwards those that are new to the other
+// entries. Agent.mu must be held.
+func (a *Agent) applyContents(now time.Time, o *owner, m message.Contents) {
+	_, updates := a.contents.Learn(now, m.Known)
+	a.broadcastContents(o.id, updates)
 }
 
-// tellContents tells all entries but one. Agent.mu is held.
-func (a *Agent) tellContents(but uint64, s quarantine.Snapshot) {
+// broadcastContents sends crash reports to all entries except one. Agent.mu must be held.
+func (a *Agent) broadcastContents(except uint64, s quarantine.Snapshot) {
 	for _, o := range a.owners {
-		if o.id != but {
+		if o.id != except {
 			o.sendContents(s)
 		}
 	}
 }
 
-// sendContents tells an entry, if it understands it and there is anything to tell.
+// sendContents sends crash reports to an entry that supports them.
 func (o *owner) sendContents(s quarantine.Snapshot) {
 	if o.contents && !s.Empty() {
 		o.send(message.Contents{Known: s})
--- a/internal/relay/agent/dump.go
+++ b/internal/relay/agent/dump.go
@@ -9,10 +9,10 @@
 	"foxcross.dev/foxcross/internal/steady"
 )
 
-// recentSize is how many ended attempts are kept for the dump.
+// recentSize is the number of ended attempts kept for the state dump.
 const recentSize = 64
 
-// RecentEnd is an attempt that has ended.
+// RecentEnd is an ended attempt in the state dump.
 type RecentEnd struct {
 	At      time.Time         `json:"at"`
 	Owner   uint64            `json:"owner"`
@@ -23,7 +23,7 @@
 	Reason  string            `json:"reason,omitempty"`
 }
 
-// recentEnd returns what the dump shows of an ended attempt.
+// recentEnd returns an ended attempt for the state dump.
 func recentEnd(x dispatch.Finish) RecentEnd {
 	return RecentEnd{
 		At:      time.Now(),
@@ -36,7 +36,7 @@
 	}
 }
 
-// Dump is the state of an agent at one moment.
+// Dump is a snapshot of an agent's state.
 type Dump struct {
 	Name     string            `json:"name"`
 	State    lifecycle.State   `json:"state"`
@@ -46,14 +46,14 @@
 	Recent   []RecentEnd       `json:"recent"`
 }
 
-// Dump returns the state.
+// Dump returns a snapshot of the agent's state.
 func (a *Agent) Dump() Dump {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	d := Dump{
 		Name:     a.options.Name,
-		State:    a.life.State(),
-		Settings: a.version(),
+		State:    a.lifecycle.State(),
+		Settings: a.settingsVersion(),
 		Owners:   map[uint64]string{},
 		Dispatch: a.core.Dump(steady.Now()),
 		Recent:   a.recent.Values(),
--- a/internal/relay/agent/owner.go
+++ b/internal/relay/agent/owner.go
@@ -14,29 +14,29 @@
 	"foxcross.dev/foxcross/internal/workers"
 )
 
-// helloTimeout bounds the time until a connection names its entry.
+// helloTimeout bounds the time until a new connection sends its Hello.
 const helloTimeout = 5 * time.Second
 
-// owner is a connection from an entry.
+// owner is a connection from an entry, which owns the requests it sends.
 type owner struct {
 	id       uint64
 	name     string
 	session  link.Session
 	outbox   chan message.Message
-	contents bool // it understands message.Contents
+	contents bool // whether the entry supports message.Contents
 }
 
-// send queues a control message. An owner that does not read is cut off.
+// send queues a control message. It closes the connection of an owner whose queue is full.
 func (o *owner) send(m message.Message) {
 	select {
 	case o.outbox <- m:
 	default:
-		log.Warnf("Entry %s does not read, connection closed.", o.name)
+		log.Warnf("Entry %s does not read its control messages, connection closed.", o.name)
 		o.session.Close()
 	}
 }
 
-// serveOwner handles one connection until it is gone.
+// serveOwner handles one connection until it is closed.
 func (a *Agent) serveOwner(ctx context.Context, s link.Session) {
 	defer s.Close()
 	stop := context.AfterFunc(ctx, s.Close)
@@ -47,7 +47,7 @@
 	}
 	o := a.addOwner(s, hello)
 	defer a.dropOwner(o)
-	a.announced(o, hello.Settings)
+	a.noteVersion(o, hello.Settings)
 	go a.sendControl(o)
 	go a.acceptStreams(ctx, o)
 	for {
@@ -55,11 +55,11 @@
 		if err != nil {
 			return
 		}
-		a.control(o, m)
+		a.handleControl(o, m)
 	}
 }
 
-// receiveHello waits a bounded time for the first message.
+// receiveHello waits up to helloTimeout for the first message, which must be a Hello.
 func receiveHello(s link.Session) (message.Hello, bool) {
 	timer := steady.AfterFunc(helloTimeout, s.Close)
 	defer timer.Stop()
@@ -74,11 +74,11 @@
 func (a *Agent) addOwner(s link.Session, h message.Hello) *owner {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.last++
-	o := &owner{id: a.last, name: h.Name, session: s, outbox: make(chan message.Message, outboxSize), contents: h.Contents}
+	a.lastOwner++
+	o := &owner{id: a.lastOwner, name: h.Name, session: s, outbox: make(chan message.Message, outboxSize), contents: h.Contents}
 	a.owners[o.id] = o
-	o.send(message.Hello{Name: a.options.Name, DataCentre: a.options.DataCentre, Settings: a.version(), Contents: true})
-	o.send(a.report())
+	o.send(message.Hello{Name: a.options.Name, DataCentre: a.options.DataCentre, Settings: a.settingsVersion(), Contents: true})
+	o.send(a.loadReport())
 	o.sendContents(a.contents.Snapshot(steady.Now(), 0))
 	log.Infof("Entry %s connected.", h.Name)
 	return o
@@ -89,10 +89,10 @@
 	defer a.mu.Unlock()
 	delete(a.owners, o.id)
 	a.perform(a.core.OwnerLost(steady.Now(), o.id))
-	log.Infof("Entry %s is gone.", o.name)
+	log.Infof("Entry %s disconnected.", o.name)
 }
 
-// sendControl writes the outbox until the connection is gone.
+// sendControl sends the queued control messages until the connection is closed.
 func (a *Agent) sendControl(o *owner) {
 	for {
 		select {
@@ -107,8 +107,8 @@
 	}
 }
 
-// control handles one control message.
-func (a *Agent) control(o *owner, m message.Message) {
+// handleControl handles one control message.
+func (a *Agent) handleControl(o *owner, m message.Message) {
 	now := steady.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -119,22 +119,23 @@
 	case message.Withdraw:
 		a.perform(a.core.Withdraw(now, o.id, m))
 	case message.Heartbeat:
-		a.announced(o, m.Settings)
+		a.noteVersion(o, m.Settings)
 	case message.Contents:
-		a.takeContents(now, o, m)
+		a.applyContents(now, o, m)
 	default:
-		log.Warnf("Entry %s sent an unexpected %T.", o.name, m)
+		log.Warnf("Entry %s sent an unexpected message of type %T.", o.name, m)
 	}
 }
 
-// announced tells the settings which version the entry holds.
-func (a *Agent) announced(o *owner, version uint64) {
+// noteVersion passes the settings version that an entry holds to the settings holder,
+// which fetches it from the entry if it is newer.
+func (a *Agent) noteVersion(o *owner, version uint64) {
 	a.options.Versions.Announced(version, func(ctx context.Context, q message.SettingsRequest) (message.SettingsReply, error) {
 		return link.FetchSettings(ctx, o.session, q)
 	})
 }
 
-// acceptStreams takes the streams that the entry opens.
+// acceptStreams accepts the streams that the entry opens.
 func (a *Agent) acceptStreams(ctx context.Context, o *owner) {
 	for {
 		st, err := o.session.Accept(ctx)
@@ -147,7 +148,7 @@
 	}
 }
 
-// serveStream handles the first message of a stream.
+// serveStream dispatches on the first message of a stream.
 func (a *Agent) serveStream(o *owner, st link.Stream) {
 	m, err := st.Receive()
 	if err != nil {
@@ -158,19 +159,19 @@
 	case message.Start:
 		a.serveStart(o, st, m)
 	case message.SettingsRequest:
-		_ = st.Send(a.options.Versions.Reply(m)) // a lost reply is asked for again
-		_ = st.CloseSend()                       // the peer may be gone
+		_ = st.Send(a.options.Versions.Reply(m)) // the peer repeats the request if the reply is lost
+		_ = st.CloseSend()                       // the peer may have disconnected
 	default:
 		st.Reset()
 	}
 }
 
-// serveStart runs an attempt and stays with its stream until the owner has the
-// end. A cancel or a broken stream stops the attempt.
+// serveStart runs an attempt and reads its stream until the owner has received the end. A
+// cancel or a failed stream stops the attempt.
 func (a *Agent) serveStart(o *owner, st link.Stream, m message.Start) {
 	key := queue.Key{Owner: o.id, Request: m.Request}
-	a.start(o, st, key, m)
-	defer a.streamOver()
+	a.acceptStart(o, st, key, m)
+	defer a.streamEnded()
 	for {
 		n, err := st.Receive()
 		if errors.Is(err, io.EOF) {
@@ -188,9 +189,9 @@
 	}
 }
 
-func (a *Agent) streamOver() {
+func (a *Agent) streamEnded() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.streams--
-	workers.Signal(a.onIdle)
+	a.openStreams--
+	workers.Signal(a.workDone)
 }
--- a/internal/relay/agent/run.go
+++ b/internal/relay/agent/run.go
@@ -16,27 +16,27 @@
 	"foxcross.dev/foxcross/internal/workers"
 )
 
-var errOver = errors.New("agent: the attempt is over")
+var errEnded = errors.New("agent: the attempt is over")
 
-// run is an attempt whose start has come, and the stream its answer goes to.
+// run is an attempt whose start was received, with the stream for its answer.
 type run struct {
 	agent   *Agent
 	key     queue.Key
 	attempt message.Attempt
 	cancel  context.CancelFunc
 
-	mu     sync.Mutex // orders what is sent on the stream
+	mu     sync.Mutex // serialises messages on the stream
 	stream link.Stream
-	over   bool // the end was sent
+	ended  bool // the end was sent
 }
 
-// start hands a start to the core.
-func (a *Agent) start(o *owner, st link.Stream, k queue.Key, m message.Start) {
+// acceptStart registers a run and passes its start to the core.
+func (a *Agent) acceptStart(o *owner, st link.Stream, k queue.Key, m message.Start) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.streams++
+	a.openStreams++
 	if old := a.runs[k]; old != nil && old.attempt == m.Attempt {
-		st.Reset() // a copy of a start that was obeyed
+		st.Reset() // duplicate of a start that was already handled
 		return
 	}
 	r := &run{agent: a, key: k, attempt: m.Attempt, stream: st}
@@ -48,7 +48,7 @@
 	}
 }
 
-// perform carries out the core's actions. Agent.mu is held.
+// perform carries out the core's actions. Agent.mu must be held.
 func (a *Agent) perform(actions []dispatch.Action) {
 	for _, x := range actions {
 		switch x := x.(type) {
@@ -57,51 +57,51 @@
 				o.send(x.Message)
 			}
 		case dispatch.Run:
-			a.launch(x)
+			a.startRun(x)
 		case dispatch.Stop:
-			a.halt(x)
+			a.stopRun(x)
 		case dispatch.Finish:
 			a.finish(x)
 		}
 	}
 }
 
-// launch runs the work on a worker.
-func (a *Agent) launch(x dispatch.Run) {
+// startRun runs the call on a worker.
+func (a *Agent) startRun(x dispatch.Run) {
 	r := a.runs[x.Key]
-	ctx, cancel := context.WithCancel(a.base)
+	ctx, cancel := context.WithCancel(a.runContext)
 	r.cancel = cancel
 	a.metrics.Tagged(map[string]string{"class": x.Terms.Class}).Counter("starts").Inc(1)
 	job := func() {
 		began := steady.Now()
 		end := a.drivers[x.Endpoint].Run(ctx, endpoint.Call{Target: x.Target, Terms: x.Terms, Start: x.Start}, r)
-		end.Crash = a.examine(ctx, x, began, end)
+		end.Crash = a.detectCrash(ctx, x, began, end)
 		cancel()
-		a.ended(x.Key, end)
+		a.runEnded(x.Key, end)
 	}
 	if err := a.pool.Do(job); err != nil {
 		end := message.End{Code: result.EndpointFailed, Run: result.NotRun, Reason: err.Error()}
-		go a.ended(x.Key, end)
+		go a.runEnded(x.Key, end)
 	}
 }
 
-func (a *Agent) halt(x dispatch.Stop) {
+func (a *Agent) stopRun(x dispatch.Stop) {
 	if r := a.runs[x.Key]; r != nil && r.cancel != nil {
 		r.cancel()
 	}
 	a.metrics.Tagged(map[string]string{"code": x.Code.Entry().Name}).Counter("stops").Inc(1)
 }
 
-// ended reports to the core that the driver has returned.
-func (a *Agent) ended(k queue.Key, end message.End) {
+// runEnded reports to the core that the driver has returned.
+func (a *Agent) runEnded(k queue.Key, end message.End) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.perform(a.core.Ended(steady.Now(), k, end))
 	a.wake()
-	workers.Signal(a.onIdle)
+	workers.Signal(a.workDone)
 }
 
-// finish sends the end without holding up the caller.
+// finish sends the end from another goroutine, so that the caller does not block on the stream.
 func (a *Agent) finish(x dispatch.Finish) {
 	r := a.runs[x.Key]
 	if r == nil || r.attempt != x.End.Attempt {
@@ -115,28 +115,28 @@
 func (r *run) finish(end message.End) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.over {
+	if r.ended {
 		return
 	}
-	r.over = true
+	r.ended = true
 	if err := r.stream.Send(end); err != nil {
 		r.stream.Reset()
 		return
 	}
-	_ = r.stream.CloseSend() // the peer may be gone
+	_ = r.stream.CloseSend() // the peer may have disconnected
 }
 
-// Head sends the head of a service's answer.
+// Head sends the status and the header of a service's response.
 func (r *run) Head(status int, header []message.Field) error {
 	return r.send(message.Head{Request: r.key.Request, Attempt: r.attempt, Status: status, Header: header}, 0)
 }
 
-// Text sends answer text.
+// Text sends answer text of a model.
 func (r *run) Text(text string, tokens int) error {
 	return r.send(message.Chunk{Request: r.key.Request, Attempt: r.attempt, Text: text, Tokens: tokens}, tokens)
 }
 
-// Data sends bytes.
+// Data sends bytes from a service, or choices of a model that are not plain text.
 func (r *run) Data(data []byte, tokens int) error {
 	return r.send(message.Chunk{Request: r.key.Request, Attempt: r.attempt, Data: data, Tokens: tokens}, tokens)
 }
@@ -148,8 +148,8 @@
 	a.mu.Unlock()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.over {
-		return errOver
+	if r.ended {
+		return errEnded
 	}
 	return r.stream.Send(m)
 }
--- a/internal/relay/agent/suspension_test.go
+++ b/internal/relay/agent/suspension_test.go
@@ -11,10 +11,11 @@
 	"foxcross.dev/foxcross/internal/testing/suspension"
 )
 
-// TestNamelessConnectionEndsWhileSuspended holds that an entry which has not said its name in time
-// is cut off when the agent's machine has woken, and not as much later.
-func TestNamelessConnectionEndsWhileSuspended(t *testing.T) {
-	const soon = helloTimeout / 2
+// TestHelloTimeoutExpiresDuringSuspension checks that a connection without a Hello is closed when
+// the agent's machine resumes, if helloTimeout passed during the suspension. A timer that stops
+// during suspension would keep the connection open for the rest of the timeout.
+func TestHelloTimeoutExpiresDuringSuspension(t *testing.T) {
+	const limit = helloTimeout / 2
 	go steady.Watch(t.Context())
 	var n memlink.Network
 	a := New(Options{Name: "agent-1", Versions: &versions.Holder{}})
@@ -22,14 +23,14 @@
 	var s interface {
 		Done() <-chan struct{}
 	}
-	for s == nil { // until it listens
+	for s == nil { // until the agent listens
 		if dialed, err := n.From("entry-1").Dial(context.Background(), "agent-1"); err == nil {
 			s = dialed
 		}
 	}
-	// The timer starts once the connection is taken, which no one can see: it is suspended again
-	// and again.
-	for end := time.Now().Add(soon); time.Now().Before(end); {
+	// The timer starts when the agent accepts the connection, which the test can't observe. The
+	// suspension is therefore repeated.
+	for end := time.Now().Add(limit); time.Now().Before(end); {
 		t.Cleanup(suspension.Suspend(time.Hour))
 		select {
 		case <-s.Done():
