--- a/internal/relay/claims/claims.go
+++ b/internal/relay/claims/claims.go
@@ -1,5 +1,5 @@
-// Package claims claims idempotency keys in the platform's key-value service,
-// many in one swap.
+// Package claims claims idempotency keys in the platform's key-value service. It batches
+// many claims into one compare-and-swap.
 package claims
 
 import (
@@ -16,45 +16,45 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Defaults of Options. DefaultPartitions, DefaultPeriod and DefaultRetain must be alike
+// Defaults of Options. DefaultPartitions, DefaultPeriod and DefaultRetain must be the same
 // at all entries.
 const (
-	// DefaultPartitions is over how many values keys are spread.
+	// DefaultPartitions is the number of values over which keys are distributed.
 	DefaultPartitions = 4
-	// DefaultPeriod is the time that one segment of claims covers.
+	// DefaultPeriod is the time covered by one segment of claims.
 	DefaultPeriod = time.Minute
-	// DefaultRetain is for how many periods a claim is kept. An hour.
+	// DefaultRetain is the number of periods for which a claim is kept: an hour.
 	DefaultRetain = 60
 	// MinPace is the shortest time between two swaps of a partition by one entry.
 	MinPace = 50 * time.Millisecond
-	// SwapsPerSecond bounds the swaps of all entries together. A part of the
-	// some hundred writes a second that the service takes.
+	// SwapsPerSecond limits the swaps of all entries together to a fraction of the some
+	// hundred writes a second that the key-value service takes.
 	SwapsPerSecond = 80
 )
 
 const (
-	// maxWaiting bounds the requests that wait for a partition.
-	maxWaiting = 4096
-	// maxBatch bounds the claims of one swap.
+	// maxQueued is the maximum number of claims queued for a partition.
+	maxQueued = 4096
+	// maxBatch is the maximum number of claims in one swap.
 	maxBatch = 1024
 )
 
 var log = logs.For("claims")
 
-// Options of a Batcher. All entries must agree on Partitions, Period and Retain.
+// Options configures a Batcher. Partitions and Rules must be the same at all entries.
 type Options struct {
 	KeyValue   kv.KeyValue
 	Owner      string           // name of the process, unique among the live ones
 	Partitions int              // 0 for DefaultPartitions
-	Rules      claim.Rules      // zero for the defaults
+	Rules      claim.Rules      // zero fields for the defaults
 	Entries    func() int       // live entries that share the service, nil for one
-	Pace       time.Duration    // least time between swaps of a partition, 0 for what Entries allow
+	Pace       time.Duration    // least time between swaps of a partition, 0 to derive it from Entries
 	Now        func() time.Time // nil for the wall clock
-	Start      time.Time        // of the process, to tell its nonces from a former one's
+	Start      time.Time        // of the process; distinguishes its nonces from those of an earlier process
 }
 
-// pace is the time between swaps of a partition, so that all entries together
-// stay within what the service takes.
+// pace returns the time between two swaps of a partition that keeps all entries together
+// within SwapsPerSecond.
 func (o *Options) pace() time.Duration {
 	if o.Pace > 0 {
 		return o.Pace
@@ -62,15 +62,15 @@
 	return max(MinPace, time.Duration(o.Entries()*o.Partitions)*time.Second/SwapsPerSecond)
 }
 
-// Batcher collects claims. Create it with New.
+// Batcher collects claims and stores them in batches. Create it with New.
 type Batcher struct {
 	options    Options
 	partitions []*partition
 	mu         sync.Mutex
-	last       uint64
+	lastNonce  uint64
 }
 
-// New returns a batcher that does not run yet.
+// New returns a batcher that is not yet running.
 func New(o Options) *Batcher {
 	if o.Partitions <= 0 {
 		o.Partitions = DefaultPartitions
@@ -95,24 +95,24 @@
 		b.partitions = append(b.partitions, &partition{
 			options:  &b.options,
 			name:     fmt.Sprintf("claims/%d", n),
-			waiting:  make(chan *waiter, maxWaiting),
+			queue:    make(chan *pendingClaim, maxQueued),
 			segments: map[string]map[claim.Key]claim.Nonce{},
 		})
 	}
 	return b
 }
 
-// Run swaps the batches in until ctx is done.
+// Run stores batches until ctx is done.
 func (b *Batcher) Run(ctx context.Context) {
-	var all sync.WaitGroup
+	var running sync.WaitGroup
 	for _, p := range b.partitions {
-		all.Go(func() { p.run(ctx) })
+		running.Go(func() { p.run(ctx) })
 	}
-	all.Wait()
+	running.Wait()
 }
 
-// waiter is a request and the channel that takes its verdict.
-type waiter struct {
+// pendingClaim is a claim that waits for its verdict.
+type pendingClaim struct {
 	claim.Request
 	verdict chan claim.Verdict // buffered
 	ctx     context.Context
@@ -121,23 +121,23 @@
 func (b *Batcher) nonce() claim.Nonce {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.last++
-	return claim.Nonce(fmt.Sprintf("%s.%x.%x", b.options.Owner, b.options.Start.UnixNano(), b.last))
+	b.lastNonce++
+	return claim.Nonce(fmt.Sprintf("%s.%x.%x", b.options.Owner, b.options.Start.UnixNano(), b.lastNonce))
 }
 
 func (b *Batcher) partitionOf(k claim.Key) *partition {
 	return b.partitions[xxhash.Sum64(k[:])%uint64(len(b.partitions))]
 }
 
-// Claim returns nil once the key is the caller's alone, until it is released.
-// An error means that the caller must not go on.
+// Claim returns once the key belongs to the caller alone, until release is called. If it
+// returns an error, the caller must not proceed.
 func (b *Batcher) Claim(ctx context.Context, key string) (release func(), err error) {
 	q := claim.Request{Key: claim.HashKey(key), Nonce: b.nonce()}
 	p := b.partitionOf(q.Key)
-	w := &waiter{Request: q, verdict: make(chan claim.Verdict, 1), ctx: ctx}
-	free := func() { p.release(q) }
+	w := &pendingClaim{Request: q, verdict: make(chan claim.Verdict, 1), ctx: ctx}
+	releaseKey := func() { p.release(q) }
 	select {
-	case p.waiting <- w:
+	case p.queue <- w:
 	default:
 		return nil, result.Errorf(result.ClaimUnavailable, "too many claims are waiting")
 	}
@@ -146,9 +146,9 @@
 		if v == claim.Taken {
 			return nil, &result.Error{Code: result.DuplicateKey, Run: result.Unknown}
 		}
-		return free, nil
+		return releaseKey, nil
 	case <-ctx.Done():
-		free() // the claim may still be stored
+		releaseKey() // the claim may still be stored
 		return nil, result.Errorf(result.ClaimUnavailable, "the key-value service did not answer in time")
 	}
 }
--- a/internal/relay/claims/claims_test.go
+++ b/internal/relay/claims/claims_test.go
@@ -18,28 +18,28 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// Kinds of steps in a history of claims.
+// Kinds of operations in a history of claims.
 const (
 	claimStep   = "claim"
 	releaseStep = "release"
 )
 
-// Verdicts of claim steps.
+// Outputs of claim operations.
 const (
-	mine    = "mine"
+	granted = "granted"
 	taken   = "taken"
 	unknown = "unknown"
 )
 
-// step is the input of one operation on a key.
+// step is the input of an operation on a key.
 type step struct {
 	kind   string
 	key    int
 	client int
 }
 
-// model says which owners a key may have: 0 is free. A claim whose outcome is
-// not known, or a release, may take effect at any later time or never.
+// model gives the owners that a key may have; 0 is none. A claim with an unknown outcome,
+// or a release, may take effect at any later time or never.
 var model = porcupine.NondeterministicModel{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byKey := map[int][]porcupine.Operation{}
@@ -61,7 +61,7 @@
 			return []any{0, owner}
 		case s.kind == releaseStep:
 			return []any{owner}
-		case output == mine && owner == 0:
+		case output == granted && owner == 0:
 			return []any{s.client}
 		case output == taken && owner != 0 && owner != s.client:
 			return []any{owner}
@@ -75,7 +75,7 @@
 	},
 }
 
-// recorder collects operations with virtual times.
+// recorder collects operations with their times in virtual time.
 type recorder struct {
 	mu         sync.Mutex
 	operations []porcupine.Operation
@@ -97,18 +97,18 @@
 	})
 }
 
-// claim claims a key once; a caller that gets it may release it.
+// claim claims a key once and, if release is set, releases it when the claim succeeds.
 func (r *recorder) claim(b *claims.Batcher, key int, wait time.Duration, release bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
 	defer cancel()
 	s := step{kind: claimStep, key: key, client: r.client()}
 	call := time.Now().UnixNano()
-	free, err := b.Claim(ctx, fmt.Sprint(key))
+	releaseKey, err := b.Claim(ctx, fmt.Sprint(key))
 	end := time.Now().UnixNano()
 	var code *result.Error
 	switch {
 	case err == nil:
-		r.add(s, mine, call, end)
+		r.add(s, granted, call, end)
 	case errors.As(err, &code) && code.Code == result.DuplicateKey:
 		r.add(s, taken, call, end)
 	default:
@@ -119,12 +119,12 @@
 	if err == nil && release {
 		s.kind = releaseStep
 		r.add(s, "", time.Now().UnixNano(), math.MaxInt64)
-		free()
+		releaseKey()
 	}
 }
 
-// TestClaimsAreLinearizable races two entries for a few keys while the service
-// loses answers, is slow and is down.
+// TestClaimsAreLinearizable checks the history of two entries that claim a few keys
+// concurrently while the key-value service loses answers, is slow or is unavailable.
 func TestClaimsAreLinearizable(t *testing.T) {
 	for seed := range uint64(10) {
 		synctest.Test(t, func(t *testing.T) { raceClaims(t, seed) })
@@ -136,7 +136,7 @@
 	var r recorder
 	ctx, cancel := context.WithCancel(context.Background())
 	var all []*claims.Batcher
-	var running, asking sync.WaitGroup
+	var running, claiming sync.WaitGroup
 	for n := range 2 {
 		b := claims.New(claims.Options{KeyValue: &store, Owner: fmt.Sprint("entry-", n), Partitions: 2})
 		all = append(all, b)
@@ -150,9 +150,9 @@
 		key := n / 6
 		wait := time.Duration(1+random.IntN(3)) * time.Second
 		release := random.IntN(3) == 0
-		asking.Go(func() { r.claim(all[n%2], key, wait, release) })
+		claiming.Go(func() { r.claim(all[n%2], key, wait, release) })
 	}
-	asking.Wait()
+	claiming.Wait()
 	store.SetFaults(standin.Faults{})
 	time.Sleep(time.Minute)
 	cancel()
@@ -162,42 +162,42 @@
 	}
 }
 
-// TestCheckerFindsTwoOwners makes sure that the check above can fail.
+// TestCheckerFindsTwoOwners checks that the linearizability check can fail.
 func TestCheckerFindsTwoOwners(t *testing.T) {
-	planted := []porcupine.Operation{
-		{ClientId: 1, Input: step{claimStep, 1, 1}, Output: mine, Call: 0, Return: 10},
-		{ClientId: 2, Input: step{claimStep, 1, 2}, Output: mine, Call: 20, Return: 30},
+	history := []porcupine.Operation{
+		{ClientId: 1, Input: step{claimStep, 1, 1}, Output: granted, Call: 0, Return: 10},
+		{ClientId: 2, Input: step{claimStep, 1, 2}, Output: granted, Call: 20, Return: 30},
 	}
-	if porcupine.CheckOperations(model.ToModel(), planted) {
+	if porcupine.CheckOperations(model.ToModel(), history) {
 		t.Error("two owners of a key were not found")
 	}
 }
 
-// TestSwapsAreBounded counts swaps against claims: many claims share one.
+// TestSwapsAreBounded checks that many claims share one swap.
 func TestSwapsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var store standin.Store
 		ctx, cancel := context.WithCancel(context.Background())
 		b := claims.New(claims.Options{KeyValue: &store, Owner: "entry"})
-		var running, asking sync.WaitGroup
+		var running, claiming sync.WaitGroup
 		running.Go(func() { b.Run(ctx) })
 		const claimed = 5000
 		for n := range claimed {
 			time.Sleep(time.Millisecond)
-			asking.Go(func() {
+			claiming.Go(func() {
 				if _, err := b.Claim(context.Background(), fmt.Sprint(n)); err != nil {
 					t.Error(err)
 				}
 			})
 		}
-		asking.Wait()
+		claiming.Wait()
 		cancel()
 		running.Wait()
 		swaps := store.Calls().Swaps
 		t.Logf("%d claims in 5 s took %d swaps", claimed, swaps)
-		const most = 5*claims.SwapsPerSecond + 50
-		if swaps > most {
-			t.Errorf("%d swaps, at most %d expected", swaps, most)
+		const maxSwaps = 5*claims.SwapsPerSecond + 50
+		if swaps > maxSwaps {
+			t.Errorf("%d swaps, at most %d expected", swaps, maxSwaps)
 		}
 	})
 }
--- a/internal/relay/claims/partition.go
+++ b/internal/relay/claims/partition.go
@@ -15,54 +15,54 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// partition is the claims whose keys hash to it.
+// partition holds the claims whose keys hash to it.
 type partition struct {
 	options *Options
 	name    string
-	waiting chan *waiter
+	queue   chan *pendingClaim
 
 	mu       sync.Mutex
 	releases []claim.Request
 
-	// Only run uses what follows.
+	// Only the goroutine of run uses the following fields.
 	revision uint64
 	head     claim.Head
-	known    bool // head and revision are what was last read or stored
+	current  bool // whether head and revision match what was last read or stored
 	segments map[string]map[claim.Key]claim.Nonce
 }
 
-// release frees a key with one of the next swaps.
+// release queues a key to be released with one of the next swaps.
 func (p *partition) release(q claim.Request) {
 	q.Release = true
 	p.mu.Lock()
-	if len(p.releases) < maxWaiting {
+	if len(p.releases) < maxQueued {
 		p.releases = append(p.releases, q)
 	} else {
-		log.Limited("release", "Too many keys wait to be released; one stays claimed until it is forgotten.")
+		log.Limited("release", "Too many keys are queued for release; one stays claimed until its claim expires.")
 	}
 	p.mu.Unlock()
 	select {
-	case p.waiting <- nil: // lets run look at the releases
+	case p.queue <- nil: // wakes run to store the release
 	default:
 	}
 }
 
 func (p *partition) run(ctx context.Context) {
-	var batch []*waiter
+	var batch []*pendingClaim
 	for {
 		if len(batch) == 0 {
 			select {
-			case w := <-p.waiting:
-				batch = addWaiter(batch, w)
+			case w := <-p.queue:
+				batch = appendPending(batch, w)
 			case <-ctx.Done():
 				return
 			}
 		}
-		batch = p.gather(batch)
+		batch = p.fill(batch)
 		if err := p.step(ctx, batch); err != nil {
-			p.known = false
+			p.current = false
 			log.Debugf("A swap of %s failed: %v.", p.name, err)
-			batch = live(batch)
+			batch = withoutCancelled(batch)
 		} else {
 			batch = nil
 		}
@@ -72,21 +72,21 @@
 	}
 }
 
-// addWaiter leaves out a waiter whose caller has gone: its release may have been
-// stored already.
-func addWaiter(batch []*waiter, w *waiter) []*waiter {
+// appendPending appends a claim unless its caller has given up: the release of such a
+// claim may already be stored.
+func appendPending(batch []*pendingClaim, w *pendingClaim) []*pendingClaim {
 	if w == nil || w.ctx.Err() != nil {
 		return batch
 	}
 	return append(batch, w)
 }
 
-// gather adds what waits, up to a bound.
-func (p *partition) gather(batch []*waiter) []*waiter {
+// fill appends queued claims to the batch, up to maxBatch.
+func (p *partition) fill(batch []*pendingClaim) []*pendingClaim {
 	for len(batch) < maxBatch {
 		select {
-		case w := <-p.waiting:
-			batch = addWaiter(batch, w)
+		case w := <-p.queue:
+			batch = appendPending(batch, w)
 		default:
 			return batch
 		}
@@ -94,9 +94,9 @@
 	return batch
 }
 
-// live drops waiters whose callers have gone.
-func live(batch []*waiter) []*waiter {
-	var kept []*waiter
+// withoutCancelled returns the claims whose callers still wait.
+func withoutCancelled(batch []*pendingClaim) []*pendingClaim {
+	var kept []*pendingClaim
 	for _, w := range batch {
 		if w.ctx.Err() == nil {
 			kept = append(kept, w)
@@ -105,10 +105,10 @@
 	return kept
 }
 
-// step reads the head if needed, moves it on if due, and swaps the batch in.
-// After an error nothing is known; the same batch may be tried again, since a
-// claim that is stored already is found by its nonce.
-func (p *partition) step(ctx context.Context, batch []*waiter) error {
+// step reads the head if needed, rolls it over if due, and stores the batch. After an
+// error the stored state is unknown. The same batch may be retried, since a claim that is
+// already stored is recognised by its nonce.
+func (p *partition) step(ctx context.Context, batch []*pendingClaim) error {
 	if err := p.read(ctx); err != nil {
 		return err
 	}
@@ -124,9 +124,9 @@
 		requests = append(requests, w.Request)
 	}
 	requests = append(requests, releases...)
-	next, verdicts := p.head.With(now, p.options.Rules, requests, p.older)
+	next, verdicts := p.head.With(now, p.options.Rules, requests, p.claimInSegments)
 	if err := p.swap(ctx, next); err != nil {
-		p.putBack(releases)
+		p.requeueReleases(releases)
 		return err
 	}
 	for n, w := range batch {
@@ -143,13 +143,13 @@
 	return taken
 }
 
-func (p *partition) putBack(releases []claim.Request) {
+func (p *partition) requeueReleases(releases []claim.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.releases = append(releases, p.releases...)
 }
 
-func (p *partition) older(k claim.Key) (claim.Nonce, bool) {
+func (p *partition) claimInSegments(k claim.Key) (claim.Nonce, bool) {
 	for _, claims := range p.segments {
 		if n, ok := claims[k]; ok {
 			return n, true
@@ -160,9 +160,9 @@
 
 func (p *partition) headKey() string { return p.name + "/head" }
 
-// read gets the head and the segments that are not held yet.
+// read reads the head and the segments that are not cached.
 func (p *partition) read(ctx context.Context) error {
-	if p.known {
+	if p.current {
 		return nil
 	}
 	v, err := p.options.KeyValue.Get(ctx, p.headKey())
@@ -183,15 +183,15 @@
 	}
 	p.head = h
 	p.revision = v.Revision
-	p.known = true
+	p.current = true
 	return nil
 }
 
 func (p *partition) readSegments(ctx context.Context, h claim.Head) error {
-	held := make(map[string]map[claim.Key]claim.Nonce, len(h.Segments))
+	segments := make(map[string]map[claim.Key]claim.Nonce, len(h.Segments))
 	for _, s := range h.Segments {
 		if claims, ok := p.segments[s.Name]; ok {
-			held[s.Name] = claims
+			segments[s.Name] = claims
 			continue
 		}
 		v, err := p.options.KeyValue.Get(ctx, p.name+"/"+s.Name)
@@ -202,9 +202,9 @@
 		if err := cbor.Unmarshal(v.Data, &claims); err != nil {
 			return fmt.Errorf("claims: segment %s of %s: %w", s.Name, p.name, err)
 		}
-		held[s.Name] = claims
+		segments[s.Name] = claims
 	}
-	p.segments = held
+	p.segments = segments
 	return nil
 }
 
@@ -228,8 +228,8 @@
 	return nil
 }
 
-// swap stores a head on the revision that was read. Any error means that the
-// head has to be read again.
+// swap stores a head if the stored one still has the revision that was read. After any
+// error the head must be read again.
 func (p *partition) swap(ctx context.Context, next claim.Head) error {
 	data, err := cbor.Marshal(next)
 	if err != nil {
