--- a/internal/relay/versions/holder.go
+++ b/internal/relay/versions/holder.go
@@ -1,7 +1,7 @@
-// Package versions keeps the settings tree that is in force in a process, fetches newer
-// versions from the platform's key-value service or from the process at the other end of
-// a connection (the peer), and commits operators' changes. A process never goes back to
-// a lower version.
+// Package versions holds the settings tree that is in force in a process. It fetches newer
+// versions from the platform's key-value service or from a peer (the process at the other
+// end of a connection), and commits operators' changes. A process never returns to a lower
+// version.
 package versions
 
 import (
@@ -15,13 +15,13 @@
 	"foxcross.dev/foxcross/internal/logs"
 )
 
-// fetchTimeout bounds one fetch of a version from another process. It holds up to 6 MB over 10
-// Mbit/s; 40,000 teams are 5.3 MB (docs/CAPACITY.md).
+// fetchTimeout bounds one fetch of a version from another process. It allows up to 6 MB at 10
+// Mbit/s; 40,000 teams take 5.3 MB (docs/CAPACITY.md).
 const fetchTimeout = 5 * time.Second
 
 var log = logs.For("settings")
 
-// State is one version of the settings, complete and checked.
+// State is a complete and validated version of the settings.
 type State struct {
 	Root     settings.Root
 	Tree     settings.Tree
@@ -29,19 +29,19 @@
 	parts    settings.Parts
 }
 
-// Holder holds the version in force. The zero value holds version 0, no tree.
+// Holder holds the version in force. The zero value holds version 0 without a tree.
 //
 // Lock order: Holder.order, then Holder.mu.
 type Holder struct {
-	// Carry makes the process keep versions only to hand them on: parts are checked by
-	// their hashes and never made into a tree.
+	// Carry makes the process hold versions only to forward them: parts are checked by
+	// their hashes and not compiled to a tree.
 	Carry bool
 
-	order    sync.Mutex // held while changed is called, so that versions come in order
-	mu       sync.Mutex
-	state    State
-	fetching uint64 // version that is being fetched from a peer, 0 for none
-	changed  []func(State)
+	order     sync.Mutex // held while listeners are called, so that versions are delivered in order
+	mu        sync.Mutex
+	state     State
+	fetching  uint64 // version being fetched from a peer, 0 for none
+	listeners []func(State)
 }
 
 // State returns the version in force.
@@ -54,22 +54,22 @@
 // Version returns the number of the version in force, 0 for none.
 func (h *Holder) Version() uint64 { return h.State().Root.Version }
 
-// OnChange adds a function that is called with each new version.
+// OnChange registers a function that is called with each new version.
 func (h *Holder) OnChange(f func(State)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.changed = append(h.changed, f)
+	h.listeners = append(h.listeners, f)
 }
 
 // Adopt puts a version in force if it is newer than the one in force, complete and
-// valid. It returns whether it did.
+// valid. It reports whether it did.
 func (h *Holder) Adopt(r settings.Root, parts settings.Parts) (bool, error) {
 	held := h.merge(r, parts)
 	if h.Carry {
 		if err := settings.Complete(r, held); err != nil {
 			return false, err
 		}
-		return h.put(State{Root: r, parts: held}), nil
+		return h.setIfNewer(State{Root: r, parts: held}), nil
 	}
 	tree, err := settings.Join(r, held)
 	if err != nil {
@@ -79,10 +79,10 @@
 	if err != nil {
 		return false, err
 	}
-	return h.put(State{Root: r, Tree: tree, Snapshot: snapshot, parts: held}), nil
+	return h.setIfNewer(State{Root: r, Tree: tree, Snapshot: snapshot, parts: held}), nil
 }
 
-// merge returns the root's parts out of the new ones and those held.
+// merge returns the parts that the root names, from the new parts and those held.
 func (h *Holder) merge(r settings.Root, parts settings.Parts) settings.Parts {
 	old := h.State().parts
 	held := make(settings.Parts, len(r.Parts))
@@ -96,8 +96,8 @@
 	return held
 }
 
-// put sets the state unless a newer one is in force.
-func (h *Holder) put(s State) bool {
+// setIfNewer sets the state unless a newer version is in force.
+func (h *Holder) setIfNewer(s State) bool {
 	h.order.Lock()
 	defer h.order.Unlock()
 	h.mu.Lock()
@@ -106,10 +106,10 @@
 		return false
 	}
 	h.state = s
-	changed := h.changed
+	listeners := h.listeners
 	h.mu.Unlock()
-	log.Infof("Version %d is in force.", s.Root.Version)
-	for _, f := range changed {
+	log.Infof("Settings version %d is in force.", s.Root.Version)
+	for _, f := range listeners {
 		f(s)
 	}
 	return true
@@ -118,11 +118,11 @@
 // Missing returns the hashes of the root's parts that are not held.
 func (h *Holder) Missing(r settings.Root) []string { return r.Missing(h.State().parts) }
 
-// Fetch asks a peer for a version.
+// Fetch requests a version from a peer.
 type Fetch = func(context.Context, message.SettingsRequest) (message.SettingsReply, error)
 
-// Announced fetches a version that a peer holds, if it is newer than the one in
-// force and none as new is on its way.
+// Announced starts fetching a version that a peer holds, if it is newer than the one in
+// force and than any that is being fetched.
 func (h *Holder) Announced(version uint64, fetch Fetch) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -136,23 +136,23 @@
 func (h *Holder) fetch(version uint64, fetch Fetch) {
 	ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
 	defer cancel()
-	defer h.fetched(version)
-	reply, err := fetch(ctx, message.SettingsRequest{Version: version, Have: h.hashes()})
+	defer h.fetchDone(version)
+	reply, err := fetch(ctx, message.SettingsRequest{Version: version, Have: h.heldHashes()})
 	if err != nil {
-		log.Warnf("Version %d could not be fetched from a peer: %v.", version, err)
+		log.Warnf("Can't fetch settings version %d from a peer: %v.", version, err)
 		return
 	}
 	var r settings.Root
 	if err := json.Unmarshal(reply.Root, &r); err != nil {
-		log.Warnf("A peer's root of version %d can't be read: %v.", version, err)
+		log.Warnf("Can't parse a peer's root of settings version %d: %v.", version, err)
 		return
 	}
 	if _, err := h.Adopt(r, reply.Parts); err != nil {
-		log.Warnf("Version %d of a peer can't be put in force: %v.", r.Version, err)
+		log.Warnf("Can't apply settings version %d from a peer: %v.", r.Version, err)
 	}
 }
 
-func (h *Holder) fetched(version uint64) {
+func (h *Holder) fetchDone(version uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.fetching == version {
@@ -160,20 +160,20 @@
 	}
 }
 
-func (h *Holder) hashes() []string {
-	var all []string
+func (h *Holder) heldHashes() []string {
+	var hashes []string
 	for hash := range h.State().parts {
-		all = append(all, hash)
+		hashes = append(hashes, hash)
 	}
-	return all
+	return hashes
 }
 
-// Reply answers a peer that asks for the version in force.
+// Reply returns the version in force, without the parts that the requesting peer holds.
 func (h *Holder) Reply(q message.SettingsRequest) message.SettingsReply {
 	s := h.State()
 	root, err := json.Marshal(s.Root)
 	if err != nil {
-		return message.SettingsReply{} // a root always has a JSON form
+		return message.SettingsReply{} // a root can always be marshalled
 	}
 	have := make(map[string]bool, len(q.Have))
 	for _, hash := range q.Have {
--- a/internal/relay/versions/store.go
+++ b/internal/relay/versions/store.go
@@ -20,37 +20,37 @@
 // Keys in the platform's key-value service.
 const (
 	rootKey    = "settings/root"
-	partKey    = "settings/part/"    // + content hash; never changed
-	versionKey = "settings/version/" // + number; roots that are no longer in force
+	partKey    = "settings/part/"    // + content hash; immutable
+	versionKey = "settings/version/" // + number; roots of earlier versions
 )
 
 const (
-	// maxRebases bounds how often a change is made anew after another operator's.
+	// maxRebases is how often a change is rebased after other operators' changes.
 	maxRebases = 8
-	// maxRetryDelay is the longest time between two tries to follow the root.
+	// maxRetryDelay is the longest delay between two attempts to follow the root.
 	maxRetryDelay = 5 * time.Second
-	// maxReads bounds the reads of a root to learn the outcome of a swap whose answer was
+	// maxOutcomeReads is how often the root is read to determine the outcome of a swap whose answer was
 	// lost.
-	maxReads = 6
+	maxOutcomeReads = 6
 )
 
-// Store is the settings in the platform's key-value service: a root that names the
-// parts of the version in force, and the parts by their content hash.
+// Store accesses the settings in the platform's key-value service: a root that names the
+// parts of the version in force, and the parts by content hash.
 type Store struct {
 	KeyValue kv.KeyValue
 	Holder   *Holder
 	Now      func() time.Time
-	NewID    func() string // ids of changes; must never repeat
-	Watches  func() bool   // whether this process watches the root, nil for yes
+	NewID    func() string // returns change ids, which must never repeat
+	Watches  func() bool   // reports whether this process watches the root, nil for always
 }
 
-// readInterval is how often a process that does not watch reads the root. Versions
-// reach it sooner through other processes; this covers the case that none has them.
-// Below the 11 s in which a change has to be in force.
+// readInterval is how often a process that does not watch reads the root. New versions
+// normally arrive sooner through other processes; the read covers the case that none of
+// them has the version. It is below the 11 s within which a change must be in force.
 const readInterval = 9 * time.Second
 
 // Load reads the newest version and puts it in force. It returns the revision of the
-// root for a watch.
+// root, from which a watch can continue.
 func (s *Store) Load(ctx context.Context) (uint64, error) {
 	v, err := s.KeyValue.Get(ctx, rootKey)
 	if errors.Is(err, storeerr.ErrNotFound) {
@@ -59,12 +59,12 @@
 	if err != nil {
 		return 0, fmt.Errorf("settings: read root: %w", err)
 	}
-	return v.Revision, s.take(ctx, v)
+	return v.Revision, s.apply(ctx, v)
 }
 
-// take puts the version of a root in force, if it is newer, after reading the parts
+// apply puts the version of a root in force if it is newer, after reading the parts
 // that are not held.
-func (s *Store) take(ctx context.Context, v kv.Value) error {
+func (s *Store) apply(ctx context.Context, v kv.Value) error {
 	r, err := parseRoot(v)
 	if err != nil {
 		return err
@@ -100,25 +100,25 @@
 	return parts, nil
 }
 
-// Watch puts each new version in force until ctx is done, through outages.
+// Watch puts each new version in force until ctx is done. It retries after errors.
 func (s *Store) Watch(ctx context.Context) {
-	wait := backoff.NewExponentialBackOff()
-	wait.MaxInterval = maxRetryDelay
+	delay := backoff.NewExponentialBackOff()
+	delay.MaxInterval = maxRetryDelay
 	var revision uint64
 	for ctx.Err() == nil {
 		next, err := s.follow(ctx, revision)
 		if err != nil {
-			log.Debugf("The root can't be followed: %v.", err)
-			workers.Sleep(ctx, wait.NextBackOff())
+			log.Debugf("Can't follow the settings root: %v.", err)
+			workers.Sleep(ctx, delay.NextBackOff())
 			continue
 		}
-		wait.Reset()
+		delay.Reset()
 		revision = next
 	}
 }
 
-// follow puts the next version in force: from a watch or, if this process does not
-// watch, from a read each readInterval.
+// follow puts the next version in force. It waits for it with a watch or, if this process
+// does not watch, with a read every readInterval.
 func (s *Store) follow(ctx context.Context, revision uint64) (uint64, error) {
 	if s.Watches != nil && !s.Watches() {
 		next, err := s.Load(ctx)
@@ -129,19 +129,19 @@
 	if err != nil {
 		return revision, err
 	}
-	return v.Revision, s.take(ctx, v)
+	return v.Revision, s.apply(ctx, v)
 }
 
-// Change is what an operator wants.
+// Change is a change requested by an operator.
 type Change struct {
-	Base   uint64 // version the change was made on
+	Base   uint64 // version that the change was made on
 	Tree   settings.Tree
 	Author string
 	Note   string
 }
 
-// Commit puts a change in force. A change on an older version is laid over the
-// newest one if they touch different nodes; else it is a conflict.
+// Commit puts a change in force. A change based on an older version is rebased onto the
+// newest one if they change different nodes; otherwise it is a conflict.
 func (s *Store) Commit(ctx context.Context, c Change) (settings.Root, error) {
 	base, err := s.At(ctx, c.Base)
 	if err != nil {
@@ -154,7 +154,7 @@
 			return settings.Root{}, err
 		}
 		if newest.Root.Change == id {
-			return newest.Root, nil // an earlier try took effect late
+			return newest.Root, nil // the swap of an earlier attempt took effect late
 		}
 		tree, err := settings.Rebase(base, c.Tree, newest.Tree)
 		if err != nil {
@@ -170,14 +170,14 @@
 	return settings.Root{}, result.Errorf(result.SettingsConflict, "other changes kept coming first; try again")
 }
 
-// stored is a version as the key-value service holds it.
+// stored is a version read from the key-value service.
 type stored struct {
 	Root     settings.Root
 	Tree     settings.Tree
 	revision uint64 // of the root's value, 0 for none
 }
 
-// newest returns the stored version that is in force.
+// newest reads the version in force from the key-value service.
 func (s *Store) newest(ctx context.Context) (stored, error) {
 	v, err := s.KeyValue.Get(ctx, rootKey)
 	if errors.Is(err, storeerr.ErrNotFound) {
@@ -194,7 +194,7 @@
 	return stored{Root: r, Tree: tree, revision: v.Revision}, err
 }
 
-// unavailable returns an error of the key-value service with its code.
+// unavailable wraps an error of the key-value service in its result code.
 func unavailable(err error) error {
 	return result.Errorf(result.StoreUnavailable, "%v", err)
 }
@@ -207,7 +207,7 @@
 	return settings.Join(r, s.Holder.merge(r, parts))
 }
 
-// At returns the tree of a version, which may be the newest or an older one.
+// At returns the tree of a version, the newest or an older one.
 func (s *Store) At(ctx context.Context, version uint64) (settings.Tree, error) {
 	if held := s.Holder.State(); held.Root.Version == version {
 		return held.Tree, nil
@@ -244,9 +244,9 @@
 	return parseRoot(v)
 }
 
-// replace puts a tree in force in place of the old version: it writes the parts, keeps
-// the old root under its number, and swaps the root. It returns kv.ErrConflict if
-// another change came first.
+// replace puts a tree in force in place of the old version. It writes the parts, stores
+// the old root under its version number, and swaps the root. It returns kv.ErrConflict if
+// another change was stored first.
 func (s *Store) replace(ctx context.Context, old stored, t settings.Tree, r settings.Root) (settings.Root, error) {
 	if _, err := settings.Compile(t); err != nil {
 		return settings.Root{}, err
@@ -260,7 +260,7 @@
 	if err := s.writeParts(ctx, parts, old.Root); err != nil {
 		return settings.Root{}, unavailable(err)
 	}
-	if err := s.keepRoot(ctx, old.Root); err != nil {
+	if err := s.archiveRoot(ctx, old.Root); err != nil {
 		return settings.Root{}, unavailable(err)
 	}
 	data, err := json.Marshal(r)
@@ -268,7 +268,7 @@
 		return settings.Root{}, err
 	}
 	if _, err = s.KeyValue.Swap(ctx, rootKey, data, old.revision); err != nil {
-		err = s.outcomeOf(ctx, r, err)
+		err = s.swapOutcome(ctx, r, err)
 	}
 	if err != nil {
 		return settings.Root{}, err
@@ -294,8 +294,8 @@
 	return nil
 }
 
-// keepRoot keeps a root under its number before another replaces it.
-func (s *Store) keepRoot(ctx context.Context, r settings.Root) error {
+// archiveRoot stores a root under its version number before another one replaces it.
+func (s *Store) archiveRoot(ctx context.Context, r settings.Root) error {
 	if r.Version == 0 {
 		return nil
 	}
@@ -306,8 +306,8 @@
 	return s.create(ctx, versionKey+strconv.FormatUint(r.Version, 10), data)
 }
 
-// create stores a value that never changes. That it is there already is as
-// good, and so is a lost answer once a read shows it.
+// create stores an immutable value. It succeeds if the value already exists, or if a read
+// finds it after the answer to the swap was lost.
 func (s *Store) create(ctx context.Context, key string, data []byte) error {
 	_, err := s.KeyValue.Swap(ctx, key, data, 0)
 	if err == nil || errors.Is(err, kv.ErrConflict) {
@@ -319,33 +319,33 @@
 	return err
 }
 
-// outcomeOf finds out whether a swap that returned an error took effect, by the
-// change's id in the root of its version: nil if it did, kv.ErrConflict if not, and
-// SettingsUnknown if that can't be learned.
-func (s *Store) outcomeOf(ctx context.Context, r settings.Root, cause error) error {
+// swapOutcome determines whether a swap that returned an error took effect, by the change
+// id in the root of its version. It returns nil if it did, kv.ErrConflict if not, and
+// SettingsUnknown if that can't be determined.
+func (s *Store) swapOutcome(ctx context.Context, r settings.Root, cause error) error {
 	if errors.Is(cause, kv.ErrConflict) || errors.Is(cause, storeerr.ErrUnavailable) {
-		return storeError(cause)
+		return withResultCode(cause)
 	}
-	wait := backoff.NewExponentialBackOff()
-	for range maxReads {
+	delay := backoff.NewExponentialBackOff()
+	for range maxOutcomeReads {
 		now, err := s.RootAt(ctx, r.Version)
 		var code *result.Error
 		switch {
 		case err == nil && now.Change == r.Change:
 			return nil
 		case err == nil:
-			return kv.ErrConflict // another change became this version
+			return kv.ErrConflict // another change has this version number
 		case errors.As(err, &code) && code.Code == result.SettingsVersion:
-			return kv.ErrConflict // not stored; may be tried again
+			return kv.ErrConflict // not stored; may be retried
 		}
-		workers.Sleep(ctx, wait.NextBackOff())
+		workers.Sleep(ctx, delay.NextBackOff())
 	}
 	unknown := result.Errorf(result.SettingsUnknown, "the swap of version %d was not answered: %v", r.Version, cause)
 	unknown.Run = result.Unknown
 	return unknown
 }
 
-func storeError(cause error) error {
+func withResultCode(cause error) error {
 	if errors.Is(cause, storeerr.ErrUnavailable) {
 		return unavailable(cause)
 	}
--- a/internal/relay/versions/versions_test.go
+++ b/internal/relay/versions/versions_test.go
@@ -20,36 +20,36 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// commit is the input of one change: a node and its new value, on a base.
+// commit is the input of a change: a node and its new value, and the base version.
 type commit struct {
 	base  int
 	path  string
 	value int
 }
 
-// outcome is what the operator was told.
+// outcome is the answer to the operator.
 type outcome struct {
 	version  int // 0 if not accepted
 	conflict bool
 	unknown  bool
 }
 
-// model holds the accepted changes as text, one a line.
+// model holds the accepted changes as text, one per line.
 var model = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{""} },
 	Step: func(state, input, output any) []any {
 		history, c, o := state.(string), input.(commit), output.(outcome)
 		lines := strings.Split(history, "\n")
 		next := history + fmt.Sprintf("\n%s=%d", c.path, c.value)
-		clash := touched(lines, c)
+		conflict := conflicts(lines, c)
 		switch {
-		case o.unknown && clash:
+		case o.unknown && conflict:
 			return []any{history}
 		case o.unknown:
 			return []any{history, next}
-		case o.conflict && clash:
+		case o.conflict && conflict:
 			return []any{history}
-		case o.version == len(lines)+1 && !clash:
+		case o.version == len(lines)+1 && !conflict:
 			return []any{next}
 		default:
 			return nil
@@ -58,9 +58,9 @@
 	Equal: func(a, b any) bool { return a.(string) == b.(string) },
 }
 
-// touched tells whether a change after the base set the same node otherwise.
-// The first line stands for the version that set up the tree.
-func touched(lines []string, c commit) bool {
+// conflicts reports whether a change after the base set the same node to another value.
+// The first line stands for the version that created the tree.
+func conflicts(lines []string, c commit) bool {
 	own := fmt.Sprintf("%s=%d", c.path, c.value)
 	for n, l := range lines {
 		if n >= c.base && l != own && strings.HasPrefix(l, c.path+"=") {
@@ -72,16 +72,16 @@
 
 const tree = `{"children":[{"name":"teams","children":[{"name":"a","kind":"team"},{"name":"b","kind":"team"}]}]}`
 
-// TestChangesAreLinearizable races two operators on two nodes while the service
-// loses answers and is down. Every accepted change must be in the final tree's
-// history exactly where its version says.
+// TestChangesAreLinearizable checks the history of two operators who change two nodes
+// concurrently while the key-value service loses answers or is unavailable. Every accepted
+// change must stand in the final tree's history at the position of its version.
 func TestChangesAreLinearizable(t *testing.T) {
 	for seed := range uint64(10) {
 		synctest.Test(t, func(t *testing.T) { raceChanges(t, seed) })
 	}
 }
 
-type race struct {
+type scenario struct {
 	t          *testing.T
 	store      standin.Store
 	mu         sync.Mutex
@@ -89,7 +89,7 @@
 	ids        int
 }
 
-func (r *race) newStore() *versions.Store {
+func (r *scenario) newStore() *versions.Store {
 	return &versions.Store{KeyValue: &r.store, Holder: &versions.Holder{}, Now: time.Now, NewID: func() string {
 		r.mu.Lock()
 		defer r.mu.Unlock()
@@ -99,7 +99,7 @@
 }
 
 func raceChanges(t *testing.T, seed uint64) {
-	r := &race{t: t}
+	r := &scenario{t: t}
 	first, err := settings.Parse([]byte(tree))
 	if err != nil {
 		t.Fatal(err)
@@ -113,9 +113,9 @@
 		s := r.newStore()
 		watching.Go(func() { s.Watch(ctx) })
 		random := rand.New(rand.NewPCG(seed, uint64(n)))
-		operating.Go(func() { r.operate(s, n, random) })
+		operating.Go(func() { r.runOperator(s, n, random) })
 	}
-	operating.Go(func() { r.faults(rand.New(rand.NewPCG(seed, 9))) })
+	operating.Go(func() { r.injectFaults(rand.New(rand.NewPCG(seed, 9))) })
 	operating.Wait()
 	cancel()
 	watching.Wait()
@@ -124,7 +124,7 @@
 	}
 }
 
-func (r *race) faults(random *rand.Rand) {
+func (r *scenario) injectFaults(random *rand.Rand) {
 	for range 12 {
 		time.Sleep(time.Duration(random.Int64N(int64(2 * time.Second))))
 		faults := []standin.Faults{{}, {Down: true}, {LoseSwaps: 1 + random.IntN(4)}, {Delay: 300 * time.Millisecond}}
@@ -133,7 +133,7 @@
 	r.store.SetFaults(standin.Faults{})
 }
 
-func (r *race) operate(s *versions.Store, client int, random *rand.Rand) {
+func (r *scenario) runOperator(s *versions.Store, client int, random *rand.Rand) {
 	for n := range 12 {
 		time.Sleep(time.Duration(random.Int64N(int64(time.Second))))
 		held := s.Holder.State()
@@ -141,21 +141,21 @@
 			continue
 		}
 		path := []string{"teams/a", "teams/b"}[random.IntN(2)]
-		value := 1 + n*2 + client // never the same as the other's
+		value := 1 + n*2 + client // never equal to the other operator's
 		node := settings.Node{Kind: settings.Team, Set: settings.Fields{Weight: &value}}
 		input := commit{base: int(held.Root.Version), path: path, value: value}
 		call := time.Now().UnixNano()
 		root, err := s.Commit(context.Background(), versions.Change{Base: held.Root.Version, Tree: held.Tree.With(path, node)})
-		r.note(client, input, root, err, call)
+		r.record(client, input, root, err, call)
 	}
 }
 
-func (r *race) note(client int, c commit, root settings.Root, err error, call int64) {
+func (r *scenario) record(client int, c commit, root settings.Root, err error, call int64) {
 	o := outcome{version: int(root.Version)}
 	end := time.Now().UnixNano()
 	var code *result.Error
 	if err != nil && !errors.As(err, &code) {
-		r.t.Errorf("an error without a code: %v", err)
+		r.t.Errorf("an error without a result code: %v", err)
 		return
 	}
 	if err != nil {
@@ -172,13 +172,13 @@
 	r.operations = append(r.operations, porcupine.Operation{ClientId: client, Input: c, Output: o, Call: call, Return: end})
 }
 
-// TestCheckerFindsALostChange makes sure that the check above can fail.
+// TestCheckerFindsALostChange checks that the linearizability check can fail.
 func TestCheckerFindsALostChange(t *testing.T) {
-	planted := []porcupine.Operation{
+	history := []porcupine.Operation{
 		{ClientId: 0, Input: commit{1, "teams/a", 1}, Output: outcome{version: 2}, Call: 0, Return: 1},
 		{ClientId: 1, Input: commit{1, "teams/a", 2}, Output: outcome{version: 2}, Call: 2, Return: 3},
 	}
-	if porcupine.CheckOperations(model.ToModel(), planted) {
+	if porcupine.CheckOperations(model.ToModel(), history) {
 		t.Error("a change that overwrote another was not found")
 	}
 }
