--- a/internal/relay/endpoint/chat.go
+++ b/internal/relay/endpoint/chat.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	chatPath  = "/v1/chat/completions"
-	maxEvent  = 1 << 20 // bytes of one event
-	doneEvent = "[DONE]"
+	chatPath      = "/v1/chat/completions"
+	maxEventBytes = 1 << 20 // bytes per event
+	doneEvent     = "[DONE]"
 )
 
 func init() { Drivers.Register("openai", newChat) }
 
-// chat is the driver of an engine that speaks the chat-completions protocol
-// with server-sent events.
+// chat is the driver of a model engine with a chat completions API that streams
+// server-sent events.
 type chat struct {
-	address string
-	host    string
-	client  *http.Client
+	url    string
+	host   string
+	client *http.Client
 }
 
 func newChat(s Settings) (Driver, error) {
@@ -35,38 +35,38 @@
 	if err != nil {
 		return nil, err
 	}
-	return &chat{address: base.JoinPath(chatPath).String(), host: hostOf(base), client: newClient(true)}, nil
+	return &chat{url: base.JoinPath(chatPath).String(), host: hostOf(base), client: newClient(true)}, nil
 }
 
-// Run streams an answer. The engine is told the tier as its priority, and the
+// Run streams an answer. The request holds the tier as the engine's priority and the
 // text that the caller already has as the beginning of the answer.
 func (e *chat) Run(ctx context.Context, c Call, k Sink) message.End {
 	body, err := chatBody(c)
-	if errors.Is(err, errNothingLeft) {
+	if errors.Is(err, errAnswerComplete) {
 		return message.End{Code: result.OK, Run: result.Ran, FinishReason: finishLength}
 	}
 	if err != nil {
 		return failed(result.NotRun, err.Error())
 	}
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, e.address, bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, e.url, bytes.NewReader(body))
 	if err != nil {
 		return failed(result.NotRun, err.Error())
 	}
 	request.Header.Set("Content-Type", "application/json")
-	answer, end := do(e.client, request)
-	if answer == nil {
+	response, end := do(e.client, request)
+	if response == nil {
 		return end
 	}
-	defer func() { _ = answer.Body.Close() }()
-	if answer.StatusCode != http.StatusOK {
-		return failed(result.Ran, fmt.Sprintf("engine answered %s", answer.Status))
+	defer func() { _ = response.Body.Close() }()
+	if response.StatusCode != http.StatusOK {
+		return failed(result.Ran, fmt.Sprintf("engine answered %s", response.Status))
 	}
-	return readEvents(answer, k)
+	return readEvents(response, k)
 }
 
-// errNothingLeft means that the caller already has as much as it asked for:
-// only the end of the answer was lost.
-var errNothingLeft = errors.New("endpoint: the answer is as long as it may be")
+// errAnswerComplete means that the caller already has as many tokens as it requested: only
+// the end of the answer was lost.
+var errAnswerComplete = errors.New("endpoint: the answer has reached its token limit")
 
 // finishLength is the finish reason of an answer that reached its limit.
 const finishLength = "length"
@@ -76,7 +76,7 @@
 	Content string `json:"content"`
 }
 
-// chatBody changes only the fields that are the router's own.
+// chatBody returns the caller's request body with only the router's own fields changed.
 func chatBody(c Call) ([]byte, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(c.Start.Body, &fields); err != nil {
@@ -93,7 +93,7 @@
 	return json.Marshal(fields)
 }
 
-// continueAnswer asks the engine to go on from the text already sent.
+// continueAnswer changes the request to continue from the text already sent.
 func continueAnswer(fields map[string]json.RawMessage, m message.Start) error {
 	var messages []json.RawMessage
 	if err := json.Unmarshal(fields["messages"], &messages); err != nil {
@@ -110,29 +110,29 @@
 	fields["messages"] = joined
 	fields["continue_final_message"] = json.RawMessage("true")
 	fields["add_generation_prompt"] = json.RawMessage("false")
-	return shortenLimit(fields, m.SentTokens)
+	return reduceLimit(fields, m.SentTokens)
 }
 
-// shortenLimit takes the tokens already sent off the caller's limit.
-func shortenLimit(fields map[string]json.RawMessage, sent int) error {
+// reduceLimit subtracts the tokens already sent from the caller's limit.
+func reduceLimit(fields map[string]json.RawMessage, sent int) error {
 	for _, name := range []string{"max_tokens", "max_completion_tokens"} {
 		raw, ok := fields[name]
 		if !ok || string(raw) == "null" {
 			continue
 		}
-		var most int
-		if err := json.Unmarshal(raw, &most); err != nil {
+		var limit int
+		if err := json.Unmarshal(raw, &limit); err != nil {
 			return fmt.Errorf("%s: %w", name, err)
 		}
-		if most <= sent {
-			return errNothingLeft
+		if limit <= sent {
+			return errAnswerComplete
 		}
-		fields[name] = json.RawMessage(fmt.Sprint(most - sent))
+		fields[name] = json.RawMessage(fmt.Sprint(limit - sent))
 	}
 	return nil
 }
 
-// chatEvent is the part of an event that the driver reads.
+// chatEvent holds the fields of an event that the driver reads.
 type chatEvent struct {
 	Choices json.RawMessage `json:"choices"`
 	Usage   *struct {
@@ -144,26 +144,26 @@
 	} `json:"error"`
 }
 
-// chatChoice is one choice of an event. What stands in other fields than these
-// makes the answer more than text.
+// chatChoice is one choice of an event. An answer is more than text if a choice has
+// fields other than those that plainText takes.
 type chatChoice map[string]json.RawMessage
 
-func readEvents(answer *http.Response, k Sink) message.End {
+func readEvents(response *http.Response, k Sink) message.End {
 	end := message.End{Code: result.OK, Run: result.Ran}
-	whole := false
-	for event, err := range sse.Read(answer.Body, &sse.ReadConfig{MaxEventSize: maxEvent}) {
+	complete := false
+	for event, err := range sse.Read(response.Body, &sse.ReadConfig{MaxEventSize: maxEventBytes}) {
 		if err != nil {
 			return failed(result.Ran, err.Error())
 		}
 		if event.Data == doneEvent {
-			whole = true
+			complete = true
 			break
 		}
 		if err := readEvent([]byte(event.Data), k, &end); err != nil {
 			return failed(result.Ran, err.Error())
 		}
 	}
-	if !whole {
+	if !complete {
 		return failed(result.Ran, "the engine broke off the answer")
 	}
 	return end
@@ -193,7 +193,7 @@
 	return k.Data(e.Choices, 1)
 }
 
-// plainText tells whether the choices are one choice of text, or none.
+// plainText reports whether the choices are a single choice of text, or none.
 func plainText(raw json.RawMessage) (text, finish string, plain bool) {
 	if len(raw) == 0 {
 		return "", "", true
@@ -213,14 +213,15 @@
 	return text, finish, ok && index == 0 && c.empty() && delta.empty()
 }
 
-// take reads and removes a field; a missing or null one leaves v as it is.
+// take decodes a field into v and removes it. It leaves v unchanged if the field is
+// missing or null.
 func (c chatChoice) take(name string, v any) bool {
 	raw, ok := c[name]
 	delete(c, name)
 	return !ok || json.Unmarshal(raw, v) == nil
 }
 
-// empty tells whether only null fields are left.
+// empty reports whether only null fields are left.
 func (c chatChoice) empty() bool {
 	for _, raw := range c {
 		if string(raw) != "null" {
--- a/internal/relay/endpoint/crashed.go
+++ b/internal/relay/endpoint/crashed.go
@@ -9,24 +9,24 @@
 	"time"
 )
 
-// examineTimeout bounds the connection by which a crash is told. The endpoint is beside the
+// probeTimeout bounds the connection attempt that detects a crash. The endpoint runs beside the
 // agent, and a refusal takes less than a millisecond.
-const examineTimeout = 100 * time.Millisecond
+const probeTimeout = 100 * time.Millisecond
 
-// refuses tells whether nobody listens at an address any more. Silence tells nothing.
+// refuses reports whether connections to an address are refused. A timeout is not a refusal.
 func refuses(ctx context.Context, address string) bool {
-	ctx, cancel := context.WithTimeout(ctx, examineTimeout)
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	var d net.Dialer
 	c, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return errors.Is(err, syscall.ECONNREFUSED)
 	}
-	_ = c.Close() // nothing was sent on it
+	_ = c.Close() // no data was sent
 	return false
 }
 
-// hostOf returns the address of a base URL, with the port of its scheme if it names none.
+// hostOf returns the host and port of a base URL, with the scheme's port if it has none.
 func hostOf(base *url.URL) string {
 	if base.Port() != "" {
 		return base.Host
--- a/internal/relay/endpoint/crashed_test.go
+++ b/internal/relay/endpoint/crashed_test.go
@@ -10,8 +10,8 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("a driver's endpoint", func() {
-	It("has crashed if it refuses connections, and not while it takes them", func() {
+var _ = Describe("Examiner.Crashed", func() {
+	It("returns true if the endpoint refuses connections, and false while it accepts them", func() {
 		for _, name := range []string{"http", "openai"} {
 			server := httptest.NewServer(nil)
 			factory, err := endpoint.Drivers.Get(name)
--- a/internal/relay/endpoint/endpoint.go
+++ b/internal/relay/endpoint/endpoint.go
@@ -1,4 +1,4 @@
-// Package endpoint runs work on the endpoints beside an agent: model engines
+// Package endpoint runs calls on the endpoints beside an agent: model engines
 // and plain services. Drivers register themselves.
 package endpoint
 
@@ -17,40 +17,44 @@
 	Start  message.Start
 }
 
-// Sink takes the pieces of an answer. An error means that nobody wants more.
+// Sink receives an answer. If a method returns an error, the driver stops: no more of the
+// answer is wanted.
 type Sink interface {
+	// Head receives the status and the header of a service's response.
 	Head(status int, header []message.Field) error
-	// Text takes answer text of a model.
+	// Text receives answer text of a model.
 	Text(text string, tokens int) error
-	// Data takes a service's bytes, or choices of a model that are not plain text.
+	// Data receives bytes from a service, or choices of a model that are not plain text.
 	Data(data []byte, tokens int) error
 }
 
 // Driver runs calls on one endpoint.
 type Driver interface {
-	// Run blocks until the call is over or ctx is done. The end says NotRun
-	// only if nothing was written to the endpoint.
+	// Run blocks until the call has ended or ctx is done. The returned end has Run set to
+	// NotRun only if nothing was written to the endpoint.
 	Run(ctx context.Context, c Call, s Sink) message.End
 }
 
-// Examiner is a driver that can tell a crash of its endpoint from a connection that broke.
+// Examiner is a driver that can distinguish a crash of its endpoint from a failed connection.
 type Examiner interface {
-	// Crashed tells, right after a call broke, whether the endpoint is gone.
+	// Crashed reports whether the endpoint is no longer running. It is called right after a
+	// call has failed.
 	Crashed(ctx context.Context) bool
 }
 
-// Settings describe an endpoint to its driver.
+// Settings configures the driver of an endpoint.
 type Settings struct {
 	Name    string
 	Address string // base URL
 }
 
-// Factory makes a driver.
+// Factory creates a driver.
 type Factory func(Settings) (Driver, error)
 
-// Drivers are the registered endpoint drivers.
+// Drivers holds the registered endpoint drivers.
 var Drivers kernel.Registry[Factory]
 
+// failed returns the end of a call that failed.
 func failed(run result.Run, reason string) message.End {
 	return message.End{Code: result.EndpointFailed, Run: run, Reason: reason}
 }
--- a/internal/relay/endpoint/endpoint_test.go
+++ b/internal/relay/endpoint/endpoint_test.go
@@ -18,7 +18,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// sink collects an answer.
+// sink records an answer.
 type sink struct {
 	mu     sync.Mutex
 	text   strings.Builder
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// driver returns a driver of a kind for a server that lasts one test.
+// driver returns a driver of a kind, for a server that is closed after the spec.
 func driver(kind string, h http.Handler) endpoint.Driver {
 	server := httptest.NewServer(h)
 	DeferCleanup(server.Close)
@@ -81,7 +81,7 @@
 		return &s, end
 	}
 
-	It("reads a whole answer", func() {
+	It("reads a complete answer", func() {
 		s, end := run(driver("openai", (&standin.Engine{}).Handler()), message.Start{Body: []byte(body)})
 		Expect(end.Code).To(Equal(result.OK))
 		Expect(end.FinishReason).To(Equal("stop"))
@@ -97,7 +97,7 @@
 		Expect(sent + s.text.String()).To(Equal(strings.Join(tokens, "")))
 	})
 
-	It("asks for nothing when only the end of an answer was lost", func() {
+	It("sends no request when only the end of an answer was lost", func() {
 		engine := &standin.Engine{}
 		sent := standin.AnswerText([]string{"hi"}, 12)
 		s, end := run(driver("openai", engine.Handler()), message.Start{Body: []byte(body), SentText: sent, SentTokens: 12})
@@ -106,7 +106,7 @@
 		Expect(engine.Started()).To(BeZero())
 	})
 
-	It("tells the engine the tier and keeps the caller's fields", func() {
+	It("sends the tier as the priority and keeps the caller's fields", func() {
 		var got map[string]any
 		h := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			Expect(json.NewDecoder(r.Body).Decode(&got)).To(Succeed())
@@ -120,32 +120,32 @@
 		Expect(got).To(HaveKeyWithValue("stream", true))
 	})
 
-	It("passes on choices that are more than text as they are", func() {
+	It("forwards choices that are more than text unchanged", func() {
 		const tool = `[{"index":0,"delta":{"tool_calls":[{"id":"1"}]}}]`
 		s, end := run(driver("openai", events(`{"choices":`+tool+`}`, "[DONE]")), message.Start{Body: []byte(body)})
 		Expect(end.Code).To(Equal(result.OK))
 		Expect(s.data).To(Equal([]string{tool}))
 	})
 
-	It("takes null fields for absent", func() {
+	It("treats null fields as absent", func() {
 		s, _ := run(driver("openai", events(`{"choices":[{"index":0,"delta":{"content":"a","refusal":null},"logprobs":null,"stop_reason":null}]}`, "[DONE]")),
 			message.Start{Body: []byte(body)})
 		Expect(s.text.String()).To(Equal("a"))
 	})
 
-	DescribeTable("never takes a broken answer for whole",
+	DescribeTable("never treats an incomplete answer as complete",
 		func(h http.Handler) {
 			_, end := run(driver("openai", h), message.Start{Body: []byte(body)})
 			Expect(end.Code).To(Equal(result.EndpointFailed))
 			Expect(end.Run).To(Equal(result.Ran))
 		},
-		Entry("no end mark", events(`{"choices":[{"index":0,"delta":{"content":"a"}}]}`)),
+		Entry("no [DONE] event", events(`{"choices":[{"index":0,"delta":{"content":"a"}}]}`)),
 		Entry("an error event", events(`{"error":{"message":"out of memory"}}`, "[DONE]")),
-		Entry("no JSON", events(`{`, "[DONE]")),
-		Entry("a status", http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(500) })),
+		Entry("an event that is not JSON", events(`{`, "[DONE]")),
+		Entry("an error status", http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(500) })),
 	)
 
-	It("says not run when the engine can't be reached", func() {
+	It("returns NotRun when the engine refuses the connection", func() {
 		server := httptest.NewServer(events())
 		server.Close()
 		_, end := run(driverAt("openai", server.URL), message.Start{Body: []byte(body)})
@@ -154,7 +154,7 @@
 })
 
 var _ = Describe("http", func() {
-	It("passes on method, path, query, header and body", func() {
+	It("forwards method, path, query, header and body", func() {
 		seen := make(chan *http.Request, 1)
 		d := driver("http", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			seen <- r
@@ -172,7 +172,7 @@
 		Expect(got.Header.Get("X-A")).To(Equal("1"))
 	})
 
-	It("never sends a call twice, also where the library would", func() {
+	It("never sends a call twice, even where net/http would resend it", func() {
 		var calls atomic.Int32
 		d := driver("http", http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 			calls.Add(1)
--- a/internal/relay/endpoint/golden_test.go
+++ b/internal/relay/endpoint/golden_test.go
@@ -17,7 +17,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// sentBy returns the bytes of the one request that a driver of a kind sends.
+// sentBy returns the bytes of the request that a driver of a kind sends.
 func sentBy(kind string, c endpoint.Call) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
@@ -45,8 +45,8 @@
 	return strings.ReplaceAll(<-sent, l.Addr().String(), "endpoint")
 }
 
-var _ = Describe("what a driver sends", func() {
-	It("is what is recorded", func() {
+var _ = Describe("the request of a driver", func() {
+	It("matches the recorded request", func() {
 		chat := endpoint.Call{Target: "m", Terms: message.Terms{Tier: 2}, Start: message.Start{Body: []byte(body)}}
 		resumed := chat
 		resumed.Start.SentText, resumed.Start.SentTokens = "so far ", 2
--- a/internal/relay/endpoint/http.go
+++ b/internal/relay/endpoint/http.go
@@ -18,11 +18,11 @@
 )
 
 const (
-	// dialTimeout bounds a new connection to an endpoint.
+	// dialTimeout bounds setting up a connection to an endpoint.
 	dialTimeout = 2 * time.Second
-	// readBuffer is how much of an answer is read at once, in bytes.
-	readBuffer = 16 << 10
-	// maxIdle bounds the idle connections to one endpoint.
+	// readBufferBytes is the size of the buffer for reading an answer.
+	readBufferBytes = 16 << 10
+	// maxIdle is the maximum number of idle connections to one endpoint.
 	maxIdle = 1024
 )
 
@@ -30,9 +30,9 @@
 
 // service is the driver of a plain HTTP service.
 type service struct {
-	base   *url.URL
-	reused *http.Client // for calls that may be repeated
-	fresh  *http.Client // never sends a call twice: one connection per call
+	base            *url.URL
+	pooledClient    *http.Client // for repeatable calls
+	singleUseClient *http.Client // one connection per call, so that a call is never sent twice
 }
 
 func newService(s Settings) (Driver, error) {
@@ -40,7 +40,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &service{base: base, reused: newClient(true), fresh: newClient(false)}, nil
+	return &service{base: base, pooledClient: newClient(true), singleUseClient: newClient(false)}, nil
 }
 
 func baseURL(s Settings) (*url.URL, error) {
@@ -51,8 +51,8 @@
 	return base, nil
 }
 
-// newClient returns a client that follows no redirects. With reuse it keeps
-// connections; the library may then repeat a call that met a closed one.
+// newClient returns a client that does not follow redirects. With reuse it keeps idle
+// connections; net/http may then resend a request whose connection turned out to be closed.
 func newClient(reuse bool) *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
@@ -65,25 +65,25 @@
 	}
 }
 
-// Run passes the call on and the answer back.
+// Run forwards the request to the service and the response to the sink.
 func (s *service) Run(ctx context.Context, c Call, k Sink) message.End {
 	request, err := s.request(ctx, c.Start)
 	if err != nil {
 		return failed(result.NotRun, err.Error())
 	}
-	client := s.fresh
+	client := s.singleUseClient
 	if c.Terms.Repeatable {
-		client = s.reused
+		client = s.pooledClient
 	}
-	answer, end := do(client, request)
-	if answer == nil {
+	response, end := do(client, request)
+	if response == nil {
 		return end
 	}
-	defer func() { _ = answer.Body.Close() }()
-	if err := k.Head(answer.StatusCode, fieldsOf(answer.Header)); err != nil {
+	defer func() { _ = response.Body.Close() }()
+	if err := k.Head(response.StatusCode, fieldsOf(response.Header)); err != nil {
 		return failed(result.Ran, err.Error())
 	}
-	return copyBody(answer.Body, k)
+	return copyBody(response.Body, k)
 }
 
 func (s *service) request(ctx context.Context, m message.Start) (*http.Request, error) {
@@ -91,13 +91,13 @@
 	if err != nil {
 		return nil, fmt.Errorf("path %q: %w", m.Path, err)
 	}
-	to := s.base.JoinPath(path.EscapedPath())
-	to.RawQuery = path.RawQuery
+	target := s.base.JoinPath(path.EscapedPath())
+	target.RawQuery = path.RawQuery
 	var body io.Reader
 	if len(m.Body) > 0 {
-		body = struct{ io.Reader }{bytes.NewReader(m.Body)} // hides the type: the library can't rewind it
+		body = struct{ io.Reader }{bytes.NewReader(m.Body)} // hides the type, so that net/http can't rewind and resend the body
 	}
-	request, err := http.NewRequestWithContext(ctx, m.Method, to.String(), body)
+	request, err := http.NewRequestWithContext(ctx, m.Method, target.String(), body)
 	if err != nil {
 		return nil, err
 	}
@@ -108,14 +108,14 @@
 	return request, nil
 }
 
-// do sends a request. Without an answer, the end says whether the endpoint may
-// have seen it: not before there was a connection.
+// do sends a request. Without a response, the returned end says whether the endpoint may
+// have received the request: only if there was a connection.
 func do(client *http.Client, request *http.Request) (*http.Response, message.End) {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
-	answer, err := client.Do(request.WithContext(httptrace.WithClientTrace(request.Context(), trace)))
+	response, err := client.Do(request.WithContext(httptrace.WithClientTrace(request.Context(), trace)))
 	if err == nil {
-		return answer, message.End{}
+		return response, message.End{}
 	}
 	if connected.Load() {
 		return nil, failed(result.Unknown, err.Error())
@@ -124,7 +124,7 @@
 }
 
 func copyBody(body io.Reader, k Sink) message.End {
-	buffer := make([]byte, readBuffer)
+	buffer := make([]byte, readBufferBytes)
 	for {
 		n, err := body.Read(buffer)
 		if n > 0 {
