--- a/internal/relay/admin/admin.go
+++ b/internal/relay/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin serves operators: the settings tree, the state dump and the
-// metrics, on an address and with a key of their own.
+// Package admin serves operators: the settings tree, the state dump and the metrics. It
+// uses a separate address and a separate key.
 package admin
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/alexedwards/flow"
 )
 
-// Paths that operators use.
+// Paths of the operators' API.
 const (
 	TreePath     = "/v1/tree"
 	NodePath     = "/v1/node"
@@ -27,16 +27,16 @@
 	ReleasePath  = "/v1/contents/:content/release"
 )
 
-// Options are what an admin server shows.
+// Options configures the handler for operators.
 type Options struct {
 	KeyHash string // hash of the operators' bearer key
 	Dump    func() any
 	Metrics http.Handler
-	Tree    *Tree        // nil where the process keeps none
-	Release http.Handler // lets a held content through again; nil where the process holds none
+	Tree    *Tree        // nil if the process holds no settings tree
+	Release http.Handler // releases a quarantined content; nil if the process quarantines none
 }
 
-// Handler returns the routes for operators.
+// Handler returns the HTTP routes for operators.
 func Handler(o Options) http.Handler {
 	mux := flow.New()
 	mux.HandleFunc("/health", func(w http.ResponseWriter, _ *http.Request) {
@@ -56,7 +56,7 @@
 	return mux
 }
 
-// requireKey lets only operators through.
+// requireKey refuses requests without the operators' key.
 func requireKey(hash string, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		key, _ := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
@@ -68,7 +68,7 @@
 	})
 }
 
-// Failure is the body of an answer that is not OK.
+// Failure is the body of an error response.
 type Failure struct {
 	Code    result.Code `json:"code"`
 	Type    string      `json:"type"`
@@ -84,13 +84,13 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(e.Code.Entry().Status)
 	f := Failure{Code: e.Code, Type: e.Code.Entry().Name, Message: e.Reason, Run: e.Run.String()}
-	_ = json.NewEncoder(w).Encode(f) // the operator may be gone
+	_ = json.NewEncoder(w).Encode(f) // the operator may have disconnected
 }
 
-// WriteJSON answers with a value.
+// WriteJSON writes a value as an indented JSON response.
 func WriteJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
-	_ = e.Encode(v) // the operator may be gone
+	_ = e.Encode(v) // the operator may have disconnected
 }
--- a/internal/relay/admin/admin_test.go
+++ b/internal/relay/admin/admin_test.go
@@ -31,14 +31,14 @@
 
 const operatorKey = "operator-key"
 
-// reply is an answer that was read.
+// reply is a response whose body was read.
 type reply struct {
 	status int
 	etag   string
 	body   string
 }
 
-// code returns the code of a failure.
+// code returns the result code in an error response.
 func (r reply) code() result.Code {
 	var f admin.Failure
 	Expect(json.Unmarshal([]byte(r.body), &f)).To(Succeed(), r.body)
@@ -68,7 +68,7 @@
 			Metrics: served,
 			Tree:    tree,
 			Release: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				_, _ = io.WriteString(w, flow.Param(r.Context(), "content")) // to the test
+				_, _ = io.WriteString(w, flow.Param(r.Context(), "content")) // to the spec
 			}),
 		}))
 		DeferCleanup(server.Close)
@@ -98,7 +98,7 @@
 
 	const node = `{"kind":"team","set":{"weight":9}}`
 
-	It("lets only operators in", func() {
+	It("refuses requests without the operators' key", func() {
 		key = "gent-key"
 		for _, p := range []string{admin.TreePath, admin.StatePath, admin.MetricsPath, admin.HistoryPath} {
 			Expect(call(http.MethodGet, p, "", "").status).To(Equal(http.StatusUnauthorized))
@@ -106,20 +106,20 @@
 		Expect(call(http.MethodGet, "/health", "", "").status).To(Equal(http.StatusNoContent))
 	})
 
-	It("lets a content through by an operator's word alone", func() {
+	It("releases a content only with the operators' key", func() {
 		const path = "/v1/contents/0123/release"
 		Expect(call(http.MethodPost, path, "", "").body).To(Equal("0123"))
 		key = "gent-key"
 		Expect(call(http.MethodPost, path, "", "").status).To(Equal(http.StatusUnauthorized))
 	})
 
-	It("shows state and metrics", func() {
+	It("returns state and metrics", func() {
 		Expect(call(http.MethodGet, admin.StatePath, "", "").body).To(ContainSubstring("serving"))
 		Eventually(func() string { return call(http.MethodGet, admin.MetricsPath, "", "").body }, "10s").
 			Should(ContainSubstring("foxcross_entry_tries"))
 	})
 
-	It("keeps a tree and its versions", func() {
+	It("stores a tree and its versions", func() {
 		put()
 		r := call(http.MethodPatch, admin.NodePath+"?path=teams/new", "", node)
 		Expect(r.etag).To(Equal(`"2"`))
@@ -140,7 +140,7 @@
 		Expect(call(http.MethodGet, admin.TreePath, "", "").etag).To(Equal(`"1"`))
 	})
 
-	It("joins a change on an older version, or refuses it as a conflict", func() {
+	It("rebases a change on an older version, or refuses it as a conflict", func() {
 		put()
 		Expect(call(http.MethodPatch, admin.NodePath+"?path=teams/a", `"1"`, node).etag).To(Equal(`"2"`))
 		Expect(call(http.MethodPatch, admin.NodePath+"?path=teams/b", `"1"`, node).etag).To(Equal(`"3"`))
@@ -149,7 +149,7 @@
 		Expect(r.code()).To(Equal(result.SettingsConflict))
 	})
 
-	DescribeTable("refuses what is wrong and loses nothing",
+	DescribeTable("refuses invalid requests and leaves the tree unchanged",
 		func(method, path, match, body string, code result.Code) {
 			put()
 			r := call(method, path, match, body)
@@ -157,18 +157,18 @@
 			Expect(r.status).To(Equal(code.Entry().Status))
 			Expect(call(http.MethodGet, admin.TreePath, "", "").etag).To(Equal(`"1"`))
 		},
-		Entry("no JSON", http.MethodPut, admin.TreePath, `"1"`, "{", result.SettingsInvalid),
-		Entry("no base", http.MethodPut, admin.TreePath, "", "{}", result.BadRequest),
-		Entry("wrong field", http.MethodPatch, admin.NodePath+"?path=teams/a", "", `{"set":{"weigth":1}}`, result.SettingsInvalid),
-		Entry("out of range", http.MethodPatch, admin.NodePath+"?path=teams/a", "", `{"set":{"weight":0}}`, result.SettingsInvalid),
-		Entry("no parent", http.MethodPatch, admin.NodePath+"?path=none/a", "", node, result.SettingsInvalid),
-		Entry("bad name", http.MethodPatch, admin.NodePath+"?path=teams/A%20B", "", node, result.SettingsInvalid),
-		Entry("nothing to remove", http.MethodDelete, admin.NodePath+"?path=teams/none", "", "", result.NotFound),
+		Entry("invalid JSON", http.MethodPut, admin.TreePath, `"1"`, "{", result.SettingsInvalid),
+		Entry("no base version", http.MethodPut, admin.TreePath, "", "{}", result.BadRequest),
+		Entry("unknown field", http.MethodPatch, admin.NodePath+"?path=teams/a", "", `{"set":{"weigth":1}}`, result.SettingsInvalid),
+		Entry("value out of range", http.MethodPatch, admin.NodePath+"?path=teams/a", "", `{"set":{"weight":0}}`, result.SettingsInvalid),
+		Entry("missing parent", http.MethodPatch, admin.NodePath+"?path=none/a", "", node, result.SettingsInvalid),
+		Entry("invalid name", http.MethodPatch, admin.NodePath+"?path=teams/A%20B", "", node, result.SettingsInvalid),
+		Entry("missing node", http.MethodDelete, admin.NodePath+"?path=teams/none", "", "", result.NotFound),
 		Entry("a class in use", http.MethodDelete, admin.NodePath+"?path=classes/language/glaze-question", "", "", result.SettingsInvalid),
 		Entry("unknown version", http.MethodPost, admin.RollbackPath+"?version=9", "", "", result.SettingsVersion),
 	)
 
-	It("says that nothing was changed while the service is down", func() {
+	It("reports that nothing was changed while the key-value service is down", func() {
 		put()
 		store.SetFaults(standin.Faults{Down: true})
 		r := call(http.MethodPatch, admin.NodePath+"?path=teams/a", "", node)
--- a/internal/relay/admin/tree.go
+++ b/internal/relay/admin/tree.go
@@ -15,23 +15,23 @@
 	"github.com/alexedwards/flow"
 )
 
-// Header fields in which operators say who makes a change, and why.
+// Request header fields that name the author of a change and its reason.
 const (
 	AuthorField = "X-Foxcross-Author"
 	NoteField   = "X-Foxcross-Note"
 )
 
 const (
-	// maxTree bounds a tree that is sent whole, in bytes. 40,000 teams take some 21 MB in
-	// memory (docs/CAPACITY.md).
-	maxTree = 64 << 20
-	// defaultHistory is how many versions are shown if the request names no number.
+	// maxTreeBytes is the largest tree accepted in a request body, in bytes. 40,000 teams take
+	// some 21 MB in memory (docs/CAPACITY.md).
+	maxTreeBytes = 64 << 20
+	// defaultHistory is the number of versions listed if the request gives no count.
 	defaultHistory = 20
-	// maxHistory bounds that number.
+	// maxHistory is the largest number of versions listed.
 	maxHistory = 1000
 )
 
-// Tree serves the settings tree. Its ETag is the version.
+// Tree serves the settings tree. Its ETag is the version number.
 type Tree struct {
 	Store *versions.Store
 }
@@ -45,10 +45,10 @@
 	m.HandleFunc(RollbackPath, t.rollback, http.MethodPost)
 }
 
-func tag(version uint64) string { return strconv.Quote(strconv.FormatUint(version, 10)) }
+func etag(version uint64) string { return strconv.Quote(strconv.FormatUint(version, 10)) }
 
-// versionOf reads a version from a header or a query.
-func versionOf(text string) (uint64, error) {
+// parseVersion parses a version from a header field or a query parameter.
+func parseVersion(text string) (uint64, error) {
 	n, err := strconv.ParseUint(strings.Trim(text, `"`), 10, 64)
 	if err != nil {
 		return 0, result.Errorf(result.BadRequest, "version %q is not a number", text)
@@ -56,14 +56,14 @@
 	return n, nil
 }
 
-// get returns the tree in force here, or that of the version in the query.
+// get writes the tree in force in this process, or the version given in the query.
 func (t *Tree) get(w http.ResponseWriter, r *http.Request) {
 	held := t.Store.Holder.State()
 	version := held.Root.Version
 	tree := held.Tree
 	if q := r.URL.Query().Get("version"); q != "" {
 		var err error
-		if version, err = versionOf(q); err == nil {
+		if version, err = parseVersion(q); err == nil {
 			tree, err = t.Store.At(r.Context(), version)
 		}
 		if err != nil {
@@ -71,21 +71,21 @@
 			return
 		}
 	}
-	w.Header().Set("ETag", tag(version))
+	w.Header().Set("ETag", etag(version))
 	WriteJSON(w, tree)
 }
 
-// outcome is the answer to a change.
+// outcome is the response to a change.
 type outcome struct {
 	Version uint64                `json:"version"`
 	DryRun  bool                  `json:"dry_run,omitempty"`
 	Changes []settings.Difference `json:"changes"`
 }
 
-// put replaces the tree of the version that If-Match names. With the query
-// dry_run the change is only checked.
+// put replaces the tree of the version given in If-Match. With the query parameter
+// dry_run the change is only validated.
 func (t *Tree) put(w http.ResponseWriter, r *http.Request) {
-	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxTree))
+	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxTreeBytes))
 	if err != nil {
 		writeError(w, result.Errorf(result.BodyTooLarge, "%v", err))
 		return
@@ -95,7 +95,7 @@
 		writeError(w, err)
 		return
 	}
-	base, err := versionOf(r.Header.Get("If-Match"))
+	base, err := parseVersion(r.Header.Get("If-Match"))
 	if err != nil {
 		writeError(w, err)
 		return
@@ -103,12 +103,12 @@
 	t.change(w, r, base, func(settings.Tree) (settings.Tree, error) { return tree, nil })
 }
 
-// patch sets or removes the node that the query's path names.
+// patch sets or removes the node given by the query parameter path.
 func (t *Tree) patch(w http.ResponseWriter, r *http.Request) {
 	base := t.Store.Holder.Version()
 	if q := r.Header.Get("If-Match"); q != "" {
 		var err error
-		if base, err = versionOf(q); err != nil {
+		if base, err = parseVersion(q); err != nil {
 			writeError(w, err)
 			return
 		}
@@ -131,7 +131,7 @@
 
 func withNode(w http.ResponseWriter, r *http.Request, old settings.Tree, path string) (settings.Tree, error) {
 	var n settings.Node
-	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxTree))
+	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxTreeBytes))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&n); err != nil {
 		return old, result.Errorf(result.SettingsInvalid, "node %q: %v", path, err)
@@ -139,7 +139,7 @@
 	return old.With(path, n), nil
 }
 
-// change makes a change on the base version and answers with what it did.
+// change applies an edit to the base version and writes the differences it made.
 func (t *Tree) change(w http.ResponseWriter, r *http.Request, base uint64, edit func(settings.Tree) (settings.Tree, error)) {
 	old, err := t.Store.At(r.Context(), base)
 	if err != nil {
@@ -171,41 +171,41 @@
 		return
 	}
 	o.Version = root.Version
-	w.Header().Set("ETag", tag(root.Version))
+	w.Header().Set("ETag", etag(root.Version))
 	WriteJSON(w, o)
 }
 
-// line is a version in the history.
-type line struct {
+// historyEntry is a version in the response of history.
+type historyEntry struct {
 	Version uint64 `json:"version"`
 	Author  string `json:"author,omitempty"`
 	Note    string `json:"note,omitempty"`
 	At      string `json:"at"`
 }
 
-// history lists versions, the newest first.
+// history lists versions, newest first.
 func (t *Tree) history(w http.ResponseWriter, r *http.Request) {
 	count := defaultHistory
 	if n, err := strconv.Atoi(r.URL.Query().Get("count")); err == nil {
 		count = min(max(1, n), maxHistory)
 	}
-	var lines []line
-	for v := t.Store.Holder.Version(); v > 0 && len(lines) < count; v-- {
+	var entries []historyEntry
+	for v := t.Store.Holder.Version(); v > 0 && len(entries) < count; v-- {
 		root, err := t.Store.RootAt(r.Context(), v)
 		if err != nil {
 			writeError(w, err)
 			return
 		}
-		lines = append(lines, line{root.Version, root.Author, root.Note, root.At.Format("2006-01-02T15:04:05Z")})
+		entries = append(entries, historyEntry{root.Version, root.Author, root.Note, root.At.Format("2006-01-02T15:04:05Z")})
 	}
-	WriteJSON(w, lines)
+	WriteJSON(w, entries)
 }
 
-// diff lists the nodes that two versions hold differently.
+// diff lists the nodes that differ between two versions.
 func (t *Tree) diff(w http.ResponseWriter, r *http.Request) {
 	var trees [2]settings.Tree
 	for n, name := range []string{"from", "to"} {
-		v, err := versionOf(r.URL.Query().Get(name))
+		v, err := parseVersion(r.URL.Query().Get(name))
 		if err == nil {
 			trees[n], err = t.Store.At(r.Context(), v)
 		}
@@ -217,9 +217,9 @@
 	WriteJSON(w, settings.Diff(trees[0], trees[1]))
 }
 
-// rollback puts the tree of an older version in force as a new one.
+// rollback puts the tree of an older version in force as a new version.
 func (t *Tree) rollback(w http.ResponseWriter, r *http.Request) {
-	v, err := versionOf(r.URL.Query().Get("version"))
+	v, err := parseVersion(r.URL.Query().Get("version"))
 	if err != nil {
 		writeError(w, err)
 		return
