--- a/internal/relay/config/config.go
+++ b/internal/relay/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads the settings files of processes and names the file, the
-// field and the reason where one is wrong.
+// Package config reads the settings files of processes. Its errors name the file, the
+// field and the reason.
 package config
 
 import (
@@ -18,25 +18,25 @@
 	"github.com/santhosh-tekuri/jsonschema/v6"
 )
 
-// Platform names the platform's driver and address.
+// Platform selects the platform driver and its address.
 type Platform struct {
 	Driver  string `json:"driver"`
 	Address string `json:"address"`
 }
 
-// Log sets the form and the level of log lines.
+// Log sets the format and the level of log lines.
 type Log struct {
 	Form  string `json:"form"`  // text or json
 	Level string `json:"level"` // debug, info, warn or error
 }
 
-// Admin is where operators reach the process.
+// Admin configures the operators' API of the process.
 type Admin struct {
 	Address string `json:"address"`
 	KeyHash string `json:"key_hash"` // hash of the operators' bearer key
 }
 
-// Entry are the settings of an entry process. A number that is 0 or missing stands for
+// Entry is the settings file of an entry process. A number that is 0 or missing stands for
 // its default, which is named beside it.
 type Entry struct {
 	Name       string     `json:"name"`
@@ -49,20 +49,20 @@
 
 	MaxBodyBytes int `json:"most_body_bytes"` // of a request; entry.DefaultMaxBody
 	MaxRequests  int `json:"most_requests"`   // open at once; binding.DefaultRequests
-	MaxAgents    int `json:"most_agents"`     // connections to agents; subset.Default
+	MaxAgents    int `json:"most_agents"`     // agents connected to; subset.Default
 	Fanout       int `json:"fanout"`          // agents that a request is offered to at once; binding.DefaultFanout
 
-	StopGraceMS   int `json:"stop_grace_ms"`   // between not ready and refusing; DefaultStopGrace
+	StopGraceMS   int `json:"stop_grace_ms"`   // from failing the readiness check to refusing requests; DefaultStopGrace
 	StopTimeoutMS int `json:"stop_timeout_ms"` // for running answers; DefaultStopTimeout
-	MemberListMS  int `json:"member_list_ms"`  // between reads of the list; entry.DefaultListInterval
+	MemberListMS  int `json:"member_list_ms"`  // between reads of the member list; entry.DefaultListInterval
 
-	ClaimPaceMS    int `json:"claim_pace_ms"`    // shortest time between swaps of a partition; by the number of entries
+	ClaimPaceMS    int `json:"claim_pace_ms"`    // shortest time between swaps of a partition; default derived from the number of entries
 	ClaimPeriodMS  int `json:"claim_period_ms"`  // the same at all entries; claims.DefaultPeriod
 	ClaimRetain    int `json:"claim_retain"`     // periods, the same at all entries; claims.DefaultRetain
 	ClaimPartition int `json:"claim_partitions"` // the same at all entries; claims.DefaultPartitions
 }
 
-// Agent are the settings of an agent process. A number that is 0 or missing stands for
+// Agent is the settings file of an agent process. A number that is 0 or missing stands for
 // its default, which is named beside it.
 type Agent struct {
 	Name       string     `json:"name"`
@@ -73,21 +73,21 @@
 	Log        Log        `json:"log"`
 	Endpoints  []Endpoint `json:"endpoints"`
 
-	QueueBound    int `json:"queue_bound"`     // offers that wait for one target; queue.DefaultBound
-	HoldMS        int `json:"hold_ms"`         // that a slot waits for its start; dispatch.DefaultHold
-	HeartbeatMS   int `json:"heartbeat_ms"`    // between reports to each entry; agent.DefaultHeartbeat
+	QueueBound    int `json:"queue_bound"`     // offers queued for one target; queue.DefaultBound
+	HoldMS        int `json:"hold_ms"`         // time a slot is held for its start; dispatch.DefaultHold
+	HeartbeatMS   int `json:"heartbeat_ms"`    // between heartbeats to each entry; agent.DefaultHeartbeat
 	StopTimeoutMS int `json:"stop_timeout_ms"` // for running work; DefaultStopTimeout
 }
 
-// Endpoint is one engine or plain service beside an agent.
+// Endpoint is a model engine or a plain service beside an agent.
 type Endpoint struct {
 	Name    string `json:"name"`
 	Driver  string `json:"driver"`
 	Address string `json:"address"`
 	Model   string `json:"model"`
 	Service string `json:"service"`
-	Most    int    `json:"most"`   // most requests at once, 0 for the learned limit only
-	Fenced  bool   `json:"fenced"` // the endpoint checks fencing tokens
+	Most    int    `json:"most"`   // maximum concurrent requests, 0 for the learned limit only
+	Fenced  bool   `json:"fenced"` // whether the endpoint checks fencing tokens
 }
 
 // Target returns the target that the endpoint serves.
@@ -99,17 +99,17 @@
 }
 
 const (
-	// DefaultStopGrace is the time between not ready and refusing: the balancer notices
-	// meanwhile.
+	// DefaultStopGrace is the default time from failing the readiness check to refusing
+	// requests, in which the load balancer notices.
 	DefaultStopGrace = 2 * time.Second
-	// DefaultStopTimeout is how long a clean stop waits for running answers.
+	// DefaultStopTimeout is the default time that a graceful stop waits for running answers.
 	DefaultStopTimeout = 10 * time.Minute
 )
 
-// Milliseconds returns a duration, or the default where the field is 0.
-func Milliseconds(n int, otherwise time.Duration) time.Duration {
+// Milliseconds converts a field to a duration, or returns the default if the field is 0.
+func Milliseconds(n int, fallback time.Duration) time.Duration {
 	if n <= 0 {
-		return otherwise
+		return fallback
 	}
 	return time.Duration(n) * time.Millisecond
 }
@@ -120,32 +120,32 @@
 //go:embed agent.schema.json
 var agentSchema []byte
 
-// ReadEntry reads an entry's file.
+// ReadEntry reads the settings file of an entry.
 func ReadEntry(path string) (Entry, error) {
 	var c Entry
 	err := read(path, entrySchema, &c)
 	return c, err
 }
 
-// ReadAgent reads an agent's file.
+// ReadAgent reads the settings file of an agent.
 func ReadAgent(path string) (Agent, error) {
 	var c Agent
 	err := read(path, agentSchema, &c)
 	return c, err
 }
 
-// read reads a file into v. A file that does not fit the schema gives an error
-// that names the field.
+// read reads a file into v. If the file does not match the schema, the error names the
+// field.
 func read(path string, schema []byte, v any) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return result.Errorf(result.FileUnreadable, "%v", err)
 	}
-	parsed, err := jsonschema.UnmarshalJSON(bytes.NewReader(data))
+	document, err := jsonschema.UnmarshalJSON(bytes.NewReader(data))
 	if err != nil {
 		return result.Errorf(result.FileSyntax, "%s: %v", path, err)
 	}
-	if err := check(schema, parsed); err != nil {
+	if err := validate(schema, document); err != nil {
 		return fieldError(path, err)
 	}
 	if err := json.Unmarshal(data, v); err != nil {
@@ -154,7 +154,7 @@
 	return nil
 }
 
-func check(schema []byte, parsed any) error {
+func validate(schema []byte, document any) error {
 	const name = "file.json"
 	text, err := jsonschema.UnmarshalJSON(bytes.NewReader(schema))
 	if err != nil {
@@ -168,14 +168,14 @@
 	if err != nil {
 		return err
 	}
-	return s.Validate(parsed)
+	return s.Validate(document)
 }
 
 func fieldError(path string, err error) error {
-	var wrong *jsonschema.ValidationError
-	if !errors.As(err, &wrong) {
+	var invalid *jsonschema.ValidationError
+	if !errors.As(err, &invalid) {
 		return result.Errorf(result.FileField, "%s: %v", path, err)
 	}
-	field, reason := settings.Explain(wrong)
+	field, reason := settings.Explain(invalid)
 	return result.Errorf(result.FileField, "%s: field %s: %s", path, field, reason)
 }
--- a/internal/relay/config/config_test.go
+++ b/internal/relay/config/config_test.go
@@ -14,7 +14,7 @@
 
 const examples = "../../../examples/processes/"
 
-// changed returns a file with a part of an example replaced.
+// changed writes a copy of an example file with one text replaced, and returns its path.
 func changed(example, old, replacement string) string {
 	data, err := os.ReadFile(examples + example)
 	Expect(err).NotTo(HaveOccurred())
@@ -31,7 +31,7 @@
 		Expect(c.Name).To(Equal("entry-1"))
 	})
 
-	It("names a file that is not there", func() {
+	It("reports an unreadable file", func() {
 		_, err := config.ReadEntry("/nowhere.json")
 		Expect(err.(*result.Error).Code).To(Equal(result.FileUnreadable))
 	})
@@ -45,7 +45,7 @@
 			Expect(err.Error()).To(ContainSubstring(path))
 			Expect(err.Error()).To(ContainSubstring(field))
 		},
-		Entry("syntax", `{`, `{{`, result.FileSyntax, ""),
+		Entry("invalid syntax", `{`, `{{`, result.FileSyntax, ""),
 		Entry("wrong type", `"entry-1"`, `1`, result.FileField, "/name"),
 		Entry("no port", `"127.0.0.1:8010"`, `"127.0.0.1"`, result.FileField, "/listen"),
 		Entry("unknown field", `"listen"`, `"lisen"`, result.FileField, "lis"),
--- a/internal/relay/config/golden_test.go
+++ b/internal/relay/config/golden_test.go
@@ -6,7 +6,8 @@
 	"foxcross.dev/foxcross/internal/testing/golden"
 )
 
-// TestGoldenSchemas holds what operators may write in settings files.
+// TestGoldenSchemas compares the schemas of the settings files with the recorded ones, which
+// operators' files rely on.
 func TestGoldenSchemas(t *testing.T) {
 	golden.Compare(t, "entry.schema.golden", string(entrySchema))
 	golden.Compare(t, "agent.schema.golden", string(agentSchema))
--- a/internal/relay/config/page_test.go
+++ b/internal/relay/config/page_test.go
@@ -20,9 +20,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// rows returns the default of each field that the page's table of a program
-// names. A row may name several fields, with as many defaults.
-func rows(program string) map[string]string {
+// documentedDefaults returns the default of each field in the page's table of a program. A
+// row may name several fields, with as many defaults.
+func documentedDefaults(program string) map[string]string {
 	data, err := os.ReadFile("../../../docs/SETTINGS.md")
 	Expect(err).NotTo(HaveOccurred())
 	_, table, _ := strings.Cut(string(data), "| "+program+" | unit |")
@@ -39,18 +39,18 @@
 	return all
 }
 
-// leaves returns the names of a file's fields as the page writes them.
-func leaves(t reflect.Type, prefix string) []string {
+// fieldPaths returns the paths of a file's fields as the page writes them.
+func fieldPaths(t reflect.Type, prefix string) []string {
 	var all []string
 	for n := range t.NumField() {
 		f := t.Field(n)
 		name, _, _ := strings.Cut(f.Tag.Get("json"), ",")
 		switch f.Type.Kind() {
 		case reflect.Struct:
-			all = append(all, leaves(f.Type, prefix+name+".")...)
+			all = append(all, fieldPaths(f.Type, prefix+name+".")...)
 		case reflect.Slice:
 			if f.Type.Elem().Kind() == reflect.Struct {
-				all = append(all, leaves(f.Type.Elem(), prefix+name+"[].")...)
+				all = append(all, fieldPaths(f.Type.Elem(), prefix+name+"[].")...)
 				continue
 			}
 			all = append(all, prefix+name)
@@ -61,14 +61,14 @@
 	return all
 }
 
-var _ = DescribeTable("docs/SETTINGS.md has every field of a file and no other, with its default",
+var _ = DescribeTable("docs/SETTINGS.md lists exactly the fields of a file, with their defaults",
 	func(program string, file reflect.Type, defaults map[string]any) {
-		page := rows(program)
+		page := documentedDefaults(program)
 		var names []string
 		for name := range page {
 			names = append(names, name)
 		}
-		Expect(names).To(ConsistOf(leaves(file, "")))
+		Expect(names).To(ConsistOf(fieldPaths(file, "")))
 		for name, v := range defaults {
 			if d, ok := v.(time.Duration); ok {
 				v = d.Milliseconds()
