--- a/internal/relay/link/codec.go
+++ b/internal/relay/link/codec.go
@@ -11,20 +11,20 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// MaxFrame is the largest frame in bytes: the longest body of a caller and room for what goes
-// with it.
+// MaxFrame is the largest frame in bytes: the largest body of a caller, and space for the
+// other fields of its message.
 const MaxFrame = 12 << 20
 
-// errFrameTooLarge ends a stream whose peer breaks the bound.
+// errFrameTooLarge means that a peer has sent a frame larger than MaxFrame.
 var errFrameTooLarge = errors.New("link: frame too large")
 
-// firstTag is the CBOR tag of the first message type; the others follow. The
-// range is in the part that RFC 8949 leaves to first come, first served.
+// firstTag is the CBOR tag of the first message type; the others have the following tags. The
+// range is in the one that RFC 8949 assigns first come, first served.
 const firstTag = 58100
 
-// frames lists the message types in the order of their tags. Add new ones at
-// the end only.
-var frames = []message.Message{
+// messageTypes lists the message types in the order of their tags. Add new types only at
+// the end.
+var messageTypes = []message.Message{
 	message.Hello{},
 	message.Offer{},
 	message.Ready{},
@@ -46,7 +46,7 @@
 
 func modes() (cbor.EncMode, cbor.DecMode) {
 	tags := cbor.NewTagSet()
-	for n, m := range frames {
+	for n, m := range messageTypes {
 		err := tags.Add(
 			cbor.TagOptions{DecTag: cbor.DecTagRequired, EncTag: cbor.EncTagRequired},
 			reflect.TypeOf(m), uint64(firstTag+n))
@@ -65,7 +65,7 @@
 	return enc, dec
 }
 
-// Encode returns the frame of a message.
+// Encode returns a message as a frame.
 func Encode(m message.Message) ([]byte, error) {
 	data, err := encMode.Marshal(m)
 	if err != nil {
@@ -74,19 +74,19 @@
 	return data, nil
 }
 
-// decoder reads frames from a stream.
+// decoder reads messageTypes from a stream.
 type decoder struct {
-	bound *boundReader
-	cbor  *cbor.Decoder
+	limited *limitedReader
+	cbor    *cbor.Decoder
 }
 
 func newDecoder(r io.Reader) *decoder {
-	b := &boundReader{reader: r}
-	return &decoder{bound: b, cbor: decMode.NewDecoder(b)}
+	l := &limitedReader{reader: r}
+	return &decoder{limited: l, cbor: decMode.NewDecoder(l)}
 }
 
 func (d *decoder) next() (message.Message, error) {
-	d.bound.left = MaxFrame
+	d.limited.remaining = MaxFrame
 	var v any
 	if err := d.cbor.Decode(&v); err != nil {
 		return nil, err
@@ -98,17 +98,17 @@
 	return m, nil
 }
 
-// boundReader fails once a frame has taken more than its bound.
-type boundReader struct {
-	reader io.Reader
-	left   int
+// limitedReader fails once a frame exceeds MaxFrame.
+type limitedReader struct {
+	reader    io.Reader
+	remaining int
 }
 
-func (b *boundReader) Read(p []byte) (int, error) {
-	if b.left <= 0 {
+func (r *limitedReader) Read(p []byte) (int, error) {
+	if r.remaining <= 0 {
 		return 0, errFrameTooLarge
 	}
-	n, err := b.reader.Read(p)
-	b.left -= n
+	n, err := r.reader.Read(p)
+	r.remaining -= n
 	return n, err
 }
--- a/internal/relay/link/codec_test.go
+++ b/internal/relay/link/codec_test.go
@@ -7,10 +7,10 @@
 	"foxcross.dev/coord/message"
 )
 
-// FuzzDecode feeds any bytes as frames: each gives a message or an error, and a
-// message that was read can be written and read again.
+// FuzzDecode decodes arbitrary bytes as frames. Each frame must give a message or an error,
+// and a decoded message must encode and decode again.
 func FuzzDecode(f *testing.F) {
-	for _, m := range frames {
+	for _, m := range messageTypes {
 		data, err := Encode(m)
 		if err != nil {
 			f.Fatal(err)
@@ -26,17 +26,17 @@
 			if err != nil {
 				return
 			}
-			again(t, m)
+			checkRoundTrip(t, m)
 		}
 	})
 }
 
-func again(t *testing.T, m message.Message) {
+func checkRoundTrip(t *testing.T, m message.Message) {
 	data, err := Encode(m)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := newDecoder(bytes.NewReader(data)).next(); err != nil {
-		t.Fatalf("%T was written and not read: %v", m, err)
+		t.Fatalf("%T was encoded but can't be decoded: %v", m, err)
 	}
 }
--- a/internal/relay/link/link.go
+++ b/internal/relay/link/link.go
@@ -1,6 +1,6 @@
-// Package link carries messages between entries and agents: one connection
-// with a control stream, and one stream per attempt. Processes use QUIC; tests in
-// virtual time use internal/testing/memlink.
+// Package link transports messages between entries and agents. A connection has one control
+// stream, and one stream for each attempt. Processes use QUIC; tests in virtual time use
+// internal/testing/memlink.
 package link
 
 import (
@@ -10,31 +10,31 @@
 	"foxcross.dev/coord/message"
 )
 
-// Stream carries the messages of one attempt, in order.
+// Stream transports the messages of one attempt in order.
 type Stream interface {
 	// Send blocks while the peer does not read.
 	Send(message.Message) error
 	Receive() (message.Message, error)
-	// CloseSend says that nothing more is sent.
+	// CloseSend ends the sending direction.
 	CloseSend() error
-	// Reset ends both directions at once.
+	// Reset aborts both directions immediately.
 	Reset()
 }
 
-// Session is one connection.
+// Session is a connection.
 type Session interface {
-	// Control is the stream of control messages.
+	// Control returns the stream of control messages.
 	Control() Stream
 	Open(context.Context) (Stream, error)
 	Accept(context.Context) (Stream, error)
-	// Trip is the round trip time, or 0 while unknown.
+	// Trip returns the round-trip time, or 0 while it is unknown.
 	Trip() time.Duration
-	// Done is closed when the connection is gone.
+	// Done returns a channel that is closed when the connection is closed.
 	Done() <-chan struct{}
 	Close()
 }
 
-// Listener takes connections.
+// Listener accepts connections.
 type Listener interface {
 	Accept(context.Context) (Session, error)
 	Address() string
--- a/internal/relay/link/link_test.go
+++ b/internal/relay/link/link_test.go
@@ -37,7 +37,7 @@
 }
 
 var _ = Describe("Encode", func() {
-	It("keeps the frames of former versions readable", func() {
+	It("matches the recorded frames of earlier versions", func() {
 		var lines []string
 		for _, m := range samples {
 			data, err := link.Encode(m)
@@ -55,7 +55,7 @@
 	})
 })
 
-// tlsFor returns settings of a process signed by an authority.
+// tlsFor returns TLS settings with a certificate signed by an authority.
 func tlsFor(a *keys.Authority) *tls.Config {
 	p, err := a.Issue("p", time.Now(), time.Hour)
 	Expect(err).NotTo(HaveOccurred())
@@ -93,45 +93,45 @@
 		return d.Dial(ctx, address)
 	}
 
-	It("carries every message whole, in order", func() {
+	It("transports every message unchanged and in order", func() {
 		a := authority()
 		l := listen(a)
-		near, err := dial(a, l.Address())
+		client, err := dial(a, l.Address())
 		Expect(err).NotTo(HaveOccurred())
-		Expect(near.Control().Send(samples[0])).To(Succeed())
-		far, err := l.Accept(ctx)
+		Expect(client.Control().Send(samples[0])).To(Succeed())
+		server, err := l.Accept(ctx)
 		Expect(err).NotTo(HaveOccurred())
 		for n, m := range samples {
 			if n > 0 {
-				Expect(near.Control().Send(m)).To(Succeed())
+				Expect(client.Control().Send(m)).To(Succeed())
 			}
-			Expect(far.Control().Receive()).To(Equal(m))
+			Expect(server.Control().Receive()).To(Equal(m))
 		}
 	})
 
-	It("carries a body of eight megabytes on a stream of its own", func() {
+	It("transports a body of eight megabytes on a separate stream", func() {
 		a := authority()
 		l := listen(a)
-		near, err := dial(a, l.Address())
+		client, err := dial(a, l.Address())
 		Expect(err).NotTo(HaveOccurred())
-		Expect(near.Control().Send(samples[0])).To(Succeed())
-		far, err := l.Accept(ctx)
+		Expect(client.Control().Send(samples[0])).To(Succeed())
+		server, err := l.Accept(ctx)
 		Expect(err).NotTo(HaveOccurred())
-		st, err := near.Open(ctx)
+		st, err := client.Open(ctx)
 		Expect(err).NotTo(HaveOccurred())
 		large := message.Start{Request: 1, Attempt: 1, Body: make([]byte, 8<<20)}
 		go func() {
 			defer GinkgoRecover()
 			Expect(st.Send(large)).To(Succeed())
 		}()
-		other, err := far.Accept(ctx)
+		other, err := server.Accept(ctx)
 		Expect(err).NotTo(HaveOccurred())
 		m, err := other.Receive()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(m.(message.Start).Body).To(HaveLen(8 << 20))
 	})
 
-	It("refuses a process that another authority has signed", func() {
+	It("refuses a certificate signed by another authority", func() {
 		l := listen(authority())
 		s, err := dial(authority(), l.Address())
 		if err != nil {
--- a/internal/relay/link/quic.go
+++ b/internal/relay/link/quic.go
@@ -13,26 +13,26 @@
 	"github.com/quic-go/quic-go"
 )
 
-// IdleTimeout ends a connection that brings nothing for so long, keep-alives included. Two
-// lost keep-alives and a slow one.
+// IdleTimeout is how long a connection stays open without any packet from the peer, keep-alives
+// included. It covers two lost keep-alives and a delayed one.
 const IdleTimeout = 5 * time.Second
 
 const (
-	protocol = "foxcross/1" // ALPN
-	// keepAlive is the time between two probes of a connection without traffic.
+	alpnProtocol = "foxcross/1" // for ALPN, the TLS negotiation of the application protocol
+	// keepAlive is the time between two keep-alives of a connection without traffic.
 	keepAlive = 2 * time.Second
-	// handshake bounds the set-up of a connection.
-	handshake = 3 * time.Second
-	// maxStreams bounds the attempts that run at one agent for one entry.
+	// handshakeTimeout bounds setting up a connection.
+	handshakeTimeout = 3 * time.Second
+	// maxStreams is the maximum number of open attempts from one entry at one agent.
 	maxStreams = 1 << 14
-	// Error codes of the protocol.
+	// Application error codes.
 	closeNormal     = quic.ApplicationErrorCode(0)
 	streamCancelled = quic.StreamErrorCode(1)
 )
 
 func quicConfig() *quic.Config {
 	return &quic.Config{
-		HandshakeIdleTimeout:       handshake,
+		HandshakeIdleTimeout:       handshakeTimeout,
 		MaxIdleTimeout:             IdleTimeout,
 		KeepAlivePeriod:            keepAlive,
 		MaxIncomingStreams:         maxStreams,
@@ -43,7 +43,7 @@
 
 func withProtocol(c *tls.Config) *tls.Config {
 	own := c.Clone()
-	own.NextProtos = []string{protocol}
+	own.NextProtos = []string{alpnProtocol}
 	return own
 }
 
@@ -61,28 +61,28 @@
 	return &QUICListener{l}, nil
 }
 
-// Accept returns the next connection whose control stream is open.
+// Accept returns the next connection with an open control stream.
 func (l *QUICListener) Accept(ctx context.Context) (Session, error) {
 	for {
 		conn, err := l.listener.Accept(ctx)
 		if err != nil {
 			return nil, fmt.Errorf("link: accept: %w", err)
 		}
-		wait, cancel := context.WithTimeout(ctx, handshake)
-		control, err := conn.AcceptStream(wait)
+		acceptCtx, cancel := context.WithTimeout(ctx, handshakeTimeout)
+		control, err := conn.AcceptStream(acceptCtx)
 		cancel()
 		if err != nil {
-			_ = conn.CloseWithError(closeNormal, "no control stream") // it is given up
+			_ = conn.CloseWithError(closeNormal, "no control stream") // the connection is discarded anyway
 			continue
 		}
 		return &quicSession{conn: conn, control: newQUICStream(control)}, nil
 	}
 }
 
-// Address returns the address that is listened on.
+// Address returns the listener's local address.
 func (l *QUICListener) Address() string { return l.listener.Addr().String() }
 
-// Close stops listening; open connections stay.
+// Close stops listening. Open connections stay open.
 func (l *QUICListener) Close() error { return l.listener.Close() }
 
 // QUICDialer opens QUIC connections from one UDP socket.
@@ -91,7 +91,7 @@
 	tls       *tls.Config
 }
 
-// NewQUICDialer returns a dialer with a socket of its own.
+// NewQUICDialer returns a dialer with a new UDP socket.
 func NewQUICDialer(c *tls.Config) (*QUICDialer, error) {
 	socket, err := net.ListenUDP("udp", nil)
 	if err != nil {
@@ -100,29 +100,29 @@
 	return &QUICDialer{transport: &quic.Transport{Conn: socket}, tls: withProtocol(c)}, nil
 }
 
-// Dial opens a connection and its control stream. The peer sees the control
-// stream with the first message.
+// Dial opens a connection and its control stream. The peer accepts the control stream
+// when the first message arrives.
 func (d *QUICDialer) Dial(ctx context.Context, address string) (Session, error) {
-	to, err := net.ResolveUDPAddr("udp", address)
+	udpAddress, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
 		return nil, fmt.Errorf("link: address %s: %w", address, err)
 	}
-	conn, err := d.transport.Dial(ctx, to, d.tls, quicConfig())
+	conn, err := d.transport.Dial(ctx, udpAddress, d.tls, quicConfig())
 	if err != nil {
 		return nil, fmt.Errorf("link: dial %s: %w", address, err)
 	}
 	control, err := conn.OpenStreamSync(ctx)
 	if err != nil {
-		_ = conn.CloseWithError(closeNormal, "no control stream") // it is given up
+		_ = conn.CloseWithError(closeNormal, "no control stream") // the connection is discarded anyway
 		return nil, fmt.Errorf("link: control stream to %s: %w", address, err)
 	}
 	return &quicSession{conn: conn, control: newQUICStream(control)}, nil
 }
 
-// Close ends all connections of the dialer.
+// Close closes the dialer's socket and all its connections.
 func (d *QUICDialer) Close() error {
 	err := d.transport.Close()
-	_ = d.transport.Conn.Close() // the transport has used it last
+	_ = d.transport.Conn.Close() // the transport no longer uses the socket
 	return err
 }
 
@@ -151,12 +151,12 @@
 
 func (s *quicSession) Trip() time.Duration   { return s.conn.ConnectionStats().SmoothedRTT }
 func (s *quicSession) Done() <-chan struct{} { return s.conn.Context().Done() }
-func (s *quicSession) Close()                { _ = s.conn.CloseWithError(closeNormal, "") } // it may be closed already
+func (s *quicSession) Close()                { _ = s.conn.CloseWithError(closeNormal, "") } // the connection may be closed already
 
 type quicStream struct {
 	stream  *quic.Stream
 	decoder *decoder
-	sending sync.Mutex // one frame is written at a time
+	sendMu  sync.Mutex // serialises frames
 }
 
 func newQUICStream(s *quic.Stream) *quicStream {
@@ -168,8 +168,8 @@
 	if err != nil {
 		return err
 	}
-	s.sending.Lock()
-	defer s.sending.Unlock()
+	s.sendMu.Lock()
+	defer s.sendMu.Unlock()
 	if _, err := s.stream.Write(data); err != nil {
 		return fmt.Errorf("link: send %T: %w", m, err)
 	}
@@ -179,8 +179,8 @@
 func (s *quicStream) Receive() (message.Message, error) { return s.decoder.next() }
 
 func (s *quicStream) CloseSend() error {
-	s.sending.Lock()
-	defer s.sending.Unlock()
+	s.sendMu.Lock()
+	defer s.sendMu.Unlock()
 	return s.stream.Close()
 }
 
--- a/internal/relay/link/settings.go
+++ b/internal/relay/link/settings.go
@@ -7,7 +7,7 @@
 	"foxcross.dev/coord/message"
 )
 
-// FetchSettings asks the peer for a settings version on a stream of its own.
+// FetchSettings requests a settings version from the peer on a separate stream.
 func FetchSettings(ctx context.Context, s Session, q message.SettingsRequest) (message.SettingsReply, error) {
 	st, err := s.Open(ctx)
 	if err != nil {
@@ -30,7 +30,7 @@
 	return reply, nil
 }
 
-// ServeSettings answers the request that a peer sends on a stream of its own.
+// ServeSettings replies to the settings request that a peer sends on a separate stream.
 func ServeSettings(st Stream, reply func(message.SettingsRequest) message.SettingsReply) {
 	m, err := st.Receive()
 	q, ok := m.(message.SettingsRequest)
@@ -38,6 +38,6 @@
 		st.Reset()
 		return
 	}
-	_ = st.Send(reply(q)) // a lost reply is asked for again
-	_ = st.CloseSend()    // the peer may be gone
+	_ = st.Send(reply(q)) // the peer repeats the request if the reply is lost
+	_ = st.CloseSend()    // the peer may have disconnected
 }
