--- a/internal/relay/kv/httpkv/client.go
+++ b/internal/relay/kv/httpkv/client.go
@@ -1,8 +1,8 @@
-// Package httpkv is the platform driver "http": a key-value service and a
-// member list over plain HTTP. A value is the body of GET and PUT under
-// ValuePath; its revision is in RevisionField. PUT stores only on the revision
-// it names; 409 means it has changed, 404 that there is none, 503 that nothing
-// was done. GET with the query "after" waits for a later revision.
+// Package httpkv implements the platform driver "http": a key-value service and a member
+// list over plain HTTP. A value is the body of GET and PUT under ValuePath; its revision is
+// in RevisionField. PUT stores the value only if the stored one has the given revision.
+// Status 409 means that it has changed, 404 that there is no value, 503 that nothing was
+// done. GET with the query parameter "after" waits for a later revision.
 package httpkv
 
 import (
@@ -22,7 +22,7 @@
 	"foxcross.dev/foxcross/internal/storeerr"
 )
 
-// The protocol's paths and field.
+// Paths and header field of the protocol.
 const (
 	ValuePath     = "/v1/values/"
 	MembersPath   = "/v1/members"
@@ -30,13 +30,13 @@
 )
 
 const (
-	// callTimeout bounds a call that does not wait.
+	// callTimeout bounds a call other than a watch.
 	callTimeout = 5 * time.Second
-	// dialTimeout bounds a new connection.
+	// dialTimeout bounds setting up a connection.
 	dialTimeout = 2 * time.Second
-	// maxAnswer bounds an answer, in bytes: a value is a megabyte at the most, a list of keys
+	// maxResponseBytes bounds a response body. A value takes at most a megabyte; a list of keys
 	// may be longer.
-	maxAnswer = 16 << 20
+	maxResponseBytes = 16 << 20
 )
 
 func init() { kv.Drivers.Register("http", New) }
@@ -46,7 +46,7 @@
 	http *http.Client
 }
 
-// New returns a client of the service at a base URL.
+// New returns a client for the service at a base URL.
 func New(address string) (kv.Platform, error) {
 	base, err := url.Parse(address)
 	if err != nil || base.Host == "" {
@@ -56,57 +56,57 @@
 	return &client{base: base, http: &http.Client{Transport: transport}}, nil
 }
 
-// question is one call.
-type question struct {
+// call holds the parameters of a call.
+type call struct {
 	method   string
 	path     string
 	query    url.Values
 	body     []byte // nil for none
-	revision uint64 // that a swap names
+	revision uint64 // expected by a swap
 }
 
-// answer is the part of an HTTP answer that the client needs.
-type answer struct {
+// reply holds the body and the revision of a response.
+type reply struct {
 	body     []byte
 	revision uint64
 }
 
-// call makes one call. An error before a connection means that nothing was
-// done; any later one leaves the outcome open.
-func (c *client) call(ctx context.Context, q question) (answer, error) {
-	to := c.base.JoinPath(q.path)
-	to.RawQuery = q.query.Encode()
+// do makes one call. An error before a connection is set up means that nothing was done.
+// After any later error the outcome is unknown.
+func (c *client) do(ctx context.Context, q call) (reply, error) {
+	target := c.base.JoinPath(q.path)
+	target.RawQuery = q.query.Encode()
 	var reader io.Reader
 	if q.body != nil {
-		reader = struct{ io.Reader }{bytes.NewReader(q.body)} // never sent twice by the library
+		reader = struct{ io.Reader }{bytes.NewReader(q.body)} // hides the type, so that net/http can't resend the body
 	}
-	request, err := http.NewRequestWithContext(ctx, q.method, to.String(), reader)
+	request, err := http.NewRequestWithContext(ctx, q.method, target.String(), reader)
 	if err != nil {
-		return answer{}, err
+		return reply{}, err
 	}
 	request.Header.Set(RevisionField, strconv.FormatUint(q.revision, 10))
 	response, err := c.http.Do(request)
 	var dial *net.OpError
 	if errors.As(err, &dial) && dial.Op == "dial" {
-		return answer{}, fmt.Errorf("%w: %v", storeerr.ErrUnavailable, err)
+		return reply{}, fmt.Errorf("%w: %v", storeerr.ErrUnavailable, err)
 	}
 	if err != nil {
-		return answer{}, err
+		return reply{}, err
 	}
 	defer func() { _ = response.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
-		return answer{}, err
+		return reply{}, err
 	}
-	number, _ := strconv.ParseUint(response.Header.Get(RevisionField), 10, 64) // absent is 0
-	return answer{body: data, revision: number}, statusError(response.StatusCode)
+	number, _ := strconv.ParseUint(response.Header.Get(RevisionField), 10, 64) // 0 if absent
+	return reply{body: data, revision: number}, statusError(response.StatusCode)
 }
 
-// brief is call within callTimeout.
-func (c *client) brief(ctx context.Context, q question) (answer, error) {
+// doWithTimeout is do within callTimeout.
+func (c *client) doWithTimeout(ctx context.Context, q call) (reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	return c.call(ctx, q)
+	return c.do(ctx, q)
 }
 
 func statusError(status int) error {
@@ -124,15 +124,15 @@
 	}
 }
 
-// Get returns a value.
+// Get implements kv.KeyValue.
 func (c *client) Get(ctx context.Context, key string) (kv.Value, error) {
-	a, err := c.brief(ctx, question{method: http.MethodGet, path: ValuePath + key})
+	a, err := c.doWithTimeout(ctx, call{method: http.MethodGet, path: ValuePath + key})
 	return kv.Value{Data: a.body, Revision: a.revision}, err
 }
 
-// Members returns the member list.
+// Members implements kv.Members.
 func (c *client) Members(ctx context.Context) ([]kv.Member, error) {
-	a, err := c.brief(ctx, question{method: http.MethodGet, path: MembersPath})
+	a, err := c.doWithTimeout(ctx, call{method: http.MethodGet, path: MembersPath})
 	if err != nil {
 		return nil, err
 	}
@@ -141,18 +141,18 @@
 	return members, err
 }
 
-// Swap stores a value on a revision.
+// Swap implements kv.KeyValue.
 func (c *client) Swap(ctx context.Context, key string, data []byte, revision uint64) (uint64, error) {
 	if data == nil {
 		data = []byte{}
 	}
-	a, err := c.brief(ctx, question{method: http.MethodPut, path: ValuePath + key, body: data, revision: revision})
+	a, err := c.doWithTimeout(ctx, call{method: http.MethodPut, path: ValuePath + key, body: data, revision: revision})
 	return a.revision, err
 }
 
-// Watch waits for a later revision, for as long as ctx allows.
+// Watch implements kv.KeyValue. It waits until ctx is done.
 func (c *client) Watch(ctx context.Context, key string, after uint64) (kv.Value, error) {
 	query := url.Values{"after": {strconv.FormatUint(after, 10)}}
-	a, err := c.call(ctx, question{method: http.MethodGet, path: ValuePath + key, query: query})
+	a, err := c.do(ctx, call{method: http.MethodGet, path: ValuePath + key, query: query})
 	return kv.Value{Data: a.body, Revision: a.revision}, err
 }
