--- a/internal/relay/kv/kv.go
+++ b/internal/relay/kv/kv.go
@@ -1,5 +1,5 @@
-// Package kv describes what the platform gives: a key-value service and
-// a list of instances. Drivers for real ones register themselves.
+// Package kv defines the services that the platform provides: a key-value store and a list
+// of instances. Drivers register themselves.
 package kv
 
 import (
@@ -9,12 +9,12 @@
 	"foxcross.dev/foxcross/internal/kernel"
 )
 
-// ErrConflict means that the value has changed since the revision that a swap
-// names. The other errors are those of package storeerr. Any other error of a swap
-// means that its outcome is not known.
+// ErrConflict means that the value has changed since the revision given to a swap. Other
+// known errors are those of package storeerr. After any other error of a swap its outcome
+// is unknown.
 var ErrConflict = errors.New("kv: the value has changed")
 
-// Value is a stored value and its revision, which rises with each change.
+// Value is a stored value and its revision, which increases with each change.
 type Value struct {
 	Data     []byte
 	Revision uint64
@@ -22,25 +22,26 @@
 
 // KeyValue is the platform's key-value service.
 type KeyValue interface {
-	// Get returns storeerr.ErrNotFound where there is no value.
+	// Get returns storeerr.ErrNotFound if there is no value.
 	Get(ctx context.Context, key string) (Value, error)
-	// Swap stores data if the value still has the revision, 0 for no value. It
-	// returns ErrConflict if not; storeerr.ErrUnavailable only if nothing was stored.
+	// Swap stores data if the value still has the revision; revision 0 stands for no value.
+	// It returns ErrConflict if the revision differs, and storeerr.ErrUnavailable only if
+	// nothing was stored.
 	Swap(ctx context.Context, key string, data []byte, revision uint64) (uint64, error)
-	// Watch waits until the value has a later revision.
+	// Watch blocks until the value has a revision later than after.
 	Watch(ctx context.Context, key string, after uint64) (Value, error)
 }
 
-// Role is what an instance runs.
+// Role is the kind of process that an instance runs.
 type Role string
 
-// The roles.
+// Roles of instances.
 const (
 	Entry Role = "entry"
 	Agent Role = "agent"
 )
 
-// Member is one instance of the platform's list. The list lags.
+// Member is an instance in the platform's list. The list may be out of date.
 type Member struct {
 	Name       string `json:"name"`
 	Role       Role   `json:"role"`
@@ -54,14 +55,14 @@
 	Members(ctx context.Context) ([]Member, error)
 }
 
-// Platform is both.
+// Platform combines the services of a platform.
 type Platform interface {
 	KeyValue
 	Members
 }
 
-// Factory makes a platform client for an address.
+// Factory creates a platform client for an address.
 type Factory func(address string) (Platform, error)
 
-// Drivers are the registered platform drivers.
+// Drivers holds the registered platform drivers.
 var Drivers kernel.Registry[Factory]
