--- a/internal/relay/keys/keys.go
+++ b/internal/relay/keys/keys.go
@@ -1,5 +1,5 @@
-// Package keys makes and loads the certificates that foxcross's processes show
-// each other.
+// Package keys creates and loads the certificates with which foxcross's processes
+// authenticate each other.
 package keys
 
 import (
@@ -17,37 +17,36 @@
 	"time"
 )
 
-// ServerName is the name that every process's certificate bears: who a process
-// is follows from the authority that signed it, not from its address.
+// ServerName is the DNS name in every process's certificate. A process is authenticated by
+// the authority that signed its certificate, not by its address.
 const ServerName = "foxcross.internal"
 
 const (
-	// clockSkew is how far before now a certificate starts to be valid.
+	// clockSkew is how long before the time of issue a certificate becomes valid.
 	clockSkew = time.Hour
-	// serialBits is the length of a random serial number, within the 160 bits of RFC
-	// 5280, 4.1.2.2.
+	// serialBits is the length of a random serial number. RFC 5280, 4.1.2.2 allows 160 bits.
 	serialBits = 120
 )
 
-// Authority signs certificates of processes.
+// Authority is a certificate authority for processes.
 type Authority struct {
 	certificate *x509.Certificate
 	key         *ecdsa.PrivateKey
 }
 
-// Pair is a certificate and its key in PEM form.
+// Pair is a certificate and its key in PEM format.
 type Pair struct {
 	Certificate []byte
 	Key         []byte
 }
 
-// NewAuthority makes an authority that is valid for a time.
-func NewAuthority(now time.Time, life time.Duration) (*Authority, error) {
+// NewAuthority creates an authority that is valid for a limited time from now.
+func NewAuthority(now time.Time, validity time.Duration) (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, fmt.Errorf("keys: %w", err)
 	}
-	template := template("foxcross authority", now, life)
+	template := template("foxcross authority", now, validity)
 	template.IsCA = true
 	template.BasicConstraintsValid = true
 	template.KeyUsage = x509.KeyUsageCertSign
@@ -62,20 +61,20 @@
 	return &Authority{certificate, key}, nil
 }
 
-func template(name string, now time.Time, life time.Duration) *x509.Certificate {
+func template(name string, now time.Time, validity time.Duration) *x509.Certificate {
 	serial, _ := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits)) // never fails
 	return &x509.Certificate{
 		SerialNumber: serial,
 		Subject:      pkix.Name{CommonName: name},
 		NotBefore:    now.Add(-clockSkew),
-		NotAfter:     now.Add(life),
+		NotAfter:     now.Add(validity),
 	}
 }
 
-// Certificate returns the authority's certificate in PEM form.
+// Certificate returns the authority's certificate in PEM format.
 func (a *Authority) Certificate() []byte { return encode("CERTIFICATE", a.certificate.Raw) }
 
-// KeyPair returns the authority's certificate and key in PEM form.
+// KeyPair returns the authority's certificate and key in PEM format.
 func (a *Authority) KeyPair() (Pair, error) {
 	key, err := x509.MarshalECPrivateKey(a.key)
 	if err != nil {
@@ -84,7 +83,7 @@
 	return Pair{Certificate: a.Certificate(), Key: encode("EC PRIVATE KEY", key)}, nil
 }
 
-// LoadAuthority reads what KeyPair returned.
+// LoadAuthority parses an authority from the pair returned by KeyPair.
 func LoadAuthority(p Pair) (*Authority, error) {
 	pair, err := tls.X509KeyPair(p.Certificate, p.Key)
 	if err != nil {
@@ -101,13 +100,13 @@
 	return &Authority{certificate, key}, nil
 }
 
-// Issue makes a certificate for a process.
-func (a *Authority) Issue(name string, now time.Time, life time.Duration) (Pair, error) {
+// Issue creates a certificate for a process.
+func (a *Authority) Issue(name string, now time.Time, validity time.Duration) (Pair, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return Pair{}, fmt.Errorf("keys: %w", err)
 	}
-	template := template(name, now, life)
+	template := template(name, now, validity)
 	template.DNSNames = []string{ServerName}
 	template.KeyUsage = x509.KeyUsageDigitalSignature
 	template.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}
@@ -126,20 +125,20 @@
 	return pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der})
 }
 
-// Config returns TLS settings for both directions: the process shows its
-// certificate and trusts what the authorities have signed. The files may hold
-// several authorities while one replaces another.
+// Config returns TLS settings for servers and clients. The process presents its certificate
+// and trusts those signed by the authorities. There may be several authorities while one
+// replaces another.
 func Config(authorities []byte, p Pair) (*tls.Config, error) {
 	trusted := x509.NewCertPool()
 	if !trusted.AppendCertsFromPEM(authorities) {
 		return nil, errors.New("keys: no certificate of an authority")
 	}
-	own, err := tls.X509KeyPair(p.Certificate, p.Key)
+	certificate, err := tls.X509KeyPair(p.Certificate, p.Key)
 	if err != nil {
 		return nil, fmt.Errorf("keys: %w", err)
 	}
 	return &tls.Config{
-		Certificates: []tls.Certificate{own},
+		Certificates: []tls.Certificate{certificate},
 		RootCAs:      trusted,
 		ClientCAs:    trusted,
 		ClientAuth:   tls.RequireAndVerifyClientCert,
@@ -148,7 +147,7 @@
 	}, nil
 }
 
-// Files name the files of a process's certificates.
+// Files holds the paths of a process's certificate files.
 type Files struct {
 	Authorities string `json:"authorities"`
 	Certificate string `json:"certificate"`
