--- a/internal/relay/recent/recent.go
+++ b/internal/relay/recent/recent.go
@@ -1,18 +1,18 @@
-// Package recent keeps the last few values of a kind, for state dumps.
+// Package recent keeps the most recent values of a type for state dumps.
 package recent
 
-// Ring holds the last values that were added, up to its size. Create it with Of;
-// it is not safe for concurrent use.
+// Ring holds the most recently added values, up to its size. Create it with Of.
+// It is not safe for concurrent use.
 type Ring[T any] struct {
 	size   int
 	values []T
 	next   int // index of the oldest value, once the ring is full
 }
 
-// Of returns an empty ring of a size.
+// Of returns an empty ring with the given size.
 func Of[T any](size int) Ring[T] { return Ring[T]{size: size} }
 
-// Add keeps a value. A full ring drops its oldest one.
+// Add adds a value. A full ring drops its oldest value.
 func (r *Ring[T]) Add(v T) {
 	if len(r.values) < r.size {
 		r.values = append(r.values, v)
@@ -22,5 +22,5 @@
 	r.next = (r.next + 1) % r.size
 }
 
-// Values returns a copy of the values, in no fixed order; nil if there are none.
+// Values returns a copy of the values in no particular order, nil if there are none.
 func (r *Ring[T]) Values() []T { return append([]T(nil), r.values...) }
