--- a/internal/relay/admin/tree.go
+++ b/internal/relay/admin/tree.go
@@ -75,8 +75,8 @@
 	WriteJSON(w, tree)
 }
 
-// outcome is the response to a change.
-type outcome struct {
+// changeResult is the response to a change.
+type changeResult struct {
 	Version uint64                `json:"version"`
 	DryRun  bool                  `json:"dry_run,omitempty"`
 	Changes []settings.Difference `json:"changes"`
@@ -154,7 +154,7 @@
 		writeError(w, err)
 		return
 	}
-	o := outcome{Version: base, Changes: settings.Diff(old, tree)}
+	o := changeResult{Version: base, Changes: settings.Diff(old, tree)}
 	if r.URL.Query().Has("dry_run") {
 		o.DryRun = true
 		WriteJSON(w, o)
--- a/internal/relay/claims/claims.go
+++ b/internal/relay/claims/claims.go
@@ -53,9 +53,9 @@
 	Start      time.Time        // of the process; distinguishes its nonces from those of an earlier process
 }
 
-// pace returns the time between two swaps of a partition that keeps all entries together
-// within SwapsPerSecond.
-func (o *Options) pace() time.Duration {
+// swapInterval returns the time between two swaps of a partition. Unless Pace sets it, it
+// keeps all entries together within SwapsPerSecond.
+func (o *Options) swapInterval() time.Duration {
 	if o.Pace > 0 {
 		return o.Pace
 	}
--- a/internal/relay/claims/claims_test.go
+++ b/internal/relay/claims/claims_test.go
@@ -20,8 +20,8 @@
 
 // Kinds of operations in a history of claims.
 const (
-	claimStep   = "claim"
-	releaseStep = "release"
+	claimOperation   = "claim"
+	releaseOperation = "release"
 )
 
 // Outputs of claim operations.
@@ -31,8 +31,8 @@
 	unknown = "unknown"
 )
 
-// step is the input of an operation on a key.
-type step struct {
+// operation is a claim or a release of a key.
+type operation struct {
 	kind   string
 	key    int
 	client int
@@ -44,7 +44,7 @@
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byKey := map[int][]porcupine.Operation{}
 		for _, o := range history {
-			k := o.Input.(step).key
+			k := o.Input.(operation).key
 			byKey[k] = append(byKey[k], o)
 		}
 		var all [][]porcupine.Operation
@@ -55,11 +55,11 @@
 	},
 	Init: func() []any { return []any{0} },
 	Step: func(state, input, output any) []any {
-		owner, s := state.(int), input.(step)
+		owner, s := state.(int), input.(operation)
 		switch {
-		case s.kind == releaseStep && owner == s.client:
+		case s.kind == releaseOperation && owner == s.client:
 			return []any{0, owner}
-		case s.kind == releaseStep:
+		case s.kind == releaseOperation:
 			return []any{owner}
 		case output == granted && owner == 0:
 			return []any{s.client}
@@ -89,7 +89,7 @@
 	return r.clients
 }
 
-func (r *recorder) add(s step, output string, call, end int64) {
+func (r *recorder) add(s operation, output string, call, end int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.operations = append(r.operations, porcupine.Operation{
@@ -101,7 +101,7 @@
 func (r *recorder) claim(b *claims.Batcher, key int, wait time.Duration, release bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
 	defer cancel()
-	s := step{kind: claimStep, key: key, client: r.client()}
+	s := operation{kind: claimOperation, key: key, client: r.client()}
 	call := time.Now().UnixNano()
 	releaseKey, err := b.Claim(ctx, fmt.Sprint(key))
 	end := time.Now().UnixNano()
@@ -113,11 +113,11 @@
 		r.add(s, taken, call, end)
 	default:
 		r.add(s, unknown, call, math.MaxInt64)
-		s.kind = releaseStep
+		s.kind = releaseOperation
 		r.add(s, "", end, math.MaxInt64)
 	}
 	if err == nil && release {
-		s.kind = releaseStep
+		s.kind = releaseOperation
 		r.add(s, "", time.Now().UnixNano(), math.MaxInt64)
 		releaseKey()
 	}
@@ -165,8 +165,8 @@
 // TestCheckerFindsTwoOwners checks that the linearizability check can fail.
 func TestCheckerFindsTwoOwners(t *testing.T) {
 	history := []porcupine.Operation{
-		{ClientId: 1, Input: step{claimStep, 1, 1}, Output: granted, Call: 0, Return: 10},
-		{ClientId: 2, Input: step{claimStep, 1, 2}, Output: granted, Call: 20, Return: 30},
+		{ClientId: 1, Input: operation{claimOperation, 1, 1}, Output: granted, Call: 0, Return: 10},
+		{ClientId: 2, Input: operation{claimOperation, 1, 2}, Output: granted, Call: 20, Return: 30},
 	}
 	if porcupine.CheckOperations(model.ToModel(), history) {
 		t.Error("two owners of a key were not found")
--- a/internal/relay/claims/partition.go
+++ b/internal/relay/claims/partition.go
@@ -59,14 +59,14 @@
 			}
 		}
 		batch = p.fill(batch)
-		if err := p.step(ctx, batch); err != nil {
+		if err := p.storeBatch(ctx, batch); err != nil {
 			p.current = false
 			log.Debugf("A swap of %s failed: %v.", p.name, err)
 			batch = withoutCancelled(batch)
 		} else {
 			batch = nil
 		}
-		if !workers.Sleep(ctx, p.options.pace()) {
+		if !workers.Sleep(ctx, p.options.swapInterval()) {
 			return
 		}
 	}
@@ -105,10 +105,10 @@
 	return kept
 }
 
-// step reads the head if needed, rolls it over if due, and stores the batch. After an
+// storeBatch reads the head if needed, rolls it over if due, and stores the batch. After an
 // error the stored state is unknown. The same batch may be retried, since a claim that is
 // already stored is recognised by its nonce.
-func (p *partition) step(ctx context.Context, batch []*pendingClaim) error {
+func (p *partition) storeBatch(ctx context.Context, batch []*pendingClaim) error {
 	if err := p.read(ctx); err != nil {
 		return err
 	}
--- a/internal/relay/entry/agents.go
+++ b/internal/relay/entry/agents.go
@@ -169,8 +169,8 @@
 	}
 }
 
-// connected registers a new connection. It returns false if the agent was dropped
-// meanwhile.
+// connected registers a new connection. It returns false if the agent was dropped while
+// the connection was set up.
 func (e *Entry) connected(c *agentConn, s link.Session, h message.Hello) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/relay/entry/attempt.go
+++ b/internal/relay/entry/attempt.go
@@ -99,7 +99,7 @@
 		a.entry.attemptEnded(a.agent, a.streamFailed(err))
 		return
 	}
-	end := a.read(st)
+	end := a.forwardAnswer(st)
 	_ = st.CloseSend() // the agent may have disconnected
 	a.entry.attemptEnded(a.agent, end)
 }
@@ -126,8 +126,8 @@
 	}
 }
 
-// read forwards the answer until its end.
-func (a *attempt) read(st link.Stream) message.End {
+// forwardAnswer forwards the answer until its end.
+func (a *attempt) forwardAnswer(st link.Stream) message.End {
 	for {
 		m, err := st.Receive()
 		if err != nil {
--- a/internal/relay/versions/holder.go
+++ b/internal/relay/versions/holder.go
@@ -64,7 +64,7 @@
 // Adopt puts a version in force if it is newer than the one in force, complete and
 // valid. It reports whether it did.
 func (h *Holder) Adopt(r settings.Root, parts settings.Parts) (bool, error) {
-	held := h.merge(r, parts)
+	held := h.partsOf(r, parts)
 	if h.Carry {
 		if err := settings.Complete(r, held); err != nil {
 			return false, err
@@ -82,8 +82,8 @@
 	return h.setIfNewer(State{Root: r, Tree: tree, Snapshot: snapshot, parts: held}), nil
 }
 
-// merge returns the parts that the root names, from the new parts and those held.
-func (h *Holder) merge(r settings.Root, parts settings.Parts) settings.Parts {
+// partsOf returns the parts that the root names, from the new parts and those held.
+func (h *Holder) partsOf(r settings.Root, parts settings.Parts) settings.Parts {
 	old := h.State().parts
 	held := make(settings.Parts, len(r.Parts))
 	for _, hash := range r.Parts {
--- a/internal/relay/versions/store.go
+++ b/internal/relay/versions/store.go
@@ -149,7 +149,7 @@
 	}
 	id := s.NewID()
 	for range maxRebases {
-		newest, err := s.newest(ctx)
+		newest, err := s.readNewest(ctx)
 		if err != nil {
 			return settings.Root{}, err
 		}
@@ -170,28 +170,28 @@
 	return settings.Root{}, result.Errorf(result.SettingsConflict, "other changes kept coming first; try again")
 }
 
-// stored is a version read from the key-value service.
-type stored struct {
+// storedVersion is a version read from the key-value service.
+type storedVersion struct {
 	Root     settings.Root
 	Tree     settings.Tree
 	revision uint64 // of the root's value, 0 for none
 }
 
-// newest reads the version in force from the key-value service.
-func (s *Store) newest(ctx context.Context) (stored, error) {
+// readNewest reads the version in force from the key-value service.
+func (s *Store) readNewest(ctx context.Context) (storedVersion, error) {
 	v, err := s.KeyValue.Get(ctx, rootKey)
 	if errors.Is(err, storeerr.ErrNotFound) {
-		return stored{}, nil
+		return storedVersion{}, nil
 	}
 	if err != nil {
-		return stored{}, unavailable(err)
+		return storedVersion{}, unavailable(err)
 	}
 	r, err := parseRoot(v)
 	if err != nil {
-		return stored{}, err
+		return storedVersion{}, err
 	}
 	tree, err := s.treeOf(ctx, r)
-	return stored{Root: r, Tree: tree, revision: v.Revision}, err
+	return storedVersion{Root: r, Tree: tree, revision: v.Revision}, err
 }
 
 // unavailable wraps an error of the key-value service in its result code.
@@ -204,7 +204,7 @@
 	if err != nil {
 		return settings.Tree{}, unavailable(err)
 	}
-	return settings.Join(r, s.Holder.merge(r, parts))
+	return settings.Join(r, s.Holder.partsOf(r, parts))
 }
 
 // At returns the tree of a version, the newest or an older one.
@@ -247,7 +247,7 @@
 // replace puts a tree in force in place of the old version. It writes the parts, stores
 // the old root under its version number, and swaps the root. It returns kv.ErrConflict if
 // another change was stored first.
-func (s *Store) replace(ctx context.Context, old stored, t settings.Tree, r settings.Root) (settings.Root, error) {
+func (s *Store) replace(ctx context.Context, old storedVersion, t settings.Tree, r settings.Root) (settings.Root, error) {
 	if _, err := settings.Compile(t); err != nil {
 		return settings.Root{}, err
 	}
