--- a/internal/direct/upstream/conn.go
+++ b/internal/direct/upstream/conn.go
@@ -11,26 +11,27 @@
 	"time"
 )
 
-// readBuffer is the size of a connection's buffer, in bytes. The heads met so far fit in.
-const readBuffer = 4 << 10
+// readBufferSize is the size of a connection's read buffer, in bytes. Typical response headers
+// fit.
+const readBufferSize = 4 << 10
 
-// conn is one connection to an endpoint. It carries one request at a time.
+// conn is a connection to an endpoint. It carries one request at a time.
 type conn struct {
 	net.Conn
 	reader      *bufio.Reader
-	surplus     bool      // answers of other requests have come over it
-	usableUntil time.Time // while it is idle
+	mismatched  bool      // a response to another request was read from it
+	usableUntil time.Time // when idle
 }
 
 func newConn(n net.Conn) *conn {
-	return &conn{Conn: n, reader: bufio.NewReaderSize(n, readBuffer)}
+	return &conn{Conn: n, reader: bufio.NewReaderSize(n, readBufferSize)}
 }
 
-func (c *conn) close() { _ = c.Conn.Close() } // nothing depends on it any more
+func (c *conn) close() { _ = c.Conn.Close() } // the connection is not used again
 
-// openAndSilent tells whether an idle connection is open and has brought nothing that
-// nobody asked for. It asks the kernel without waiting.
-func (c *conn) openAndSilent() bool {
+// openWithoutData reports whether an idle connection is open and has received no
+// unsolicited data. It peeks at the socket without blocking.
+func (c *conn) openWithoutData() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -42,25 +43,25 @@
 	if err != nil {
 		return false
 	}
-	silent := false
+	noData := false
 	err = raw.Read(func(fd uintptr) bool {
-		var one [1]byte
-		_, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		silent = errors.Is(err, syscall.EAGAIN)
+		var buffer [1]byte
+		_, _, err := syscall.Recvfrom(int(fd), buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		noData = errors.Is(err, syscall.EAGAIN)
 		return true
 	})
-	return err == nil && silent
+	return err == nil && noData
 }
 
-// startIdle sets how long the connection may be idle, by the Keep-Alive field of the
-// last answer.
-func (c *conn) startIdle(now time.Time, h http.Header) {
-	idle := defaultIdle
+// setUsableUntil sets how long the connection may stay idle, from the Keep-Alive header of
+// the last response.
+func (c *conn) setUsableUntil(now time.Time, h http.Header) {
+	timeout := defaultIdleTimeout
 	for _, field := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		if seconds, err := strconv.Atoi(value); strings.EqualFold(name, "timeout") && err == nil && seconds >= 0 {
-			idle = time.Duration(idleShare * float64(seconds) * float64(time.Second))
+			timeout = time.Duration(idleTimeoutFactor * float64(seconds) * float64(time.Second))
 		}
 	}
-	c.usableUntil = now.Add(idle)
+	c.usableUntil = now.Add(timeout)
 }
--- a/internal/direct/upstream/crashed.go
+++ b/internal/direct/upstream/crashed.go
@@ -1,19 +1,20 @@
-// Whether an endpoint has crashed, or only a connection to it broke.
+// Tells a crashed endpoint from a single broken connection to it.
 //
-// Rule: after a connection broke with a request on it, one new connection is tried. If it is
-// refused nobody listens at the address any more: the endpoint has crashed. If it is taken the
-// endpoint lives, and the connection is kept for the next request. Anything else, above all
-// silence, tells nothing.
+// Rule: after a connection with a request in flight breaks, one new connection is dialed. If it
+// is refused, no process listens at the address: the endpoint has crashed. If it is accepted, the
+// endpoint is running, and the connection is kept for the next request. Any other result, above
+// all a timeout, is inconclusive and doesn't count as a crash.
 //
-// An answer without a length ends with its connection: if the endpoint is gone then, the answer is
-// taken for broken off, since a process that crashes closes its connections as one that has finished.
-// So is, wrongly, the last such answer of an endpoint that ends within the 2 ms of the try.
+// A response without a length ends with its connection. If the endpoint has crashed by then, the
+// response counts as truncated, since a crashing process closes its connections like one that has
+// finished. The last such response of an endpoint that exits within the 2 ms of the check wrongly
+// counts as truncated too.
 //
-// Inputs: the address, and when the connection broke.
+// Inputs: the address, and the time at which the connection broke.
 // Units: a connection.
-// Never: a try that ended before a connection broke tells that the endpoint lived when it did; an endpoint
-// that is silent or cut off counts as crashed. One that is up again before the try counts as
-// living; engines take seconds.
+// Never: a check that ended before a connection broke shows that the endpoint was running at that
+// time; an endpoint that doesn't respond or is cut off from the network counts as crashed. One
+// that has restarted before the check counts as running; engines take seconds to restart.
 
 package upstream
 
@@ -28,80 +29,84 @@
 )
 
 const (
-	// examineTimeout bounds the try. A refusal takes one way there and back, 2 ms between data
-	// centres; the request waits for it.
-	examineTimeout = 100 * time.Millisecond
-	// examinedFor is how long the answer holds for other requests that broke at the same
-	// endpoint. All connections to one that crashes break within 3 ms.
-	examinedFor = 200 * time.Millisecond
+	// crashCheckTimeout bounds the check, during which the request waits. A refusal takes one
+	// round trip, 2 ms between data centres.
+	crashCheckTimeout = 100 * time.Millisecond
+	// crashCheckValidity is how long the result applies to other broken connections of the same
+	// endpoint, from the start of the check. All connections to a crashing endpoint break within
+	// 3 ms.
+	crashCheckValidity = 200 * time.Millisecond
 )
 
-// examination is one try, by the first of the requests that broke at an endpoint.
-type examination struct {
-	done    chan struct{} // closed when the rest is set
-	begun   time.Time
-	ended   time.Time
-	crashed bool
+// crashCheck is a check of an endpoint, run by the first request whose connection broke.
+type crashCheck struct {
+	done      chan struct{} // closed when the other fields are set
+	startedAt time.Time
+	endedAt   time.Time
+	crashed   bool
 }
 
-// Crashed tells whether the endpoint has crashed, right after a connection to it broke at a time.
-func (p *Pool) Crashed(endpoint, address string, broke time.Time) bool {
-	x, own := p.examination(endpoint, broke)
-	if own {
-		x.crashed = p.refused(endpoint, address)
-		x.ended = steady.Now()
-		close(x.done)
+// Crashed reports whether the endpoint has crashed. It is called right after a connection to it
+// broke, at brokenAt.
+func (p *Pool) Crashed(endpoint, address string, brokenAt time.Time) bool {
+	k, created := p.crashCheck(endpoint, brokenAt)
+	if created {
+		k.crashed = p.refusesConnection(endpoint, address)
+		k.endedAt = steady.Now()
+		close(k.done)
 	}
-	<-x.done
-	return x.crashed
+	<-k.done
+	return k.crashed
 }
 
-// examination returns the try that tells of a connection which broke at a time. own is set if it is
-// new, and the caller's to make.
-func (p *Pool) examination(endpoint string, broke time.Time) (x *examination, own bool) {
+// crashCheck returns the check that applies to a connection broken at brokenAt. created is set if
+// it is new; the caller must then run it.
+func (p *Pool) crashCheck(endpoint string, brokenAt time.Time) (k *crashCheck, created bool) {
 	now := steady.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if x := p.examinations[endpoint]; x != nil && x.serves(now, broke) {
-		return x, false
+	if k := p.crashChecks[endpoint]; k != nil && k.appliesTo(now, brokenAt) {
+		return k, false
 	}
-	x = &examination{done: make(chan struct{}), begun: now}
-	if p.examinations == nil {
-		p.examinations = map[string]*examination{}
+	k = &crashCheck{done: make(chan struct{}), startedAt: now}
+	if p.crashChecks == nil {
+		p.crashChecks = map[string]*crashCheck{}
 	}
-	p.examinations[endpoint] = x
-	return x, true
+	p.crashChecks[endpoint] = k
+	return k, true
 }
 
-// serves tells whether a try tells of a connection that broke at a time: it is under way, so that
-// what it finds was so after that time, it found a crash lately, or it ended after that time.
-func (x *examination) serves(now, broke time.Time) bool {
+// appliesTo reports whether the check applies to a connection broken at brokenAt: it is still
+// running, so that its result is from after that time; it found a crash within
+// crashCheckValidity; or it ended after that time.
+func (k *crashCheck) appliesTo(now, brokenAt time.Time) bool {
 	select {
-	case <-x.done:
-		return now.Sub(x.begun) < examinedFor && (x.crashed || !x.ended.Before(broke))
+	case <-k.done:
+		return now.Sub(k.startedAt) < crashCheckValidity && (k.crashed || !k.endedAt.Before(brokenAt))
 	default:
 		return true
 	}
 }
 
-// refused tells whether an endpoint refuses a new connection.
-func (p *Pool) refused(endpoint, address string) bool {
-	ctx, cancel := context.WithTimeout(context.Background(), examineTimeout)
+// refusesConnection reports whether the endpoint refuses a new connection. An accepted connection
+// becomes idle.
+func (p *Pool) refusesConnection(endpoint, address string) bool {
+	ctx, cancel := context.WithTimeout(context.Background(), crashCheckTimeout)
 	defer cancel()
 	c, err := p.dial(ctx, address)
 	if err != nil {
 		return errors.Is(err, syscall.ECONNREFUSED)
 	}
-	c.startIdle(steady.Now(), http.Header{})
+	c.setUsableUntil(steady.Now(), http.Header{})
 	p.putIdle(endpoint, c)
 	return false
 }
 
-// forgetExaminations drops those whose answer does not hold any more. The pool is locked.
-func (p *Pool) forgetExaminations(now time.Time) {
-	for endpoint, x := range p.examinations {
-		if now.Sub(x.begun) >= examinedFor {
-			delete(p.examinations, endpoint)
+// deleteExpiredChecks deletes the checks whose result is no longer valid. p.mu must be held.
+func (p *Pool) deleteExpiredChecks(now time.Time) {
+	for endpoint, k := range p.crashChecks {
+		if now.Sub(k.startedAt) >= crashCheckValidity {
+			delete(p.crashChecks, endpoint)
 		}
 	}
 }
--- a/internal/direct/upstream/crashed_test.go
+++ b/internal/direct/upstream/crashed_test.go
@@ -9,7 +9,7 @@
 	"foxcross.dev/foxcross/internal/steady"
 )
 
-func TestEndpointThatRefusesHasCrashed(t *testing.T) {
+func TestRefusingEndpointHasCrashed(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -20,18 +20,18 @@
 	}
 	var p upstream.Pool
 	if !p.Crashed("i-1", address, steady.Now()) {
-		t.Error("an endpoint whose port is closed counts as living")
+		t.Error("Crashed reports false for a closed port")
 	}
 }
 
-// TestRequestsThatBreakTogetherShareOneTry holds that an endpoint at which many requests
-// break is tried once, and that its new connection is kept.
-func TestRequestsThatBreakTogetherShareOneTry(t *testing.T) {
+// TestConcurrentFailuresShareOneCrashCheck checks that an endpoint is dialed once after many of
+// its connections break, and that the new connection is kept.
+func TestConcurrentFailuresShareOneCrashCheck(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = l.Close() }() // the test is over
+	defer func() { _ = l.Close() }() // the test has ended
 	accepted := make(chan net.Conn, 64)
 	go func() {
 		for {
@@ -43,37 +43,37 @@
 		}
 	}()
 	var p upstream.Pool
-	var all sync.WaitGroup
-	broke := steady.Now()
+	var requests sync.WaitGroup
+	brokenAt := steady.Now()
 	for range 32 {
-		all.Go(func() {
-			if p.Crashed("i-1", l.Addr().String(), broke) {
-				t.Error("an endpoint that takes connections counts as crashed")
+		requests.Go(func() {
+			if p.Crashed("i-1", l.Addr().String(), brokenAt) {
+				t.Error("Crashed reports true for an endpoint that accepts connections")
 			}
 		})
 	}
-	all.Wait()
+	requests.Wait()
 	<-accepted
 	if len(accepted) != 0 {
-		t.Errorf("%d connections more than one", len(accepted))
+		t.Errorf("%d connections beyond the first", len(accepted))
 	}
 }
 
-// TestCrashAfterABrokenConnectionIsSeen holds that an endpoint which lived when one connection to it
-// broke is tried again for the next one: it may have crashed in between.
-func TestCrashAfterABrokenConnectionIsSeen(t *testing.T) {
+// TestCrashAfterBrokenConnectionIsDetected checks that an endpoint that was running when one
+// connection broke is checked again for the next one: it may have crashed in between.
+func TestCrashAfterBrokenConnectionIsDetected(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	var p upstream.Pool
 	if p.Crashed("i-1", l.Addr().String(), steady.Now()) {
-		t.Error("an endpoint that listens counts as crashed")
+		t.Error("Crashed reports true for a listening endpoint")
 	}
 	if err := l.Close(); err != nil {
 		t.Fatal(err)
 	}
 	if !p.Crashed("i-1", l.Addr().String(), steady.Now()) {
-		t.Error("its crash is not seen")
+		t.Error("Crashed reports false after the listener was closed")
 	}
 }
--- a/internal/direct/upstream/exchange.go
+++ b/internal/direct/upstream/exchange.go
@@ -15,56 +15,55 @@
 )
 
 const (
-	// maxSurplus bounds the answers of other requests that are skipped before the one that is
-	// waited for.
-	maxSurplus = 4
-	// maxSurplusBody bounds the body of such an answer, in bytes.
-	maxSurplusBody = 1 << 20
-	// maxWriteFirst is the longest request, in bytes, that is written before the answer is
-	// read. It fits into the socket's buffers.
-	maxWriteFirst = 32 << 10
-	// maxDrained bounds what is read of a body that nobody wants, in bytes, to keep the
-	// connection.
-	maxDrained = 64 << 10
+	// maxMismatched bounds the responses read for one request. Those to other requests are
+	// skipped.
+	maxMismatched = 4
+	// maxMismatchedBody bounds the body of a skipped response, in bytes.
+	maxMismatchedBody = 1 << 20
+	// maxInlineWrite is the largest request, in bytes, that is written before the response is
+	// read. It fits into the socket buffers.
+	maxInlineWrite = 32 << 10
+	// maxDrain bounds what is read of an unused body, in bytes, to reuse the connection.
+	maxDrain = 64 << 10
 )
 
-// Errors of an exchange. After any but ErrUnreachable and ErrWithdrawn the endpoint may have run
-// the request.
+// Errors of an exchange. After any other than ErrUnreachable and ErrWithdrawn, the endpoint may
+// have run the request.
 var (
 	ErrWithdrawn = errors.New("upstream: the request was withdrawn before it was sent")
 	ErrBroken    = errors.New("upstream: the connection broke off")
 	ErrNoAnswer  = errors.New("upstream: what came is no answer")
 )
 
-// Request is what is sent to an endpoint.
+// Request is a request to an endpoint.
 type Request struct {
 	Endpoint string // id
 	Address  string
 	Method   string
-	Target   string // path and query as the caller sent them
+	Target   string // path and query, as received from the caller
 	Host     string
 	Header   http.Header
 	Body     []byte
-	HasBody  bool   // a body was sent, be it empty
-	ID       string // that the answer must carry
-	// Withdraw is asked when the connection is ready whether the request is not to be sent after
-	// all; nil for never.
+	HasBody  bool   // there is a body, possibly empty
+	ID       string // that the response must carry
+	// Withdraw is called when the connection is ready and reports whether to drop the request
+	// instead of sending it. Nil means that it is always sent.
 	Withdraw func() bool
 }
 
-// Names are the header fields by which answers are told apart. An answer belongs to
-// the request whose id it carries; one that was not run may carry none.
+// Names are the header fields that match responses to requests. A response belongs to
+// the request whose id it carries; one to a request that was not run may carry none.
 type Names struct {
 	RequestID string
 	NotRun    string
 }
 
-// Answer is an endpoint's answer. Call exactly one of Finish, after its body was
-// read to the end, Drain or Close. It belongs to one goroutine.
+// Answer is a response of an endpoint. Call exactly one of Finish (after reading the body
+// to the end), Drain and Close. It must be used by one goroutine only.
 type Answer struct {
 	Status int
 	Header http.Header
-	Length int64 // of the body, -1 for not known
+	Length int64 // of the body, -1 if unknown
 	Body   io.Reader
 
 	response *http.Response
@@ -72,18 +71,18 @@
 	pool     *Pool
 	request  *Request
 	stop     func() bool
-	written  *writing // the request on its way out
+	write    *requestWrite // of the request
 }
 
-// Do sends the request and returns the head of its answer. The context bounds the
-// whole exchange, its body included. The error is ErrUnreachable or ErrWithdrawn if nothing was
+// Do sends the request and returns the response once its header is read. The context bounds the
+// whole exchange, including the body. The error is ErrUnreachable or ErrWithdrawn if nothing was
 // sent, else ErrBroken or ErrNoAnswer: the endpoint may have run the request.
 func (p *Pool) Do(ctx context.Context, names Names, r *Request) (*Answer, error) {
 	c, err := p.connect(ctx, r)
 	if err != nil {
 		return nil, err
 	}
-	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Unix(1, 0)) }) // a closed connection needs none
+	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Unix(1, 0)) }) // fails only on a closed connection
 	w := c.send(r)
 	a, err := c.receive(names, r)
 	if err != nil {
@@ -93,18 +92,18 @@
 	}
 	a.pool = p
 	a.stop = stop
-	a.written = w
+	a.write = w
 	if !a.framed() {
-		a.Body = unframedBody{a}
+		a.Body = closeDelimitedBody{a}
 	}
 	return a, nil
 }
 
-// connect returns a connection on which the request is to be sent.
+// connect returns an idle or new connection for the request.
 func (p *Pool) connect(ctx context.Context, r *Request) (*conn, error) {
-	c := p.takeIdle(r.Endpoint)
-	idle := c != nil
-	if !idle {
+	c := p.getIdle(r.Endpoint)
+	reused := c != nil
+	if !reused {
 		var err error
 		if c, err = p.dial(ctx, r.Address); err != nil {
 			return nil, err
@@ -113,7 +112,7 @@
 	switch {
 	case r.Withdraw == nil || !r.Withdraw():
 		return c, nil
-	case idle:
+	case reused:
 		p.putIdle(r.Endpoint, c)
 	default:
 		c.close()
@@ -121,33 +120,33 @@
 	return nil, ErrWithdrawn
 }
 
-// writing is a request on its way out.
-type writing struct {
+// requestWrite is the state of writing a request.
+type requestWrite struct {
 	mu   sync.Mutex
 	done bool
 	err  error
 }
 
-func (w *writing) finish(err error) {
+func (w *requestWrite) finish(err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.done = true
 	w.err = err
 }
 
-// whole tells whether all of the request has been written.
-func (w *writing) whole() bool {
+// succeeded reports whether the whole request has been written.
+func (w *requestWrite) succeeded() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.done && w.err == nil
 }
 
-// send writes the request. A long one is written beside the reading, since an
-// endpoint may answer before it has read all.
-func (c *conn) send(r *Request) *writing {
-	w := &writing{}
+// send writes the request. A large one is written in a goroutine, since an endpoint may
+// respond before it has read the whole request.
+func (c *conn) send(r *Request) *requestWrite {
+	w := &requestWrite{}
 	data := r.encode()
-	if len(data) <= maxWriteFirst {
+	if len(data) <= maxInlineWrite {
 		_, err := c.Write(data)
 		w.finish(err)
 		return w
@@ -159,18 +158,18 @@
 	return w
 }
 
-// encode returns the request's bytes. Its parts have been checked by the
-// server that read them.
+// encode returns the request in HTTP/1.1 form. The server that received it has already
+// validated its method, target and header.
 func (r *Request) encode() []byte {
 	var b bytes.Buffer
-	b.Grow(len(r.Body) + readBuffer)
+	b.Grow(len(r.Body) + readBufferSize)
 	b.WriteString(r.Method)
 	b.WriteByte(' ')
 	b.WriteString(r.Target)
 	b.WriteString(" HTTP/1.1\r\nHost: ")
 	b.WriteString(r.Host)
 	b.WriteString("\r\n")
-	_ = r.Header.Write(&b) // a buffer takes all
+	_ = r.Header.Write(&b) // a bytes.Buffer returns no error
 	if r.HasBody {
 		b.WriteString("Content-Length: ")
 		b.WriteString(strconv.Itoa(len(r.Body)))
@@ -181,51 +180,52 @@
 	return b.Bytes()
 }
 
-// receive reads heads until that of the request's own answer.
+// receive reads responses until one that belongs to the request.
 func (c *conn) receive(names Names, r *Request) (*Answer, error) {
-	for range maxSurplus {
-		answer, err := c.readHead(r.Method)
+	for range maxMismatched {
+		response, err := c.readHead(r.Method)
 		if err != nil {
 			return nil, err
 		}
-		id := answer.Header.Get(names.RequestID)
-		if id == r.ID || (id == "" && answer.Header.Get(names.NotRun) != "") || answer.StatusCode == http.StatusMisdirectedRequest {
+		id := response.Header.Get(names.RequestID)
+		if id == r.ID || (id == "" && response.Header.Get(names.NotRun) != "") || response.StatusCode == http.StatusMisdirectedRequest {
 			return &Answer{
-				Status:   answer.StatusCode,
-				Header:   answer.Header,
-				Length:   answer.ContentLength,
-				Body:     answer.Body,
-				response: answer,
+				Status:   response.StatusCode,
+				Header:   response.Header,
+				Length:   response.ContentLength,
+				Body:     response.Body,
+				response: response,
 				conn:     c,
 				request:  r,
 			}, nil
 		}
-		if id == "" || answer.ContentLength < 0 {
+		if id == "" || response.ContentLength < 0 {
 			return nil, fmt.Errorf("%w: it carries id %q", ErrNoAnswer, id)
 		}
-		if _, err := io.CopyN(io.Discard, answer.Body, min(answer.ContentLength, maxSurplusBody)); err != nil {
+		if _, err := io.CopyN(io.Discard, response.Body, min(response.ContentLength, maxMismatchedBody)); err != nil {
 			return nil, fmt.Errorf("%w: %w", ErrBroken, err)
 		}
-		c.surplus = true
+		c.mismatched = true
 	}
 	return nil, fmt.Errorf("%w: too many answers of other requests", ErrNoAnswer)
 }
 
-// readHead reads the head of the next final answer.
+// readHead reads the header of the next final response.
 func (c *conn) readHead(method string) (*http.Response, error) {
 	for {
-		answer, err := http.ReadResponse(c.reader, &http.Request{Method: method})
+		response, err := http.ReadResponse(c.reader, &http.Request{Method: method})
 		if err != nil {
-			return nil, errorOf(err)
+			return nil, classifyReadError(err)
 		}
-		if answer.StatusCode >= http.StatusOK {
-			return answer, nil
+		if response.StatusCode >= http.StatusOK {
+			return response, nil
 		}
 	}
 }
 
-// errorOf tells a connection that failed from bytes that are no answer.
-func errorOf(err error) error {
+// classifyReadError wraps a connection failure in ErrBroken and a malformed response in
+// ErrNoAnswer.
+func classifyReadError(err error) error {
 	var timeout interface{ Timeout() bool }
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &timeout) {
 		return fmt.Errorf("%w: %w", ErrBroken, err)
@@ -233,18 +233,18 @@
 	return fmt.Errorf("%w: %w", ErrNoAnswer, err)
 }
 
-// framed tells whether the end of the body is known without the end of the
-// connection.
+// framed reports whether the body has a length or is chunked, so that it does not end
+// with its connection.
 func (a *Answer) framed() bool {
 	return a.response.ContentLength >= 0 || len(a.response.TransferEncoding) > 0
 }
 
-// unframedBody is the body of an answer whose end is that of its connection. It is whole unless the
-// endpoint is gone then.
-type unframedBody struct{ answer *Answer }
+// closeDelimitedBody is the body of a response that ends when its connection closes. It is
+// complete unless the endpoint has crashed by then.
+type closeDelimitedBody struct{ answer *Answer }
 
 // Read implements io.Reader.
-func (b unframedBody) Read(p []byte) (int, error) {
+func (b closeDelimitedBody) Read(p []byte) (int, error) {
 	a := b.answer
 	n, err := a.response.Body.Read(p)
 	if errors.Is(err, io.EOF) && a.pool.Crashed(a.request.Endpoint, a.request.Address, steady.Now()) {
@@ -253,35 +253,35 @@
 	return n, err
 }
 
-// Finish gives the connection back after the whole body was read.
+// Finish returns the connection to the pool after the whole body was read.
 func (a *Answer) Finish() {
 	if !a.stop() {
 		a.conn.close()
 		return
 	}
-	reusable := a.framed() && !a.response.Close && !a.conn.surplus &&
-		a.written.whole() && a.conn.reader.Buffered() == 0
+	reusable := a.framed() && !a.response.Close && !a.conn.mismatched &&
+		a.write.succeeded() && a.conn.reader.Buffered() == 0
 	if !reusable {
 		a.conn.close()
 		return
 	}
-	a.conn.startIdle(steady.Now(), a.Header)
+	a.conn.setUsableUntil(steady.Now(), a.Header)
 	a.pool.putIdle(a.request.Endpoint, a.conn)
 }
 
-// Close ends the exchange early: the endpoint is to stop its work.
+// Close aborts the exchange by closing the connection, so that the endpoint stops its work.
 func (a *Answer) Close() {
 	a.stop()
 	a.conn.close()
 }
 
-// Drain reads the rest of a short body and gives the connection back.
+// Drain reads the rest of a short body and returns the connection to the pool.
 func (a *Answer) Drain() {
-	if !a.framed() || a.Length > maxDrained {
+	if !a.framed() || a.Length > maxDrain {
 		a.Close()
 		return
 	}
-	if n, err := io.Copy(io.Discard, io.LimitReader(a.Body, maxDrained)); err != nil || n == maxDrained {
+	if n, err := io.Copy(io.Discard, io.LimitReader(a.Body, maxDrain)); err != nil || n == maxDrain {
 		a.Close()
 		return
 	}
--- a/internal/direct/upstream/pool.go
+++ b/internal/direct/upstream/pool.go
@@ -1,6 +1,6 @@
-// Package upstream keeps connections to endpoints and reads their answers
-// strictly: an answer belongs to the request whose id it carries, and is whole
-// only if its framing says so.
+// Package upstream pools connections to endpoints and reads their responses strictly:
+// a response belongs to the request whose id it carries, and is complete only if its
+// framing says so.
 package upstream
 
 import (
@@ -16,49 +16,50 @@
 )
 
 const (
-	// dialTimeout bounds a new connection.
+	// dialTimeout bounds the setup of a new connection.
 	dialTimeout = 500 * time.Millisecond
-	// defaultIdle is how long a connection is kept if the endpoint names no time.
-	defaultIdle = 4 * time.Second
-	// idleShare is the share of the time named by the endpoint for which a connection is kept.
-	idleShare = 0.6
-	// maxIdle bounds the connections kept for one endpoint.
-	maxIdle = 64
-	// sweepInterval is the time between two walks over idle connections.
+	// defaultIdleTimeout is how long a connection may stay idle if the endpoint names no timeout.
+	defaultIdleTimeout = 4 * time.Second
+	// idleTimeoutFactor is the fraction of the endpoint's own timeout for which a connection may
+	// stay idle.
+	idleTimeoutFactor = 0.6
+	// maxIdlePerEndpoint bounds the idle connections of one endpoint.
+	maxIdlePerEndpoint = 64
+	// sweepInterval is the interval at which expired idle connections are closed.
 	sweepInterval = 2 * time.Second
-	// probeInterval and probeCount are those of TCP keep-alive: an endpoint that is cut off is
-	// given up after some four seconds.
-	probeInterval = time.Second
-	probeCount    = 3
+	// keepAliveInterval and keepAliveProbes set TCP keep-alive: a connection to an endpoint that
+	// is cut off from the network fails after some four seconds.
+	keepAliveInterval = time.Second
+	keepAliveProbes   = 3
 )
 
 // ErrUnreachable means that no connection was established; nothing was sent.
 var ErrUnreachable = errors.New("upstream: the endpoint can't be reached")
 
-// Pool keeps idle connections by endpoint. The zero value is ready; Run closes what
-// is idle for too long. It is safe for concurrent use.
+// Pool keeps idle connections by endpoint. The zero value is ready to use; Run closes
+// expired connections. It is safe for concurrent use.
 type Pool struct {
-	mu           sync.Mutex
-	idle         map[string][]*conn      // by endpoint id, the one used last at the end
-	examinations map[string]*examination // by endpoint id
+	mu          sync.Mutex
+	idle        map[string][]*conn     // by endpoint id, the last used one at the end
+	crashChecks map[string]*crashCheck // by endpoint id
 }
 
-// takeIdle returns an idle connection that is still open, or nil.
-func (p *Pool) takeIdle(id string) *conn {
+// getIdle removes and returns an idle connection that is still usable, or nil.
+func (p *Pool) getIdle(id string) *conn {
 	for {
-		c := p.pop(id)
+		c := p.popIdle(id)
 		if c == nil {
 			return nil
 		}
-		if steady.Now().Before(c.usableUntil) && c.openAndSilent() {
+		if steady.Now().Before(c.usableUntil) && c.openWithoutData() {
 			return c
 		}
 		c.close()
 	}
 }
 
-// pop returns the idle connection of an endpoint that was used last, or nil.
-func (p *Pool) pop(id string) *conn {
+// popIdle removes and returns the last used idle connection of an endpoint, or nil.
+func (p *Pool) popIdle(id string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[id]
@@ -70,14 +71,15 @@
 	return c
 }
 
-// putIdle keeps a connection for the next request, or closes it if there are enough.
+// putIdle keeps a connection for the next request, or closes it if the endpoint already has
+// maxIdlePerEndpoint.
 func (p *Pool) putIdle(id string, c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.idle == nil {
 		p.idle = map[string][]*conn{}
 	}
-	if len(p.idle[id]) >= maxIdle {
+	if len(p.idle[id]) >= maxIdlePerEndpoint {
 		c.close()
 		return
 	}
@@ -86,7 +88,7 @@
 
 func (p *Pool) dial(ctx context.Context, address string) (*conn, error) {
 	d := net.Dialer{Timeout: dialTimeout, KeepAliveConfig: net.KeepAliveConfig{
-		Enable: true, Idle: probeInterval, Interval: probeInterval, Count: probeCount,
+		Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: keepAliveProbes,
 	}}
 	n, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -95,13 +97,13 @@
 	return newConn(n), nil
 }
 
-// Run closes connections that were idle for too long, until ctx is done.
+// Run closes expired idle connections until ctx is done.
 func (p *Pool) Run(ctx context.Context) { workers.Every(ctx, sweepInterval, p.sweep) }
 
 func (p *Pool) sweep(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.forgetExaminations(now)
+	p.deleteExpiredChecks(now)
 	for id, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
--- a/internal/direct/upstream/upstream_test.go
+++ b/internal/direct/upstream/upstream_test.go
@@ -12,8 +12,8 @@
 
 var names = Names{RequestID: "X-Id", NotRun: "X-Not-Run"}
 
-// answering serves the bytes on each connection after a request has come.
-func answering(t testing.TB, data []byte) string {
+// respondWith writes data on each connection after a request arrives. It returns the address.
+func respondWith(t testing.TB, data []byte) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -42,7 +42,7 @@
 		Header: http.Header{"X-Id": {"a"}}}
 }
 
-func TestUnreachable(t *testing.T) {
+func TestDoUnreachable(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -56,7 +56,7 @@
 }
 
 func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
-	address := answering(t, []byte("HTTP/1.1 200 OK\r\nX-Id: a\r\nContent-Length: 2\r\n\r\nok"))
+	address := respondWith(t, []byte("HTTP/1.1 200 OK\r\nX-Id: a\r\nContent-Length: 2\r\n\r\nok"))
 	var p Pool
 	for range 3 {
 		a, err := p.Do(context.Background(), names, request(address))
@@ -67,25 +67,25 @@
 			t.Fatalf("read %q: %v", body, err)
 		}
 		a.Finish()
-		c := p.pop("e")
-		for c.openAndSilent() { // the server closes it after its answer
+		c := p.popIdle("e")
+		for c.openWithoutData() { // the server closes it after the response
 			time.Sleep(time.Millisecond)
 		}
 		p.putIdle("e", c)
 	}
 }
 
-func TestRest(t *testing.T) {
+func TestKeepAliveTimeout(t *testing.T) {
 	now := time.Now()
 	for field, want := range map[string]time.Duration{
-		"":                     defaultIdle,
+		"":                     defaultIdleTimeout,
 		"timeout=10":           6 * time.Second,
 		"max=5, timeout=5":     3 * time.Second,
 		"timeout=0":            0,
-		"timeout=no, timeout=": defaultIdle,
+		"timeout=no, timeout=": defaultIdleTimeout,
 	} {
 		c := &conn{}
-		c.startIdle(now, http.Header{"Keep-Alive": {field}})
+		c.setUsableUntil(now, http.Header{"Keep-Alive": {field}})
 		if got := c.usableUntil.Sub(now); got != want {
 			t.Errorf("%q: %v, want %v", field, got, want)
 		}
@@ -94,46 +94,46 @@
 
 func TestSweep(t *testing.T) {
 	var p Pool
-	here, there := net.Pipe()
-	defer func() { _ = there.Close() }()
-	c := newConn(here)
+	local, remote := net.Pipe()
+	defer func() { _ = remote.Close() }()
+	c := newConn(local)
 	c.usableUntil = time.Now().Add(time.Second)
 	p.putIdle("e", c)
 	p.sweep(time.Now())
 	if len(p.idle["e"]) != 1 {
-		t.Error("a usable connection was swept")
+		t.Error("a usable connection was closed")
 	}
 	p.sweep(time.Now().Add(time.Minute))
 	if len(p.idle) != 0 {
-		t.Error("an old connection was kept")
+		t.Error("an expired connection was kept")
 	}
 }
 
-// FuzzAnswer reads any bytes as an answer: never one of another id, never a
-// whole body that its framing does not tell.
+// FuzzAnswer reads arbitrary bytes as a response: a response with another id is never accepted,
+// nor a body shorter or longer than its framing says.
 func FuzzAnswer(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 200 OK\r\nX-Id: a\r\nContent-Length: 2\r\n\r\nok"))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nX-Id: b\r\nContent-Length: 2\r\n\r\nnoHTTP/1.1 200 OK\r\nX-Id: a\r\nContent-Length: 2\r\n\r\nok"))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nX-Id: a\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n"))
 	f.Add([]byte("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 503 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		here, there := net.Pipe()
-		defer func() { _ = here.Close() }()
+		local, remote := net.Pipe()
+		defer func() { _ = local.Close() }()
 		go func() {
-			_, _ = there.Write(data) // the reader may stop early
-			_ = there.Close()
+			_, _ = remote.Write(data) // the reader may stop early
+			_ = remote.Close()
 		}()
-		a, err := newConn(here).receive(names, request(""))
+		a, err := newConn(local).receive(names, request(""))
 		if err != nil {
 			return
 		}
 		id := a.Header.Get("X-Id")
 		if id != "a" && a.Header.Get("X-Not-Run") == "" && a.Status != http.StatusMisdirectedRequest {
-			t.Fatalf("took an answer of %q", id)
+			t.Fatalf("accepted a response with id %q", id)
 		}
 		body, err := io.ReadAll(a.Body)
 		if err == nil && a.Length >= 0 && int64(len(body)) != a.Length {
-			t.Errorf("%d bytes of %d taken for whole", len(body), a.Length)
+			t.Errorf("a body of %d bytes counts as complete, want %d", len(body), a.Length)
 		}
 	})
 }
--- a/internal/direct/upstream/withdraw_test.go
+++ b/internal/direct/upstream/withdraw_test.go
@@ -29,11 +29,11 @@
 		t.Errorf("got %v", err)
 	}
 	if n := <-read; n != 0 {
-		t.Error("something was sent")
+		t.Error("data was sent")
 	}
 }
 
-func TestWithdrawnRequestLeavesTheIdleConnection(t *testing.T) {
+func TestWithdrawnRequestKeepsIdleConnection(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -64,6 +64,6 @@
 		t.Errorf("got %v", err)
 	}
 	if len(p.idle[r.Endpoint]) != 1 {
-		t.Error("the idle connection is gone")
+		t.Error("the idle connection was not kept")
 	}
 }
