--- a/internal/direct/explain/explain.go
+++ b/internal/direct/explain/explain.go
@@ -1,6 +1,6 @@
-// Package explain tells from an entry's log what became of one request: its own line
-// in words, and the lines about settings, endpoints, the store and other entries that
-// came before. It reads logs of earlier versions too (testdata/entry.log).
+// Package explain reports from an entry's log how one request was handled. It writes the
+// request's log line as text, and the preceding lines about settings, endpoints, the
+// store and other entries. It also reads logs of earlier versions (testdata/entry.log).
 package explain
 
 import (
@@ -14,55 +14,55 @@
 )
 
 const (
-	// maxLine bounds a line of the log, in bytes.
-	maxLine = 1 << 20
-	// maxContext bounds the remembered lines that are of no request.
-	maxContext = 4096
-	// contextBefore is how long before a request came lines still belong to its story. Other
-	// entries and the store are lost and back within it.
-	contextBefore = 5 * time.Second
+	// maxLineBytes bounds a line of the log.
+	maxLineBytes = 1 << 20
+	// maxContextLines bounds the buffered lines that belong to no request.
+	maxContextLines = 4096
+	// contextWindow is how far before the arrival of a request lines are still reported. It
+	// covers the loss and return of the store or another entry.
+	contextWindow = 5 * time.Second
 )
 
-// Story writes what the log says of the request and of what changed around it.
-// It returns false where the log doesn't name the request.
+// Story writes the report on the request, with the log lines that precede its end.
+// It returns false if the log doesn't contain the request.
 func Story(w io.Writer, log io.Reader, request string) (bool, error) {
-	var found []record.Line
-	var context []record.Line
-	scanner := bufio.NewScanner(log)
-	scanner.Buffer(nil, maxLine)
-	for scanner.Scan() {
-		l, ok := record.Parse(scanner.Text())
+	var matches []record.Line
+	var others []record.Line
+	lines := bufio.NewScanner(log)
+	lines.Buffer(nil, maxLineBytes)
+	for lines.Scan() {
+		line, ok := record.Parse(lines.Text())
 		switch {
 		case !ok:
-		case l.Fields.ID == request:
-			found = append(found, l)
-		case l.Fields.ID == "":
-			if len(context) == maxContext {
-				context = context[1:]
+		case line.Fields.ID == request:
+			matches = append(matches, line)
+		case line.Fields.ID == "":
+			if len(others) == maxContextLines {
+				others = others[1:]
 			}
-			context = append(context, l)
+			others = append(others, line)
 		}
 	}
-	if err := scanner.Err(); err != nil {
+	if err := lines.Err(); err != nil {
 		return false, fmt.Errorf("explain: %w", err)
 	}
 	var story strings.Builder
-	for _, l := range found {
-		tell(&story, l.Fields)
-		for _, c := range context {
-			if off := c.At.Sub(l.At); off >= -contextBefore-l.Fields.Total() && off <= 0 {
-				fmt.Fprintf(&story, "  %8.3f s  %s\n", off.Seconds(), c.Raw)
+	for _, line := range matches {
+		writeRequest(&story, line.Fields)
+		for _, other := range others {
+			if offset := other.At.Sub(line.At); offset >= -contextWindow-line.Fields.Total() && offset <= 0 {
+				fmt.Fprintf(&story, "  %8.3f s  %s\n", offset.Seconds(), other.Raw)
 			}
 		}
 	}
 	if _, err := io.WriteString(w, story.String()); err != nil {
 		return false, fmt.Errorf("explain: %w", err)
 	}
-	return len(found) > 0, nil
+	return len(matches) > 0, nil
 }
 
-// tell writes the request's own line in words.
-func tell(w *strings.Builder, f record.Request) {
+// writeRequest writes the request's log line as text.
+func writeRequest(w *strings.Builder, f record.Request) {
 	e := f.Code.Entry()
 	fmt.Fprintf(w, "request %s ended with %s: %s\n", f.ID, f.Code, e.Text)
 	if f.Reason != "" {
@@ -73,24 +73,24 @@
 		fmt.Fprintf(w, ", first event after %d ms, longest pause %d ms", *f.FirstMS, f.PauseMS)
 	}
 	fmt.Fprintln(w)
-	for n, s := range f.Attempts {
-		fmt.Fprintf(w, "  send %d to %s: %s\n", n+1, s.Endpoint, s.Outcome)
+	for n, a := range f.Attempts {
+		fmt.Fprintf(w, "  send %d to %s: %s\n", n+1, a.Endpoint, a.Outcome)
 		fmt.Fprintf(w, "    expected: %.0f ms of waiting, first event after %.0f ms, %d tokens to read, slowness %.2f\n",
-			s.WaitMS, s.FirstMS, s.PrefillTokens, s.Slowdown)
-		if s.Limit != "" {
-			fmt.Fprintf(w, "    its answer named a limit of %s requests a second\n", s.Limit)
+			a.WaitMS, a.FirstMS, a.PrefillTokens, a.Slowdown)
+		if a.Limit != "" {
+			fmt.Fprintf(w, "    its answer named a limit of %s requests a second\n", a.Limit)
 		}
-		if s.RetryAfter != "" {
-			fmt.Fprintf(w, "    its response had Retry-After: %s\n", s.RetryAfter)
+		if a.RetryAfter != "" {
+			fmt.Fprintf(w, "    its response had Retry-After: %s\n", a.RetryAfter)
 		}
-		if s.Draining != "" {
-			fmt.Fprintf(w, "    its response had the sign of draining: %s\n", s.Draining)
+		if a.Draining != "" {
+			fmt.Fprintf(w, "    its response had the sign of draining: %s\n", a.Draining)
 		}
-		if s.FetchedTokens > 0 {
-			fmt.Fprintf(w, "    fetches %d tokens from %s, expected to take %.0f ms\n", s.FetchedTokens, s.Source, s.FetchMS)
+		if a.FetchedTokens > 0 {
+			fmt.Fprintf(w, "    fetches %d tokens from %s, expected to take %.0f ms\n", a.FetchedTokens, a.Source, a.FetchMS)
 		}
-		t := s.Terms
+		t := a.Terms
 		fmt.Fprintf(w, "    cost %.2f = late %.2f + harm %.2f + again %.2f + crowding %.2f + pool %.2f + trouble %.2f + distance %.2f\n",
-			s.Cost, t.Late, t.Harm, t.Reread, t.Crowding, t.Pool, t.Trouble, t.Distance)
+			a.Cost, t.Late, t.Harm, t.Reread, t.Crowding, t.Pool, t.Trouble, t.Distance)
 	}
 }
--- a/internal/direct/explain/explain_test.go
+++ b/internal/direct/explain/explain_test.go
@@ -24,20 +24,20 @@
 	golden.Compare(t, "story.golden", out.String())
 }
 
-func TestUnknownRequest(t *testing.T) {
+func TestStoryOfUnknownRequest(t *testing.T) {
 	found, err := explain.Story(&bytes.Buffer{}, strings.NewReader("no JSON\n{\"fields\":{\"request\":\"b\"}}\n"), "a")
 	if found || err != nil {
 		t.Errorf("found %v: %v", found, err)
 	}
 }
 
-func TestLongLine(t *testing.T) {
+func TestTooLongLineFails(t *testing.T) {
 	if _, err := explain.Story(&bytes.Buffer{}, strings.NewReader(strings.Repeat("x", 2<<20)), "a"); err == nil {
-		t.Error("a line beyond the bound was taken")
+		t.Error("a line longer than maxLineBytes was accepted")
 	}
 }
 
-func TestStoryNamesSignalsOfEndpoints(t *testing.T) {
+func TestStoryListsEndpointSignals(t *testing.T) {
 	const log = `{"fields":{"request":"a","code":1000,"sends":[` +
 		`{"endpoint":"i-1","outcome":"status 200","limit":"2.2"},` +
 		`{"endpoint":"i-2","outcome":"not run, Service Unavailable","retry_after":"3"},` +
--- a/internal/direct/record/record.go
+++ b/internal/direct/record/record.go
@@ -1,6 +1,6 @@
-// Package record holds the form of the log line of a request, as far as a program
-// reads it back (package explain). The JSON names are those of kept logs and stay;
-// where one misleads, the field's name says what it holds.
+// Package record defines the log line of a request, as far as package explain reads it
+// back. The JSON names must stay those of stored logs; where one is misleading, the Go
+// field name says what the field holds.
 package record
 
 import (
@@ -12,7 +12,7 @@
 	"foxcross.dev/coord/result"
 )
 
-// Line is one line of a log. Only that of a request has its fields set.
+// Line is a line of a log. Fields is set only in the line of a request.
 type Line struct {
 	Message string    `json:"message"`
 	At      time.Time `json:"timestamp"`
@@ -20,7 +20,7 @@
 	Raw     string    `json:"-"` // the line's JSON
 }
 
-// Request is what the line of an ended request says.
+// Request holds the fields of the line of a completed request.
 type Request struct {
 	ID              string      `json:"request"`
 	Class           string      `json:"class"`
@@ -31,14 +31,14 @@
 	Reason          string      `json:"reason"`
 	Priority        int         `json:"priority"`
 	TotalMS         int64       `json:"total_ms"`
-	FirstMS         *int64      `json:"first_ms"` // nil for no event
+	FirstMS         *int64      `json:"first_ms"` // nil if there was no event
 	PauseMS         int64       `json:"pause_ms"`
-	FirstTargetMS   int64       `json:"first_target_ms"`   // 0 in logs of former versions
+	FirstTargetMS   int64       `json:"first_target_ms"`   // 0 in logs of earlier versions
 	BetweenTargetMS int64       `json:"between_target_ms"` // 0 for none
 	Attempts        []Attempt   `json:"sends"`
 }
 
-// Parse reads a line, also one with something before its JSON.
+// Parse parses a line. Text before its JSON is ignored. It reports whether the JSON is valid.
 func Parse(text string) (Line, bool) {
 	start := strings.IndexByte(text, '{')
 	if start < 0 {
@@ -49,11 +49,11 @@
 	return l, err == nil
 }
 
-// Total returns how long the request took.
+// Total returns the duration of the request.
 func (r Request) Total() time.Duration { return time.Duration(r.TotalMS) * time.Millisecond }
 
-// Attempt is one send of a request to an endpoint, with the estimates that decided
-// it. Numbers are rounded to three decimals.
+// Attempt is one attempt to run a request on an endpoint, with the estimates on which the
+// choice was based. Numbers are cut to three decimals.
 type Attempt struct {
 	Endpoint      string          `json:"endpoint"`
 	Cost          float64         `json:"cost"`
@@ -69,17 +69,17 @@
 	Source        string          `json:"fetched_from,omitempty"`
 	FetchedTokens int             `json:"fetched,omitempty"`
 	FetchMS       float64         `json:"expected_fetch_ms,omitempty"`
-	Limit         string          `json:"limit,omitempty"`       // advertised rate limit, as it stood in the response
-	RetryAfter    string          `json:"retry_after,omitempty"` // as it stood in the response
-	Draining      string          `json:"draining,omitempty"`    // as it stood in the response
+	Limit         string          `json:"limit,omitempty"`       // advertised rate limit, as received
+	RetryAfter    string          `json:"retry_after,omitempty"` // as received
+	Draining      string          `json:"draining,omitempty"`    // as received
 }
 
-// AttemptOf returns the record of an attempt.
+// AttemptOf returns the record of an attempt on the chosen endpoint.
 func AttemptOf(c placement.Choice, outcome string) Attempt {
 	return Attempt{
 		Endpoint:      c.Endpoint.ID,
 		Cost:          round(c.Cost),
-		Terms:         rounded(c.Terms),
+		Terms:         roundTerms(c.Terms),
 		WaitMS:        round(c.WaitMS),
 		FirstMS:       round(c.FirstMS),
 		PrefillTokens: c.PrefillTokens,
@@ -94,14 +94,14 @@
 	}
 }
 
-func rounded(t placement.Terms) placement.Terms {
+func roundTerms(t placement.Terms) placement.Terms {
 	return placement.Terms{
 		Late: round(t.Late), Harm: round(t.Harm), Reread: round(t.Reread), Crowding: round(t.Crowding),
 		Pool: round(t.Pool), Trouble: round(t.Trouble), Distance: round(t.Distance),
 	}
 }
 
-// decimals is the factor by which a number is scaled before it is cut off.
-const decimals = 1000
+// roundFactor is the factor by which round scales a number before it cuts off the decimals.
+const roundFactor = 1000
 
-func round(v float64) float64 { return float64(int64(v*decimals)) / decimals }
+func round(v float64) float64 { return float64(int64(v*roundFactor)) / roundFactor }
--- a/internal/direct/signal/signal.go
+++ b/internal/direct/signal/signal.go
@@ -1,8 +1,10 @@
-// Package signal reads what the head of a response says of the endpoint that sent it, apart from
-// the request: typed signals, in one place for every send. docs/design/endpoint-signals.md lists
-// all fields and statuses that a response may carry, and who reads each.
+// Package signal parses what the header of a response says about the endpoint itself rather than
+// about the request. It returns typed signals, in one place for all attempts.
+// docs/design/endpoint-signals.md lists all fields and statuses that a response may carry, and
+// which code reads each.
 //
-// A response of 421 comes from another endpoint and says nothing. Nothing here keeps state.
+// A response with status 421 comes from another endpoint and yields no signals. The package keeps
+// no state.
 package signal
 
 import (
@@ -17,29 +19,30 @@
 	"foxcross.dev/foxcross/internal/direct/driver"
 )
 
-// retryAfter is the field of RFC 9110, 10.2.3. Only its form in seconds is read, with fractions.
+// retryAfter is the field of RFC 9110, section 10.2.3. Only the form in seconds is read; fractions
+// are allowed.
 const retryAfter = "Retry-After"
 
-// drains is the only value of the sign of draining.
-const drains = "1"
+// drainingValue is the only valid value of the draining field.
+const drainingValue = "1"
 
-// Signal is what a response says of its endpoint.
+// Signal is a statement of a response about its endpoint.
 type Signal interface{ signal() }
 
 type (
-	// RateLimit is the advertised rate limit, in requests a second from all entries together; 0 in
-	// a success that advertises none.
+	// RateLimit is the advertised rate limit, in requests per second from all entries together; 0
+	// for a successful response that advertises none.
 	RateLimit struct{ PerSecond float64 }
-	// Backoff is the delay in which this entry is to send the endpoint nothing.
+	// Backoff is the delay during which this entry must not send requests to the endpoint.
 	Backoff struct{ Delay time.Duration }
-	// Draining is that the endpoint drains.
+	// Draining means that the endpoint is draining.
 	Draining struct{}
-	// Invalid is a field that can't be applied.
+	// Invalid is a field with a value that can't be applied.
 	Invalid struct {
 		Field, Value string
 		Err          error
 	}
-	// Unread is a field that looks like a signal and is none that is known.
+	// Unread is an unknown field that has the prefix of signals.
 	Unread struct{ Field string }
 )
 
@@ -49,12 +52,12 @@
 func (Invalid) signal()   {}
 func (Unread) signal()    {}
 
-// Why a field can't be applied.
+// Reasons why a field can't be applied.
 var (
-	errNumber   = errors.New("not one decimal number that is not negative")
-	errTooLong  = errors.New("a longer delay than is valid")
-	errStatus   = errors.New("only a 503 asks for a backoff")
-	errDraining = errors.New("not the value that stands for draining")
+	errNotNumber     = errors.New("want a single non-negative decimal number")
+	errDelayTooLong  = errors.New("delay exceeds the maximum")
+	errStatus        = errors.New("backoff is valid only in a 503 response")
+	errDrainingValue = errors.New("value does not mean draining")
 )
 
 // Parse returns the signals of a response.
@@ -62,21 +65,21 @@
 	if status == http.StatusMisdirectedRequest {
 		return nil
 	}
-	var all []Signal
+	var signals []Signal
 	if s := rateLimit(f, status, h); s != nil {
-		all = append(all, s)
+		signals = append(signals, s)
 	}
 	if s := backoff(status, h); s != nil {
-		all = append(all, s)
+		signals = append(signals, s)
 	}
 	if s := draining(f, h); s != nil {
-		all = append(all, s)
+		signals = append(signals, s)
 	}
-	return append(all, unread(f, h)...)
+	return append(signals, unknownSignals(f, h)...)
 }
 
-// rateLimit returns what is said of a rate limit; nil for nothing. That none is advertised counts
-// only in a success of the endpoint's own.
+// rateLimit returns the signal about the rate limit, or nil. A missing field means that there is no
+// limit only in a successful response with the endpoint's seal.
 func rateLimit(f driver.Fields, status int, h http.Header) Signal {
 	values := h.Values(f.Limit)
 	if len(values) == 0 {
@@ -85,14 +88,14 @@
 		}
 		return nil
 	}
-	limit, err := number(values)
+	limit, err := parseNumber(values)
 	if err != nil {
 		return invalid(f.Limit, values, err)
 	}
 	return RateLimit{PerSecond: max(limit, eligibility.MinLimit)}
 }
 
-// backoff returns what is said of a backoff; nil for nothing.
+// backoff returns the signal about a backoff, or nil.
 func backoff(status int, h http.Header) Signal {
 	values := h.Values(retryAfter)
 	if len(values) == 0 {
@@ -101,49 +104,49 @@
 	if status != http.StatusServiceUnavailable {
 		return invalid(retryAfter, values, errStatus)
 	}
-	seconds, err := number(values)
+	seconds, err := parseNumber(values)
 	switch {
 	case err != nil:
 		return invalid(retryAfter, values, err)
 	case seconds > eligibility.MaxBackoff.Seconds():
-		return invalid(retryAfter, values, errTooLong)
+		return invalid(retryAfter, values, errDelayTooLong)
 	default:
 		return Backoff{Delay: time.Duration(seconds * float64(time.Second))}
 	}
 }
 
-// draining returns what is said of draining; nil for nothing.
+// draining returns the signal about draining, or nil.
 func draining(f driver.Fields, h http.Header) Signal {
 	values := h.Values(f.Draining)
 	switch {
 	case len(values) == 0:
 		return nil
-	case len(values) == 1 && strings.TrimSpace(values[0]) == drains:
+	case len(values) == 1 && strings.TrimSpace(values[0]) == drainingValue:
 		return Draining{}
 	default:
-		return invalid(f.Draining, values, errDraining)
+		return invalid(f.Draining, values, errDrainingValue)
 	}
 }
 
-// unread returns the fields that begin as the platform's signals do and are none that is known.
-func unread(f driver.Fields, h http.Header) []Signal {
+// unknownSignals returns the unknown fields that have the platform's prefix of signals.
+func unknownSignals(f driver.Fields, h http.Header) []Signal {
 	if f.SignalPrefix == "" {
 		return nil
 	}
-	var all []Signal
+	var signals []Signal
 	for name := range h {
 		if strings.HasPrefix(name, f.SignalPrefix) && name != f.Limit && name != f.Draining {
-			all = append(all, Unread{Field: name})
+			signals = append(signals, Unread{Field: name})
 		}
 	}
-	return all
+	return signals
 }
 
-// number returns the one decimal number that a field holds.
-func number(values []string) (float64, error) {
+// parseNumber returns the value of a field that holds a single non-negative decimal number.
+func parseNumber(values []string) (float64, error) {
 	v, err := strconv.ParseFloat(strings.TrimSpace(values[0]), 64)
 	if err != nil || len(values) > 1 || !(v >= 0) || math.IsInf(v, 0) {
-		return 0, errNumber
+		return 0, errNotNumber
 	}
 	return v, nil
 }
@@ -152,14 +155,14 @@
 	return Invalid{Field: field, Value: Logged(values), Err: err}
 }
 
-// maxLogged bounds what is logged of a field, in bytes.
+// maxLogged bounds the logged text of a field, in bytes.
 const maxLogged = 32
 
-// Logged returns a field as it stands in the response, cut to what is logged.
+// Logged returns the values of a field as received, truncated for the log.
 func Logged(values []string) string {
 	text := strings.Join(values, ", ")
 	return text[:min(len(text), maxLogged)]
 }
 
-// LoggedRetryAfter returns the Retry-After of a response as it is logged.
+// LoggedRetryAfter returns the Retry-After field of a response, truncated for the log.
 func LoggedRetryAfter(h http.Header) string { return Logged(h.Values(retryAfter)) }
