--- a/internal/transfer/transfer.go
+++ b/internal/transfer/transfer.go
@@ -1,7 +1,7 @@
-// Package transfer bounds transfers whose size varies: by how long they may stand
-// still, not by how long they may take. A bound on the whole would say how large a
-// transfer over a thin link may be: 0.6 s on 10 Mbit/s ended each one above 750 kB, for
-// ever anew.
+// Package transfer bounds transfers of varying size by the time without progress
+// instead of the total time. A bound on the total time would limit the size of a transfer
+// over a slow link: 0.6 s at 10 Mbit/s aborts every transfer above 750 kB, and each of
+// its retries.
 package transfer
 
 import (
@@ -12,41 +12,41 @@
 	"time"
 )
 
-// ErrStalled means that a transfer made no progress for too long.
+// ErrStalled means that a transfer made no progress within its timeout.
 var ErrStalled = errors.New("transfer: no progress")
 
-// Transfer is one transfer. Create it with Begin; End frees what it holds.
+// Transfer is a transfer in progress. Create it with Begin; End releases its resources.
 type Transfer struct {
-	ctx    context.Context
-	cancel context.CancelCauseFunc
-	timer  *time.Timer
-	stall  time.Duration
-	began  time.Time
+	ctx          context.Context
+	cancel       context.CancelCauseFunc
+	timer        *time.Timer
+	stallTimeout time.Duration
+	startedAt    time.Time
 }
 
-// Begin begins a transfer that ends if no first byte comes within the first time, or
-// later none for the time of a stall.
-func Begin(ctx context.Context, first, stall time.Duration) *Transfer {
+// Begin starts a transfer that is aborted with ErrStalled if the first byte takes longer than
+// firstTimeout, or any later one longer than stallTimeout.
+func Begin(ctx context.Context, firstTimeout, stallTimeout time.Duration) *Transfer {
 	ctx, cancel := context.WithCancelCause(ctx)
 	return &Transfer{
-		ctx:    ctx,
-		cancel: cancel,
-		timer:  time.AfterFunc(first, func() { cancel(ErrStalled) }),
-		stall:  stall,
-		began:  time.Now(),
+		ctx:          ctx,
+		cancel:       cancel,
+		timer:        time.AfterFunc(firstTimeout, func() { cancel(ErrStalled) }),
+		stallTimeout: stallTimeout,
+		startedAt:    time.Now(),
 	}
 }
 
-// Context returns the context of the transfer, done once it has stalled.
+// Context returns the context of the transfer, which is cancelled when the transfer stalls.
 func (t *Transfer) Context() context.Context { return t.ctx }
 
-// End ends the transfer.
+// End stops the timer and cancels the context.
 func (t *Transfer) End() {
 	t.timer.Stop()
 	t.cancel(context.Canceled)
 }
 
-// Cause returns why the transfer's context is done; another error as it is.
+// Cause returns the cause of the transfer's context if it is done, else err.
 func (t *Transfer) Cause(err error) error {
 	if cause := context.Cause(t.ctx); cause != nil {
 		return cause
@@ -54,29 +54,30 @@
 	return err
 }
 
-// ReadAll reads up to so many bytes. progress, if given, is called whenever some have
-// come. The error of a transfer that failed names how much had come in which time.
+// ReadAll reads at most maxBytes bytes. It calls progress, unless nil, after each read that
+// returned data. The error of a failed transfer names the bytes read and the time taken.
 func (t *Transfer) ReadAll(r io.Reader, maxBytes int64, progress func()) ([]byte, error) {
-	data, err := io.ReadAll(&watched{transfer: t, reader: io.LimitReader(r, maxBytes), progress: progress})
+	data, err := io.ReadAll(&progressReader{transfer: t, reader: io.LimitReader(r, maxBytes), progress: progress})
 	if err != nil {
-		took := time.Since(t.began).Round(time.Millisecond)
+		took := time.Since(t.startedAt).Round(time.Millisecond)
 		return nil, fmt.Errorf("%d bytes in %v: %w", len(data), took, t.Cause(err))
 	}
 	return data, nil
 }
 
-// watched notes the progress of a reader.
-type watched struct {
+// progressReader restarts the stall timer and calls progress after each read that returned
+// data.
+type progressReader struct {
 	transfer *Transfer
 	reader   io.Reader
 	progress func()
 }
 
 // Read implements io.Reader.
-func (w *watched) Read(b []byte) (int, error) {
+func (w *progressReader) Read(b []byte) (int, error) {
 	n, err := w.reader.Read(b)
 	if n > 0 {
-		w.transfer.timer.Reset(w.transfer.stall)
+		w.transfer.timer.Reset(w.transfer.stallTimeout)
 		if w.progress != nil {
 			w.progress()
 		}
--- a/internal/transfer/transfer_test.go
+++ b/internal/transfer/transfer_test.go
@@ -13,71 +13,71 @@
 )
 
 const (
-	first = 600 * time.Millisecond
-	stall = time.Second
+	firstTimeout = 600 * time.Millisecond
+	stallTimeout = time.Second
 )
 
-// slow gives one byte at each interval, until the context is done.
-type slow struct {
-	ctx      context.Context
-	interval time.Duration
-	left     int
+// slowReader returns one byte per interval until the context is done.
+type slowReader struct {
+	ctx       context.Context
+	interval  time.Duration
+	remaining int
 }
 
-func (s *slow) Read(b []byte) (int, error) {
-	if s.left == 0 {
+func (s *slowReader) Read(b []byte) (int, error) {
+	if s.remaining == 0 {
 		return 0, io.EOF
 	}
 	select {
 	case <-s.ctx.Done():
 		return 0, s.ctx.Err()
 	case <-time.After(s.interval):
-		s.left--
+		s.remaining--
 		b[0] = 'x'
 		return 1, nil
 	}
 }
 
-// TestLongTransferEnds takes a hundred times as long as it may stand still.
-func TestLongTransferEnds(t *testing.T) {
+// TestLongTransferSucceeds runs a transfer that takes a hundred times stallTimeout.
+func TestLongTransferSucceeds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		x := transfer.Begin(t.Context(), first, stall)
-		defer x.End()
-		steps := 0
-		data, err := x.ReadAll(&slow{ctx: x.Context(), interval: 500 * time.Millisecond, left: 200}, 1000, func() { steps++ })
-		if err != nil || len(data) != 200 || steps != 200 {
-			t.Errorf("%d bytes, %d steps, %v", len(data), steps, err)
+		tr := transfer.Begin(t.Context(), firstTimeout, stallTimeout)
+		defer tr.End()
+		calls := 0
+		data, err := tr.ReadAll(&slowReader{ctx: tr.Context(), interval: 500 * time.Millisecond, remaining: 200}, 1000, func() { calls++ })
+		if err != nil || len(data) != 200 || calls != 200 {
+			t.Errorf("%d bytes, %d calls of progress, %v", len(data), calls, err)
 		}
 	})
 }
 
 func TestStalledTransferFails(t *testing.T) {
-	for _, c := range []struct {
+	for _, tt := range []struct {
 		name     string
 		interval time.Duration
 		want     time.Duration
 	}{
-		{"no first byte", time.Hour, first},
-		{"first byte too late", first + time.Millisecond, first},
+		{"no first byte", time.Hour, firstTimeout},
+		{"first byte too late", firstTimeout + time.Millisecond, firstTimeout},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			began := time.Now()
-			x := transfer.Begin(t.Context(), first, stall)
-			defer x.End()
-			_, err := x.ReadAll(&slow{ctx: x.Context(), interval: c.interval, left: 5}, 1000, nil)
-			if !errors.Is(err, transfer.ErrStalled) || time.Since(began) != c.want {
-				t.Errorf("%s: %v after %v", c.name, err, time.Since(began))
+			startedAt := time.Now()
+			tr := transfer.Begin(t.Context(), firstTimeout, stallTimeout)
+			defer tr.End()
+			_, err := tr.ReadAll(&slowReader{ctx: tr.Context(), interval: tt.interval, remaining: 5}, 1000, nil)
+			if !errors.Is(err, transfer.ErrStalled) || time.Since(startedAt) != tt.want {
+				t.Errorf("%s: %v after %v", tt.name, err, time.Since(startedAt))
 			}
 		})
 	}
 }
 
-// TestStallInTheMidstFails tells how much had come.
-func TestStallInTheMidstFails(t *testing.T) {
+// TestStallAfterFirstBytesFails checks that the error names the bytes read.
+func TestStallAfterFirstBytesFails(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		x := transfer.Begin(t.Context(), first, stall)
-		defer x.End()
-		_, err := x.ReadAll(io.MultiReader(strings.NewReader("abc"), &slow{ctx: x.Context(), interval: time.Hour, left: 1}), 1000, nil)
+		tr := transfer.Begin(t.Context(), firstTimeout, stallTimeout)
+		defer tr.End()
+		_, err := tr.ReadAll(io.MultiReader(strings.NewReader("abc"), &slowReader{ctx: tr.Context(), interval: time.Hour, remaining: 1}), 1000, nil)
 		if !errors.Is(err, transfer.ErrStalled) || !strings.Contains(err.Error(), "3 bytes in 1s") {
 			t.Errorf("got %v", err)
 		}
