--- a/internal/workers/every_test.go
+++ b/internal/workers/every_test.go
@@ -12,41 +12,41 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second+time.Millisecond)
 		defer cancel()
-		begun := time.Now()
-		var at []time.Duration
-		Every(ctx, 2*time.Second, func(now time.Time) { at = append(at, now.Sub(begun)) })
-		if len(at) != 5 || at[0] != 2*time.Second || at[4] != 10*time.Second {
-			t.Errorf("called at %v", at)
+		startedAt := time.Now()
+		var calledAt []time.Duration
+		Every(ctx, 2*time.Second, func(now time.Time) { calledAt = append(calledAt, now.Sub(startedAt)) })
+		if len(calledAt) != 5 || calledAt[0] != 2*time.Second || calledAt[4] != 10*time.Second {
+			t.Errorf("called at %v", calledAt)
 		}
 	})
 }
 
-// TestEveryOfLongWork guards against a timer that falls due while its goroutine does something else:
-// in virtual time, under the race detector, several of them end the test.
-func TestEveryOfLongWork(t *testing.T) {
+// TestEveryWithSlowCalls guards against a timer that expires while its goroutine runs other code:
+// in virtual time, several of them crash the test in the race detector.
+func TestEveryWithSlowCalls(t *testing.T) {
 	const (
-		atOnce, calls  = 16, 10_000
-		interval, work = 10 * time.Millisecond, 15 * time.Millisecond
+		goroutines, calls      = 16, 10_000
+		interval, callDuration = 10 * time.Millisecond, 15 * time.Millisecond
 	)
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		var all sync.WaitGroup
-		for range atOnce {
-			all.Go(func() {
-				ctx, end := context.WithCancel(ctx)
-				left := calls
+		var workers sync.WaitGroup
+		for range goroutines {
+			workers.Go(func() {
+				ctx, stop := context.WithCancel(ctx)
+				remaining := calls
 				Every(ctx, interval, func(time.Time) {
-					time.Sleep(work)
-					if left--; left == 0 {
-						end()
+					time.Sleep(callDuration)
+					if remaining--; remaining == 0 {
+						stop()
 					}
 				})
 			})
 		}
-		begun := time.Now()
-		all.Wait()
-		if took := time.Since(begun); took != interval+calls*work {
+		startedAt := time.Now()
+		workers.Wait()
+		if took := time.Since(startedAt); took != interval+calls*callDuration {
 			t.Errorf("%d calls took %v", calls, took)
 		}
 	})
--- a/internal/workers/pool.go
+++ b/internal/workers/pool.go
@@ -6,82 +6,82 @@
 	"sync"
 )
 
-// DefaultMost is how many workers a zero Pool may start.
+// DefaultMost is the maximum number of workers of a zero Pool.
 const DefaultMost = 4096
 
 // ErrFull means that every worker is busy or the pool is closed.
 var ErrFull = errors.New("workers: no worker is free")
 
-// Pool starts workers as they are needed and keeps them for later jobs. The
-// zero value is ready.
+// Pool starts workers on demand and reuses idle ones. The zero value is ready to
+// use. It is safe for concurrent use.
 type Pool struct {
-	Most int
+	Most int // maximum number of workers; DefaultMost if not positive
 
 	mu     sync.Mutex
 	idle   []chan func()
-	all    int
+	count  int
 	closed bool
 }
 
-// Do hands a job to a worker. It never blocks.
+// Do runs a job on a worker. It never blocks; it returns ErrFull if no worker is available.
 func (p *Pool) Do(job func()) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if last := len(p.idle) - 1; last >= 0 {
-		w := p.idle[last]
+		jobs := p.idle[last]
 		p.idle = p.idle[:last]
-		w <- job
+		jobs <- job
 		return nil
 	}
-	if p.closed || p.all >= p.most() {
+	if p.closed || p.count >= p.maxWorkers() {
 		return ErrFull
 	}
-	p.all++
-	w := make(chan func(), 1)
-	w <- job
-	go p.work(w)
+	p.count++
+	jobs := make(chan func(), 1)
+	jobs <- job
+	go p.work(jobs)
 	return nil
 }
 
-func (p *Pool) most() int {
+func (p *Pool) maxWorkers() int {
 	if p.Most > 0 {
 		return p.Most
 	}
 	return DefaultMost
 }
 
-// work runs jobs until the pool has no place for an idle worker.
-func (p *Pool) work(w chan func()) {
-	for job := range w {
+// work runs jobs until the worker can't become idle.
+func (p *Pool) work(jobs chan func()) {
+	for job := range jobs {
 		job()
-		if !p.park(w) {
+		if !p.markIdle(jobs) {
 			return
 		}
 	}
 }
 
-// maxIdle is how many workers wait for jobs; the others end.
-const maxIdle = 64
+// maxIdleWorkers bounds the idle workers; any other exits after its job.
+const maxIdleWorkers = 64
 
-func (p *Pool) park(w chan func()) bool {
+func (p *Pool) markIdle(jobs chan func()) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.closed || len(p.idle) >= maxIdle {
-		p.all--
+	if p.closed || len(p.idle) >= maxIdleWorkers {
+		p.count--
 		return false
 	}
-	p.idle = append(p.idle, w)
+	p.idle = append(p.idle, jobs)
 	return true
 }
 
-// Close ends the idle workers, and the busy ones after their job. Do refuses
-// jobs from then on.
+// Close stops the idle workers, and each busy one after its job. Do then returns
+// ErrFull.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
-	for _, w := range p.idle {
-		close(w)
+	for _, jobs := range p.idle {
+		close(jobs)
 	}
 	p.idle = nil
 }
--- a/internal/workers/signal.go
+++ b/internal/workers/signal.go
@@ -2,8 +2,8 @@
 
 import "context"
 
-// Signal tells the receiver of a channel of capacity one that there is something to
-// look at. It never blocks; signals that were not received yet become one.
+// Signal wakes the receiver of a channel of capacity one. It never blocks; signals not
+// yet received are merged into one.
 func Signal(c chan<- struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -11,10 +11,10 @@
 	}
 }
 
-// Await returns once the condition holds. It is looked at first and after each signal;
-// ctx bounds the wait.
-func Await(ctx context.Context, signals <-chan struct{}, holds func() bool) error {
-	for !holds() {
+// Await returns once the condition holds. It checks the condition at the start and after each
+// signal. It returns the error of ctx if ctx is done first.
+func Await(ctx context.Context, signals <-chan struct{}, condition func() bool) error {
+	for !condition() {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
--- a/internal/workers/signal_test.go
+++ b/internal/workers/signal_test.go
@@ -10,15 +10,15 @@
 
 func TestAwait(t *testing.T) {
 	signals := make(chan struct{}, 1)
-	left := 2
-	holds := func() bool {
-		left--
+	remaining := 2
+	condition := func() bool {
+		remaining--
 		workers.Signal(signals)
 		workers.Signal(signals) // does not block
-		return left < 0
+		return remaining < 0
 	}
-	if err := workers.Await(context.Background(), signals, holds); err != nil || left >= 0 {
-		t.Errorf("%v, left %d", err, left)
+	if err := workers.Await(context.Background(), signals, condition); err != nil || remaining >= 0 {
+		t.Errorf("%v, remaining %d", err, remaining)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
--- a/internal/workers/sleep.go
+++ b/internal/workers/sleep.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Sleep waits for a time; false if ctx was done before. It sets no timer that is due at once:
-// TestSleepOfNoTime says why.
+// Sleep waits for d. It returns false if ctx is done first. If d is not positive it sets no timer;
+// see TestSleepZero.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
