--- a/internal/steady/steady.go
+++ b/internal/steady/steady.go
@@ -1,13 +1,14 @@
-// Package steady reads a clock that goes on while the machine is suspended.
+// Package steady provides a monotonic clock that includes the time for which the machine is
+// suspended.
 //
-// Go's monotonic readings, and its timers, stand still while a machine is suspended: what
-// has an age, a lease, a deadline or a silence would seem younger by that time when the
-// machine wakes than it is for all others. So the direct way takes its readings from here;
-// docs/design/clocks.md lists every other one, with what it has to count.
+// Go's monotonic readings and timers stop while a machine is suspended. After the machine
+// resumes, ages, leases, deadlines and periods of silence would be shorter by that time than on
+// other machines. So the direct packages read the clock of this package; docs/design/clocks.md
+// lists every other reading, with what it has to count.
 //
-// Readings of Now are to be compared with each other only, not with time.Now, and are not to
-// be handed to timers or sockets of the standard library: AfterFunc and WithDeadline take
-// them. The time of day is Wall.
+// Readings of Now must only be compared with each other, not with time.Now, and must not be
+// passed to timers or sockets of the standard library; AfterFunc and WithDeadline accept them.
+// Wall returns the time of day.
 package steady
 
 import (
@@ -16,125 +17,126 @@
 	"time"
 )
 
-// Suspended returns for how long the machine was suspended since the process started; Recent as of
-// a millisecond ago, which costs less. Tests put other functions in their place before anything
-// reads the clock.
+// Suspended returns the total time for which the machine was suspended since the process started.
+// Recent may be up to a millisecond out of date and costs less. Tests replace both before the
+// clock is read.
 var (
-	Suspended = kernel.exact
-	Recent    = kernel.recent
+	Suspended = systemClocks.exact
+	Recent    = systemClocks.recent
 )
 
-// Now returns a reading of the clock. It is behind by the time suspended for up to a millisecond
-// after the machine has woken.
+// Now returns a reading of the clock. For up to a millisecond after the machine resumes, it does not
+// include the suspension.
 func Now() time.Time { return time.Now().Add(Recent()) }
 
-// Exact returns a reading of the clock that is never behind. It is for the last check before what a
-// process may not do too late: a machine that wakes goes on within the millisecond.
+// Exact returns a reading of the clock that always includes the last suspension. It is for the last
+// check before an action that must not come too late: code runs within a millisecond after the
+// machine resumes.
 func Exact() time.Time { return time.Now().Add(Suspended()) }
 
-// Since returns the time since a reading of Now.
+// Since returns the time elapsed since a reading of Now.
 func Since(t time.Time) time.Duration { return Now().Sub(t) }
 
 // Until returns the time until a reading of Now.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
-// Wall returns the time of day. It may jump.
+// Wall returns the time of day. It may jump forward or back.
 func Wall() time.Time { return time.Now().Round(0) }
 
-// watchInterval is how soon after the machine has woken timers that are due are noticed. 20
-// looks a second, of 0.4 us each.
+// watchInterval bounds the delay until expired timers fire after the machine resumes. It makes 20
+// checks per second, of 0.4 us each.
 const watchInterval = 50 * time.Millisecond
 
-// timers are those that have not fired.
+// timers holds the timers that have neither fired nor been stopped.
 var timers struct {
-	mu  sync.Mutex
-	all map[*Timer]struct{}
+	mu      sync.Mutex
+	pending map[*Timer]struct{}
 }
 
-// Timer calls a function at a reading of Now. Stop ends it.
+// Timer calls a function at a reading of Now. Stop cancels it.
 type Timer struct {
-	at    time.Time
-	call  func()
-	timer *time.Timer
+	due      time.Time
+	callback func()
+	timer    *time.Timer
 }
 
-// AfterFunc calls a function in its own goroutine after a time, suspension included if Watch
+// AfterFunc calls a function in its own goroutine after d. The time includes suspension while Watch
 // runs.
-func AfterFunc(d time.Duration, call func()) *Timer {
-	t := &Timer{at: Now().Add(d), call: call}
+func AfterFunc(d time.Duration, callback func()) *Timer {
+	t := &Timer{due: Now().Add(d), callback: callback}
 	timers.mu.Lock()
 	defer timers.mu.Unlock()
-	if timers.all == nil {
-		timers.all = map[*Timer]struct{}{}
+	if timers.pending == nil {
+		timers.pending = map[*Timer]struct{}{}
 	}
-	timers.all[t] = struct{}{}
+	timers.pending[t] = struct{}{}
 	t.timer = time.AfterFunc(d, t.fire)
 	return t
 }
 
-// fire calls the function unless the timer has fired or was stopped.
+// fire calls the function unless the timer has already fired or been stopped.
 func (t *Timer) fire() {
 	if t.Stop() {
-		t.call()
+		t.callback()
 	}
 }
 
-// Stop ends the timer. It returns false if it has fired or was stopped before.
+// Stop cancels the timer. It returns false if the timer has already fired or been stopped.
 func (t *Timer) Stop() bool {
 	timers.mu.Lock()
 	defer timers.mu.Unlock()
-	_, waits := timers.all[t]
-	delete(timers.all, t)
+	_, active := timers.pending[t]
+	delete(timers.pending, t)
 	t.timer.Stop()
-	return waits
+	return active
 }
 
-// WithTimeout returns a context that is done after a time, suspension included if Watch runs.
+// WithTimeout returns a context that is done after d. The time includes suspension while Watch runs.
 func WithTimeout(parent context.Context, d time.Duration) (context.Context, context.CancelFunc) {
 	return WithDeadline(parent, Now().Add(d))
 }
 
 // WithDeadline returns a context that is done at a reading of Now, with the cause
-// context.DeadlineExceeded, or when its parent is.
-func WithDeadline(parent context.Context, at time.Time) (context.Context, context.CancelFunc) {
+// context.DeadlineExceeded, or when its parent is done.
+func WithDeadline(parent context.Context, deadline time.Time) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(parent)
-	t := AfterFunc(Until(at), func() { cancel(context.DeadlineExceeded) })
+	t := AfterFunc(Until(deadline), func() { cancel(context.DeadlineExceeded) })
 	return ctx, func() {
 		t.Stop()
 		cancel(context.Canceled)
 	}
 }
 
-// Watch lets timers fire that became due while the machine was suspended, until ctx is done.
+// Watch fires timers that expired while the machine was suspended, until ctx is done.
 func Watch(ctx context.Context) {
 	ticker := time.NewTicker(watchInterval)
 	defer ticker.Stop()
-	known := time.Duration(0)
+	previous := time.Duration(0)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
 		}
-		if now := Suspended(); now > known {
-			known = now
+		if current := Suspended(); current > previous {
+			previous = current
 			fireDue()
 		}
 	}
 }
 
-// fireDue fires the timers whose time has come.
+// fireDue fires the expired timers.
 func fireDue() {
 	now := Now()
 	timers.mu.Lock()
-	var due []*Timer
-	for t := range timers.all {
-		if !now.Before(t.at) {
-			due = append(due, t)
+	var expired []*Timer
+	for t := range timers.pending {
+		if !now.Before(t.due) {
+			expired = append(expired, t)
 		}
 	}
 	timers.mu.Unlock()
-	for _, t := range due {
+	for _, t := range expired {
 		go t.fire()
 	}
 }
--- a/internal/steady/steady_test.go
+++ b/internal/steady/steady_test.go
@@ -8,38 +8,38 @@
 	"time"
 )
 
-// asleep is for how long the machine of these tests was suspended, in ns.
-var asleep atomic.Int64
+// suspendedFor is the simulated time of suspension, in ns.
+var suspendedFor atomic.Int64
 
 func init() {
-	Suspended = func() time.Duration { return time.Duration(asleep.Load()) }
+	Suspended = func() time.Duration { return time.Duration(suspendedFor.Load()) }
 	Recent = Suspended
 }
 
-// suspend lets the machine have been suspended.
-func suspend(d time.Duration) { asleep.Add(int64(d)) }
+// suspend simulates a suspension of d.
+func suspend(d time.Duration) { suspendedFor.Add(int64(d)) }
 
-func TestClockGoesOnWhileSuspended(t *testing.T) {
-	begun := Now()
-	deadline := begun.Add(time.Hour)
+func TestClockCountsSuspension(t *testing.T) {
+	startedAt := Now()
+	deadline := startedAt.Add(time.Hour)
 	suspend(2 * time.Hour)
-	if age := Since(begun); age < 2*time.Hour || age > 2*time.Hour+time.Minute {
-		t.Errorf("%v have gone by", age)
+	if age := Since(startedAt); age < 2*time.Hour || age > 2*time.Hour+time.Minute {
+		t.Errorf("Since returned %v", age)
 	}
-	if left := Until(deadline); left > -time.Hour {
-		t.Errorf("%v are left", left)
+	if remaining := Until(deadline); remaining > -time.Hour {
+		t.Errorf("Until returned %v", remaining)
 	}
 	if d := time.Since(Wall()); d < 0 || d > time.Minute {
-		t.Errorf("the time of day is off by %v", d)
+		t.Errorf("Wall is off by %v", d)
 	}
 }
 
-// TestDeadlinePassesWhileSuspended holds that what became due while the machine was suspended
-// happens when it has woken, and not as much later.
-func TestDeadlinePassesWhileSuspended(t *testing.T) {
-	watching, end := context.WithCancel(t.Context())
+// TestDeadlineCountsSuspension checks that a context whose deadline passed while the machine was
+// suspended is done once the machine resumes, not later by the time of the suspension.
+func TestDeadlineCountsSuspension(t *testing.T) {
+	watchCtx, end := context.WithCancel(t.Context())
 	defer end()
-	go Watch(watching)
+	go Watch(watchCtx)
 	ctx, cancel := WithDeadline(t.Context(), Now().Add(time.Hour))
 	defer cancel()
 	later, cancelLater := WithDeadline(t.Context(), Now().Add(5*time.Hour))
@@ -47,43 +47,43 @@
 	suspend(2 * time.Hour)
 	<-ctx.Done()
 	if cause := context.Cause(ctx); !errors.Is(cause, context.DeadlineExceeded) {
-		t.Errorf("done because of %v", cause)
+		t.Errorf("done with cause %v", cause)
 	}
 	if later.Err() != nil {
-		t.Error("a deadline that is to come has passed")
+		t.Error("a context with a later deadline is done")
 	}
 }
 
-func TestDeadlinePassesAwake(t *testing.T) {
+func TestDeadlineWithoutSuspension(t *testing.T) {
 	ctx, cancel := WithDeadline(t.Context(), Now().Add(time.Millisecond))
 	defer cancel()
 	<-ctx.Done()
 	if cause := context.Cause(ctx); !errors.Is(cause, context.DeadlineExceeded) {
-		t.Errorf("done because of %v", cause)
+		t.Errorf("done with cause %v", cause)
 	}
 }
 
-func TestParentEndsContext(t *testing.T) {
-	parent, leave := context.WithCancel(t.Context())
+func TestParentCancelsContext(t *testing.T) {
+	parent, cancelParent := context.WithCancel(t.Context())
 	ctx, cancel := WithDeadline(parent, Now().Add(time.Hour))
 	defer cancel()
-	leave()
+	cancelParent()
 	<-ctx.Done()
 	if cause := context.Cause(ctx); !errors.Is(cause, context.Canceled) {
-		t.Errorf("done because of %v", cause)
+		t.Errorf("done with cause %v", cause)
 	}
 }
 
 func TestStoppedTimerDoesNotFire(t *testing.T) {
 	timer := AfterFunc(time.Hour, func() { t.Error("fired") })
 	if !timer.Stop() || timer.Stop() {
-		t.Error("it has to be stopped once")
+		t.Error("Stop must return true once")
 	}
 	suspend(2 * time.Hour)
 	fireDue()
 	timers.mu.Lock()
 	defer timers.mu.Unlock()
-	if len(timers.all) != 0 {
-		t.Errorf("%d timers are remembered", len(timers.all))
+	if len(timers.pending) != 0 {
+		t.Errorf("%d timers are still pending", len(timers.pending))
 	}
 }
--- a/internal/steady/suspended_linux.go
+++ b/internal/steady/suspended_linux.go
@@ -7,66 +7,67 @@
 	"golang.org/x/sys/unix"
 )
 
-// minSuspension is the shortest suspension that is told from two readings of clocks that are
-// not taken at the same moment. A busy machine may put some ms between them.
+// minSuspension is the shortest suspension that is counted. The two clocks are not read at the same
+// moment; on a busy machine some ms may pass between the readings.
 const minSuspension = 20 * time.Millisecond
 
-// lookInterval is how long a comparison of the clocks holds for Now, on the monotonic clock.
-// The two readings take 0.4 us (BenchmarkNow), and 1.6 us where the users' machines are
-// played, and a request takes some 40 readings. A machine that was suspended within it is
-// noticed as much later.
-const lookInterval = time.Millisecond
+// compareInterval is the time for which Now uses the result of a comparison of the clocks, on the
+// monotonic clock. The two readings take 0.4 us (BenchmarkNow), or 1.6 us under the simulation of
+// the users' machines, and a request takes some 40 readings. A suspension within the interval is
+// detected at its end.
+const compareInterval = time.Millisecond
 
-// baseTries is how often the clocks are compared at the start.
-const baseTries = 8
+// baseSamples is the number of comparisons of the clocks at the start, after the first.
+const baseSamples = 8
 
-// kernel compares the clocks of this machine.
-var kernel = newComparison(gap)
+// systemClocks counts the suspensions of this machine.
+var systemClocks = newSuspensionClock(clockOffset)
 
-// comparison compares a clock that goes on while the machine is suspended with the monotonic
+// suspensionClock counts suspensions by comparing a clock that includes them with the monotonic
 // one. It is safe for concurrent use.
-type comparison struct {
-	gap     func() time.Duration // by which the one that goes on is ahead
-	base    time.Duration        // the gap at the start
-	counted atomic.Int64         // the suspension that is known, in ns; it never shrinks
-	started time.Time
-	looked  atomic.Int64 // when the clocks were last compared, in ns after started
+type suspensionClock struct {
+	offset     func() time.Duration // of the clock that includes suspension, relative to the monotonic one
+	baseOffset time.Duration        // offset at the start
+	suspended  atomic.Int64         // time of suspension detected so far, in ns; it never decreases
+	startedAt  time.Time
+	comparedAt atomic.Int64 // time of the last comparison, in ns after startedAt
 }
 
-// newComparison starts a comparison. A pause between the two readings of a gap makes it smaller.
-func newComparison(gap func() time.Duration) *comparison {
-	c := &comparison{gap: gap, base: gap(), started: time.Now()}
-	for range baseTries {
-		c.base = max(c.base, gap())
+// newSuspensionClock returns a suspensionClock. It starts from the largest of several offsets, since
+// a pause between the two readings of an offset makes it smaller.
+func newSuspensionClock(offset func() time.Duration) *suspensionClock {
+	c := &suspensionClock{offset: offset, baseOffset: offset(), startedAt: time.Now()}
+	for range baseSamples {
+		c.baseOffset = max(c.baseOffset, offset())
 	}
 	return c
 }
 
-// recent returns the suspension that was known lookInterval ago, or is by now.
-func (c *comparison) recent() time.Duration {
-	since := time.Since(c.started)
-	if last := time.Duration(c.looked.Load()); since >= last && since-last < lookInterval {
-		return time.Duration(c.counted.Load())
+// recent returns the time of suspension as of at most compareInterval ago.
+func (c *suspensionClock) recent() time.Duration {
+	since := time.Since(c.startedAt)
+	if last := time.Duration(c.comparedAt.Load()); since >= last && since-last < compareInterval {
+		return time.Duration(c.suspended.Load())
 	}
-	c.looked.Store(int64(since))
+	c.comparedAt.Store(int64(since))
 	return c.exact()
 }
 
-// exact compares the clocks.
-func (c *comparison) exact() time.Duration {
-	known := c.counted.Load()
-	if now := int64(c.gap() - c.base); now-known >= int64(minSuspension) {
-		c.counted.CompareAndSwap(known, now)
+// exact compares the clocks and returns the time of suspension.
+func (c *suspensionClock) exact() time.Duration {
+	previous := c.suspended.Load()
+	if current := int64(c.offset() - c.baseOffset); current-previous >= int64(minSuspension) {
+		c.suspended.CompareAndSwap(previous, current)
 	}
-	return time.Duration(c.counted.Load())
+	return time.Duration(c.suspended.Load())
 }
 
-// gap returns by how much the clock that goes on is ahead. It is read first, so that a pause
-// in between never looks like a suspension.
-func gap() time.Duration {
+// clockOffset returns the offset of CLOCK_BOOTTIME relative to CLOCK_MONOTONIC. It reads
+// CLOCK_BOOTTIME first, so that a pause between the readings never looks like a suspension.
+func clockOffset() time.Duration {
 	var boot, monotonic unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot) != nil || unix.ClockGettime(unix.CLOCK_MONOTONIC, &monotonic) != nil {
-		return 0 // a kernel without it: suspension is not noticed
+		return 0 // the kernel lacks the clock: suspension is not detected
 	}
 	return time.Duration(boot.Nano() - monotonic.Nano())
 }
--- a/internal/steady/suspended_linux_test.go
+++ b/internal/steady/suspended_linux_test.go
@@ -5,52 +5,51 @@
 	"time"
 )
 
-// TestWakingIsSeenAtOnce holds that an exact reading counts a suspension right after the machine has
-// woken, when a comparison of the clocks still holds for the others.
-func TestWakingIsSeenAtOnce(t *testing.T) {
-	var ahead time.Duration
-	c := newComparison(func() time.Duration { return ahead })
+// TestExactCountsSuspensionAtOnce checks that an exact reading counts a suspension right after the
+// machine resumes, while other readings still use the last comparison of the clocks.
+func TestExactCountsSuspensionAtOnce(t *testing.T) {
+	var offset time.Duration
+	c := newSuspensionClock(func() time.Duration { return offset })
 	c.recent()
-	c.looked.Store(int64(time.Since(c.started) + lookInterval/2))
-	ahead = 10 * time.Second
-	if d := c.exact(); d != ahead {
-		t.Errorf("suspended for %v", d)
+	c.comparedAt.Store(int64(time.Since(c.startedAt) + compareInterval/2))
+	offset = 10 * time.Second
+	if d := c.exact(); d != offset {
+		t.Errorf("suspension is %v", d)
 	}
 }
 
-// TestShortSuspensionsAddUp holds that none is lost for being short, and that the clock never goes
-// back.
+// TestShortSuspensionsAddUp checks that short suspensions are counted once they add up, and that the
+// clock never goes back.
 func TestShortSuspensionsAddUp(t *testing.T) {
-	var ahead time.Duration
-	c := newComparison(func() time.Duration { return ahead })
+	var offset time.Duration
+	c := newSuspensionClock(func() time.Duration { return offset })
 	for range 10 {
-		ahead += minSuspension / 4
+		offset += minSuspension / 4
 		c.exact()
 	}
-	if d := c.exact(); ahead-d >= minSuspension {
-		t.Errorf("%v of %v is counted", d, ahead)
+	if d := c.exact(); offset-d >= minSuspension {
+		t.Errorf("%v of %v are counted", d, offset)
 	}
-	known := c.exact()
-	ahead = 0
-	if d := c.exact(); d < known {
-		t.Errorf("it went back from %v to %v", known, d)
+	counted := c.exact()
+	offset = 0
+	if d := c.exact(); d < counted {
+		t.Errorf("the suspension went back from %v to %v", counted, d)
 	}
 }
 
-// TestMachineIsAwake holds that the kernel's clocks are not taken for a suspension while
-// there is none, however busy the machine is.
-func TestMachineIsAwake(t *testing.T) {
+// TestNoSuspensionWhileRunning checks that no suspension is detected on a running machine, however
+// busy it is.
+func TestNoSuspensionWhileRunning(t *testing.T) {
 	for range 10_000 {
-		if d := kernel.exact(); d != 0 {
-			t.Fatalf("the machine was suspended for %v", d)
+		if d := systemClocks.exact(); d != 0 {
+			t.Fatalf("suspension is %v on a running machine", d)
 		}
 	}
 }
 
-// BenchmarkNow compares a reading with that of the standard library: 0.06 us with time.Now
-// alone, as it was, and what this shows now.
+// BenchmarkNow compares the readings of the clock with time.Now, which takes 0.06 us.
 func BenchmarkNow(b *testing.B) {
-	Suspended, Recent = kernel.exact, kernel.recent
+	Suspended, Recent = systemClocks.exact, systemClocks.recent
 	b.Run("time.Now", func(b *testing.B) {
 		for b.Loop() {
 			_ = time.Now()
@@ -68,7 +67,7 @@
 	})
 	b.Run("compare the clocks", func(b *testing.B) {
 		for b.Loop() {
-			_ = gap()
+			_ = clockOffset()
 		}
 	})
 }
--- a/internal/steady/suspended_other.go
+++ b/internal/steady/suspended_other.go
@@ -4,11 +4,11 @@
 
 import "time"
 
-// kernel notices nothing: suspension is noticed on Linux only.
-var kernel awake
+// systemClocks detects no suspension: it is detected on Linux only.
+var systemClocks noSuspension
 
-// awake is a machine that is never suspended.
-type awake struct{}
+// noSuspension reports no suspension.
+type noSuspension struct{}
 
-func (awake) recent() time.Duration { return 0 }
-func (awake) exact() time.Duration  { return 0 }
+func (noSuspension) recent() time.Duration { return 0 }
+func (noSuspension) exact() time.Duration  { return 0 }
