--- a/internal/process/agent.go
+++ b/internal/process/agent.go
@@ -17,30 +17,30 @@
 	"foxcross.dev/coord/dispatch"
 )
 
-// RunAgent runs an agent until it is told to stop. It starts, in this order:
+// RunAgent runs an agent until it receives a signal to stop. It starts, in this order:
 //
 //  1. the settings file, the log and the certificates;
-//  2. the drivers of its endpoints, and the agent, which owns its queues and work;
-//  3. the socket for entries;
-//  4. the operators' address, then entries' connections.
+//  2. the drivers of its endpoints, and the agent, which owns its queues and running requests;
+//  3. the listener for entries;
+//  4. the admin server, then the connections of entries.
 //
-// At the first signal it takes nothing new and ends after its last work, at the second
-// at once.
+// At the first signal it accepts no new work and returns after the last running request; at the
+// second it returns at once.
 func RunAgent(path string) error {
 	c, err := config.ReadAgent(path)
 	if err != nil {
 		return err
 	}
-	tls, err := prepare(c.Log, c.TLS)
+	tls, err := setUp(c.Log, c.TLS)
 	if err != nil {
 		return err
 	}
-	locals, err := localsOf(c.Endpoints)
+	locals, err := newLocals(c.Endpoints)
 	if err != nil {
 		return err
 	}
-	scope, figures, closer := metrics.New("agent")
-	defer func() { _ = closer.Close() }() // the process ends
+	scope, metricsHandler, closer := metrics.New("agent")
+	defer func() { _ = closer.Close() }() // the process exits
 	a := agent.New(agent.Options{
 		Name:       c.Name,
 		DataCentre: c.DataCentre,
@@ -56,39 +56,40 @@
 		return err
 	}
 	dump := func() any { return a.Dump() }
-	operators, err := listen(c.Admin.Address, admin.Handler(admin.Options{
-		KeyHash: c.Admin.KeyHash, Dump: dump, Metrics: figures,
+	adminServer, err := listen(c.Admin.Address, admin.Handler(admin.Options{
+		KeyHash: c.Admin.KeyHash, Dump: dump, Metrics: metricsHandler,
 	}))
 	if err != nil {
 		return err
 	}
-	defer func() { _ = operators.Close() }() // the process ends
-	first, second := stopSignals()
-	dumpOnSignal(second, dump)
-	return serveAgent(a, l, first, second, config.Milliseconds(c.StopTimeoutMS, config.DefaultStopTimeout))
+	defer func() { _ = adminServer.Close() }() // the process exits
+	stopping, aborting := stopSignals()
+	dumpStateOnSignal(aborting, dump)
+	return serveAgent(a, l, stopping, aborting, config.Milliseconds(c.StopTimeoutMS, config.DefaultStopTimeout))
 }
 
-// serveAgent serves until the first signal and then until the work has ended.
-func serveAgent(a *agent.Agent, l link.Listener, first, second context.Context, timeout time.Duration) error {
-	serving, end := context.WithCancel(context.Background())
-	defer end()
-	failed := make(chan error, 1)
-	go steady.Watch(serving)
-	go func() { failed <- a.Serve(serving, l) }()
+// serveAgent serves until the first signal to stop, then until the running requests are done, for
+// at most the timeout.
+func serveAgent(a *agent.Agent, l link.Listener, stopping, aborting context.Context, timeout time.Duration) error {
+	serveCtx, cancelServe := context.WithCancel(context.Background())
+	defer cancelServe()
+	serveErr := make(chan error, 1)
+	go steady.Watch(serveCtx)
+	go func() { serveErr <- a.Serve(serveCtx, l) }()
 	select {
-	case err := <-failed:
+	case err := <-serveErr:
 		return err
-	case <-first.Done():
+	case <-stopping.Done():
 	}
-	stopping, cancel := steady.WithTimeout(second, timeout)
+	stopCtx, cancel := steady.WithTimeout(aborting, timeout)
 	defer cancel()
-	return a.Stop(stopping)
+	return a.Stop(stopCtx)
 }
 
-// localsOf returns the agent's endpoints with their drivers.
-func localsOf(all []config.Endpoint) ([]agent.Local, error) {
+// newLocals returns the agent's endpoints with their drivers.
+func newLocals(endpoints []config.Endpoint) ([]agent.Local, error) {
 	var locals []agent.Local
-	for _, e := range all {
+	for _, e := range endpoints {
 		factory, err := endpoint.Drivers.Get(e.Driver)
 		if err != nil {
 			return nil, fmt.Errorf("endpoint %s: %w", e.Name, err)
--- a/internal/process/entry.go
+++ b/internal/process/entry.go
@@ -23,28 +23,29 @@
 
 const idBytes = 12
 
-// newID returns an id that does not repeat.
+// newID returns a random unique id.
 func newID() string {
 	b := make([]byte, idBytes)
 	_, _ = rand.Read(b) // never fails
 	return hex.EncodeToString(b)
 }
 
-// RunEntry runs an entry of the own interface until it is told to stop. It starts, in
-// this order:
+// RunEntry runs an entry of the own interface until it receives a signal to stop. It starts,
+// in this order:
 //
 //  1. the settings file, the log and the certificates;
-//  2. the socket towards agents, and the platform's key-value service and member list;
+//  2. the QUIC dialer for agents, and the client of the platform's key-value service and member
+//     list;
 //  3. the entry with its store of settings versions and its collector of claims;
-//  4. the operators' address, then callers' requests.
+//  4. the admin server, then the server for callers.
 //
-// At the first signal to stop it stops cleanly, at the second at once.
+// At the first signal it shuts down gracefully; at the second it stops at once.
 func RunEntry(path string) error {
 	c, err := config.ReadEntry(path)
 	if err != nil {
 		return err
 	}
-	tls, err := prepare(c.Log, c.TLS)
+	tls, err := setUp(c.Log, c.TLS)
 	if err != nil {
 		return err
 	}
@@ -52,37 +53,37 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = dialer.Close() }() // the process ends
+	defer func() { _ = dialer.Close() }() // the process exits
 	platform, err := openPlatform(c.Platform)
 	if err != nil {
 		return err
 	}
-	scope, figures, closer := metrics.New("entry")
-	defer func() { _ = closer.Close() }() // the process ends
+	scope, metricsHandler, closer := metrics.New("entry")
+	defer func() { _ = closer.Close() }() // the process exits
 	store := &versions.Store{KeyValue: platform, Holder: &versions.Holder{}, Now: time.Now, NewID: newID}
-	running, end := context.WithCancel(context.Background())
-	defer end()
-	e := startEntry(running, c, store, entry.Options{Dialer: dialer, Members: platform, Metrics: scope})
-	operators, err := listen(c.Admin.Address, admin.Handler(admin.Options{
-		KeyHash: c.Admin.KeyHash, Dump: func() any { return e.Dump() }, Metrics: figures, Tree: &admin.Tree{Store: store},
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	e := startEntry(ctx, c, store, entry.Options{Dialer: dialer, Members: platform, Metrics: scope})
+	adminServer, err := listen(c.Admin.Address, admin.Handler(admin.Options{
+		KeyHash: c.Admin.KeyHash, Dump: func() any { return e.Dump() }, Metrics: metricsHandler, Tree: &admin.Tree{Store: store},
 		Release: releaseHandler(e.ReleaseContent),
 	}))
 	if err != nil {
 		return err
 	}
-	defer func() { _ = operators.Close() }() // the process ends
-	callers, err := listen(c.Listen, e.Handler())
+	defer func() { _ = adminServer.Close() }() // the process exits
+	server, err := listen(c.Listen, e.Handler())
 	if err != nil {
 		return err
 	}
-	log.Infof("Entry %s takes requests on %s.", c.Name, c.Listen)
-	first, second := stopSignals()
-	dumpOnSignal(second, func() any { return e.Dump() })
-	<-first.Done()
-	return stopEntry(e, callers, c, second)
+	log.Infof("Entry %s accepts requests on %s.", c.Name, c.Listen)
+	stopping, aborting := stopSignals()
+	dumpStateOnSignal(aborting, func() any { return e.Dump() })
+	<-stopping.Done()
+	return stopEntry(e, server, c, aborting)
 }
 
-// openPlatform returns the client of the platform that the settings name.
+// openPlatform returns a client of the platform in the settings.
 func openPlatform(c config.Platform) (kv.Platform, error) {
 	factory, err := kv.Drivers.Get(c.Driver)
 	if err != nil {
@@ -92,7 +93,7 @@
 }
 
 // startEntry starts an entry, its collector of claims and the watch of its settings.
-// The options hold what is not in the settings file.
+// The options hold the values that are not in the settings file.
 func startEntry(ctx context.Context, c config.Entry, store *versions.Store, o entry.Options) *entry.Entry {
 	var e *entry.Entry
 	collector := claims.New(claimOptions(c, store.KeyValue, func() int { return e.Entries() }))
@@ -130,14 +131,14 @@
 	return o
 }
 
-// stopEntry lets the balancer see that the entry is not ready, then refuses new
-// requests and waits for the answers on their way.
-func stopEntry(e *entry.Entry, callers *http.Server, c config.Entry, second context.Context) error {
+// stopEntry reports the entry as not ready for the grace period, so that the load balancer
+// stops routing to it. Then it refuses new requests and waits for open ones to complete.
+func stopEntry(e *entry.Entry, server *http.Server, c config.Entry, aborting context.Context) error {
 	e.StopTaking()
-	grace, end := steady.WithTimeout(second, config.Milliseconds(c.StopGraceMS, config.DefaultStopGrace))
-	defer end()
-	<-grace.Done()
-	stopping, cancel := steady.WithTimeout(second, config.Milliseconds(c.StopTimeoutMS, config.DefaultStopTimeout))
+	graceCtx, cancelGrace := steady.WithTimeout(aborting, config.Milliseconds(c.StopGraceMS, config.DefaultStopGrace))
+	defer cancelGrace()
+	<-graceCtx.Done()
+	stopCtx, cancel := steady.WithTimeout(aborting, config.Milliseconds(c.StopTimeoutMS, config.DefaultStopTimeout))
 	defer cancel()
-	return errors.Join(e.Drain(stopping), callers.Shutdown(stopping))
+	return errors.Join(e.Drain(stopCtx), server.Shutdown(stopCtx))
 }
--- a/internal/process/gateway.go
+++ b/internal/process/gateway.go
@@ -24,39 +24,38 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// Paths of an entry's own figures, and of an operator's word that a content is let through
-// again.
+// Paths of an entry's metrics and state, and of an operator's release of a held content.
 const (
 	metricsPath = "/metrics"
 	statePath   = "/state"
 	releasePath = "/contents/:content/release"
 )
 
-// heldContents names what one entry of a data centre learns from the store for all.
+// heldContents names the records that one entry of a data centre reads from the store for all.
 const heldContents = "held contents"
 
-// RunGateway runs an entry on a platform until it is told to stop. It starts, in
-// this order:
+// RunGateway runs an entry on a platform until it receives a signal to stop. It starts,
+// in this order:
 //
-//  1. the log, and the handling of signals: one that comes earlier ends the process;
-//  2. the platform's driver, which reads the process's settings file;
+//  1. the log and the signal handlers: an earlier signal terminates the process;
+//  2. the platform's driver, which reads the settings file of the process;
 //  3. the gateway, which owns requests and their attempts;
-//  4. the group of entries, which may hand it settings and endpoints at once;
-//  5. the duties that one entry performs at a time, where the platform asks for some;
-//  6. the follower of the platform's store, the gateway's upkeep, the watch of the
-//     settings file, the gauges;
-//  7. the balancer's check and the figures, then callers' requests.
+//  4. the group of entries, from which it may receive settings and endpoints at once;
+//  5. the duties that one entry performs at a time, if the platform requires any;
+//  6. the follower of the platform's store, the gateway's periodic work, the watch of
+//     the settings file, the gauges;
+//  7. the readiness check and the metrics, then the server for callers.
 //
-// At the first signal to stop the gateway stops cleanly within the grace; all else
-// ends with the process.
+// At the first signal to stop, the gateway shuts down gracefully within the grace period;
+// everything else ends with the process.
 func RunGateway(driverName string) error {
 	if err := logs.Setup(logs.NewAsync(os.Stdout), "json", defaultLevel); err != nil {
 		return err
 	}
-	hangups := make(chan os.Signal, 1)
-	signal.Notify(hangups, syscall.SIGHUP)
-	defer signal.Stop(hangups)
-	first, second := stopSignals()
+	reloadSignals := make(chan os.Signal, 1)
+	signal.Notify(reloadSignals, syscall.SIGHUP)
+	defer signal.Stop(reloadSignals)
+	stopping, aborting := stopSignals()
 	factory, err := driver.Drivers.Get(driverName)
 	if err != nil {
 		return err
@@ -66,13 +65,13 @@
 	if err != nil {
 		return err
 	}
-	scope, figures, closer := metrics.New("entry")
-	defer func() { _ = closer.Close() }() // the process ends
-	running, end := context.WithCancel(context.Background())
-	defer end()
-	go steady.Watch(running)
+	scope, metricsHandler, closer := metrics.New("entry")
+	defer func() { _ = closer.Close() }() // the process exits
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	go steady.Watch(ctx)
 	usage := &usageDuty{}
-	records := countedRecords{records: platform.Records(settings), scope: scope}
+	records := countingRecords{records: platform.Records(settings), scope: scope}
 	g := gateway.New(gateway.Options{
 		Process: settings,
 		Driver:  platform,
@@ -82,11 +81,11 @@
 		Began:   usage.count,
 		Records: records,
 	})
-	group, err := joinGroup(running, g, settings, scope, usage)
+	group, err := joinGroup(ctx, g, settings, scope, usage)
 	if err != nil {
 		return err
 	}
-	usage.start(running, duties.Options{
+	usage.start(ctx, duties.Options{
 		Name:     settings.Name,
 		Owner:    g.Owner(),
 		Terms:    settings.Duties,
@@ -96,37 +95,37 @@
 		Reporter: platform.Reporter(settings),
 		Metrics:  scope,
 	})
-	store := countedStore{store: platform.Store(settings, g.Directory().StoreProgressed), scope: scope}
-	go g.Directory().Follow(running, store)
-	go g.Run(running)
-	go watchSettings(running, hangups, g, platform, settings)
-	go updateGauges(running, g, scope)
-	if err := serveChecks(g, platform, settings); err != nil {
+	store := countingStore{store: platform.Store(settings, g.Directory().StoreProgressed), scope: scope}
+	go g.Directory().Follow(ctx, store)
+	go g.Run(ctx)
+	go watchSettings(ctx, reloadSignals, g, platform, settings)
+	go updateGauges(ctx, g, scope)
+	if err := serveReadiness(g, platform, settings); err != nil {
 		return err
 	}
-	if err := serveFigures(g, settings, figures); err != nil {
+	if err := serveMetrics(g, settings, metricsHandler); err != nil {
 		return err
 	}
-	callers, err := g.Serve(settings.Callers)
+	server, err := g.Serve(settings.Callers)
 	if err != nil {
 		return err
 	}
-	log.With("name", settings.Name).With("address", settings.Callers).Info("The entry takes requests.")
-	dumpOnSignal(second, func() any { return g.Dump() })
-	<-first.Done()
+	log.With("name", settings.Name).With("address", settings.Callers).Info("The entry accepts requests.")
+	dumpStateOnSignal(aborting, func() any { return g.Dump() })
+	<-stopping.Done()
 	usage.resign()
-	defer usage.tellLast()
-	return g.Stop(callers, g.Grace())
+	defer usage.reportLast()
+	return g.Stop(server, g.Grace())
 }
 
-// randomID returns a number that is not 0 and does not repeat.
+// randomID returns a random unique number other than 0.
 func randomID() uint64 {
 	var b [8]byte
 	_, _ = crand.Read(b[:]) // never fails
 	return binary.LittleEndian.Uint64(b[:]) | 1
 }
 
-// joinGroup lets the gateway hear of the other entries and they of it.
+// joinGroup starts the exchange with the other entries and restores their state into the gateway.
 func joinGroup(ctx context.Context, g *gateway.Gateway, settings driver.Process, scope tally.Scope, usage *usageDuty) (*peers.Group, error) {
 	d := g.Directory()
 	group, err := peers.New(peers.Options{
@@ -140,11 +139,11 @@
 		Directory:  d,
 		DataCentre: settings.DataCentre,
 		Metrics:    scope,
-		TakeUsage:  usage.take,
+		TakeUsage:  usage.addStatement,
 		ReadCost:   peers.ReadCost(settings.Limits.LinkMbps, settings.Limits.Processor),
 		Fetch: func(ctx context.Context, address string, p peers.Part) {
 			if err := peers.FetchState(ctx, d, address, p); err != nil {
-				log.With("peer", address).With("reason", err.Error()).Limited("fetch", "Another entry's state can't be read; one that is ahead is asked again.")
+				log.With("peer", address).With("reason", err.Error()).Limited("fetch", "Another entry's state can't be read; an entry with newer state is asked again.")
 			}
 		},
 	})
@@ -160,9 +159,9 @@
 	g.Join(group)
 	go group.Run(ctx)
 	go func() {
-		informed := group.Inform(ctx, d, g.Restore)
+		restored := group.Inform(ctx, d, g.Restore)
 		g.StopRestoring()
-		if informed {
+		if restored {
 			return
 		}
 		if !settings.FirstStart && group.First(heldContents, settings.DataCentre) {
@@ -173,32 +172,32 @@
 	return group, nil
 }
 
-// serveChecks serves the balancer's readiness check.
-func serveChecks(g *gateway.Gateway, platform driver.Driver, settings driver.Process) error {
-	checks := flow.New()
-	checks.HandleFunc(platform.ReadyPath(), func(w http.ResponseWriter, _ *http.Request) {
+// serveReadiness serves the readiness check for the load balancer.
+func serveReadiness(g *gateway.Gateway, platform driver.Driver, settings driver.Process) error {
+	mux := flow.New()
+	mux.HandleFunc(platform.ReadyPath(), func(w http.ResponseWriter, _ *http.Request) {
 		if !g.Ready() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	}, http.MethodGet)
-	_, err := listen(settings.Readiness, checks)
+	_, err := listen(settings.Readiness, mux)
 	return err
 }
 
-// serveFigures serves the metrics, the state dump, and the release of held contents.
-func serveFigures(g *gateway.Gateway, settings driver.Process, figures http.Handler) error {
+// serveMetrics serves the metrics, the state dump, and the release of held contents.
+func serveMetrics(g *gateway.Gateway, settings driver.Process, metricsHandler http.Handler) error {
 	mux := flow.New()
-	mux.Handle(metricsPath, figures, http.MethodGet)
+	mux.Handle(metricsPath, metricsHandler, http.MethodGet)
 	mux.HandleFunc(statePath, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(g.Dump()) // the caller may be gone
+		_ = json.NewEncoder(w).Encode(g.Dump()) // the client may have disconnected
 	}, http.MethodGet)
 	mux.Handle(releasePath, releaseHandler(g.ReleaseContent), http.MethodPost)
 	_, err := listen(settings.Metrics, mux)
 	return err
 }
 
-// releaseHandler lets the content that the path names through again.
+// releaseHandler releases the held content in the path.
 func releaseHandler(release func(quarantine.Key) bool) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		k, ok := quarantine.ParseKey(flow.Param(r.Context(), "content"))
--- a/internal/process/gauges.go
+++ b/internal/process/gauges.go
@@ -14,32 +14,32 @@
 // gaugeInterval is how often the gauges are updated.
 const gaugeInterval = time.Second
 
-// updateGauges keeps the gauges of the state until ctx is done.
+// updateGauges updates the gauges of the state until ctx is done.
 func updateGauges(ctx context.Context, g *gateway.Gateway, scope tally.Scope) {
 	workers.Every(ctx, gaugeInterval, func(time.Time) {
 		d := g.Dump()
-		following := 0.0
+		followingStore := 0.0
 		if d.Following {
-			following = 1
+			followingStore = 1
 		}
 		scope.Gauge("open_requests").Update(float64(d.Open))
 		scope.Gauge("suspect_contents").Update(float64(d.Suspect))
-		backoffs, draining := signalling(d.Endpoints)
+		backoffs, draining := countSignalling(d.Endpoints)
 		scope.Gauge("endpoints_in_backoff").Update(float64(backoffs))
 		scope.Gauge("endpoints_draining").Update(float64(draining))
 		scope.Gauge("held_contents").Update(float64(d.Held))
 		scope.Gauge("live_entries").Update(float64(d.Entries))
 		scope.Gauge("settings_version").Update(float64(d.Version))
-		scope.Gauge("following_store").Update(following)
+		scope.Gauge("following_store").Update(followingStore)
 		scope.Gauge("settings_behind_seconds").Update(float64(d.Behind.ForMS) / 1000)
 		scope.Gauge("settings_outstanding_bytes").Update(float64(d.Behind.Outstanding))
 	})
 }
 
-// signalling returns the numbers of endpoints that this entry backs off from, and of those that
-// drain.
-func signalling(all []placement.EndpointState) (backoffs, draining int) {
-	for _, e := range all {
+// countSignalling returns the number of endpoints from which this entry backs off, and the number
+// of those that are draining.
+func countSignalling(endpoints []placement.EndpointState) (backoffs, draining int) {
+	for _, e := range endpoints {
 		if e.BackoffMS > 0 {
 			backoffs++
 		}
--- a/internal/process/golden_test.go
+++ b/internal/process/golden_test.go
@@ -24,11 +24,11 @@
 	entryprogram.Main(m, func() error { return process.RunGateway("fleet") })
 }
 
-// figureNames returns the kinds, names and labels of a page of figures, without
-// the values.
-func figureNames(page string) string {
+// metricNames returns the types, names and labels of metrics in the Prometheus text
+// format, without the values.
+func metricNames(text string) string {
 	var names []string
-	for line := range strings.Lines(page) {
+	for line := range strings.Lines(text) {
 		line = strings.TrimSpace(line)
 		if strings.HasPrefix(line, "# HELP") || line == "" {
 			continue
@@ -42,7 +42,7 @@
 	return strings.Join(names, "\n") + "\n"
 }
 
-// requestLines returns the keys of the log lines of ended requests, in order.
+// requestLines returns the keys of the log lines of completed requests, in order.
 func requestLines(t *testing.T, log []byte) string {
 	t.Helper()
 	var got strings.Builder
@@ -61,9 +61,9 @@
 	return got.String()
 }
 
-// TestGoldenProcess runs an entry as a program of its own and holds its figures,
-// its state and the log lines of two requests to what they were.
-func TestGoldenProcess(t *testing.T) {
+// TestGatewayGoldenFiles runs an entry as a separate process and compares its metrics,
+// its state and the log lines of two requests with the golden files.
+func TestGatewayGoldenFiles(t *testing.T) {
 	store := platformtest.NewStore()
 	defer store.Close()
 	runner := platformtest.NewRunner("i-1", "pool", platformtest.Events{To: 3, Pause: 2 * time.Millisecond})
@@ -88,9 +88,9 @@
 	if err := os.WriteFile(path, data, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	var log, failures bytes.Buffer
+	var stdout, stderr bytes.Buffer
 	c := entryprogram.Command(path)
-	c.Stdout, c.Stderr = &log, &failures
+	c.Stdout, c.Stderr = &stdout, &stderr
 	if err := c.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -102,19 +102,19 @@
 		}
 	}()
 	eventually(t, "readiness", func() bool {
-		s, _ := fetch(t, get(t, ip+":8220/foxcross/readyz"))
-		return s == http.StatusOK
+		status, _ := fetch(t, get(t, ip+":8220/foxcross/readyz"))
+		return status == http.StatusOK
 	})
 	for _, target := range []string{"/chat/a", "/nothing"} {
-		q := get(t, ip+":8227"+target)
-		q.Host = "h.example"
-		q.Header.Set(platformtest.RequestIDField, target)
-		fetch(t, q)
+		request := get(t, ip+":8227"+target)
+		request.Host = "h.example"
+		request.Header.Set(platformtest.RequestIDField, target)
+		fetch(t, request)
 	}
-	var figures string
-	eventually(t, "the figures", func() bool {
-		_, figures = fetch(t, get(t, ip+":9464/metrics"))
-		return strings.Contains(figures, "not_found") && strings.Contains(figures, "first_seconds") && strings.Contains(figures, "live_entries") && strings.Contains(figures, "list_records")
+	var metrics string
+	eventually(t, "the metrics", func() bool {
+		_, metrics = fetch(t, get(t, ip+":9464/metrics"))
+		return strings.Contains(metrics, "not_found") && strings.Contains(metrics, "first_seconds") && strings.Contains(metrics, "live_entries") && strings.Contains(metrics, "list_records")
 	})
 	_, state := fetch(t, get(t, ip+":9464/state"))
 	if err := c.Process.Signal(syscall.SIGTERM); err != nil {
@@ -123,9 +123,9 @@
 	err = c.Wait()
 	ended = true
 	if err != nil {
-		t.Errorf("ended with %v: %s", err, failures.String())
+		t.Errorf("ended with %v: %s", err, stderr.String())
 	}
-	golden.Compare(t, "figures.golden", figureNames(figures))
+	golden.Compare(t, "figures.golden", metricNames(metrics))
 	golden.Compare(t, "state.golden", golden.Keys(t, []byte(state)))
-	golden.Compare(t, "requests.golden", requestLines(t, log.Bytes()))
+	golden.Compare(t, "requests.golden", requestLines(t, stdout.Bytes()))
 }
--- a/internal/process/listen.go
+++ b/internal/process/listen.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// headerTimeout bounds the time for a request's header.
+	// headerTimeout bounds the time to read a request's header.
 	headerTimeout = 10 * time.Second
-	// idleTimeout ends connections that are idle.
+	// idleTimeout is the time after which idle connections are closed.
 	idleTimeout = 2 * time.Minute
 )
 
@@ -30,7 +30,7 @@
 	}
 	go func() {
 		if err := s.Serve(l); err != http.ErrServerClosed {
-			log.Errorf("Serving on %s ended: %v.", address, err)
+			log.Errorf("Serving on %s failed: %v.", address, err)
 		}
 	}()
 	return s, nil
--- a/internal/process/prepare.go
+++ b/internal/process/prepare.go
@@ -9,12 +9,11 @@
 	"foxcross.dev/foxcross/internal/relay/keys"
 )
 
-// defaultLevel is the level of log lines where the settings name none.
+// defaultLevel is the log level if the settings name none.
 const defaultLevel = "info"
 
-// prepare sets up the log of a process of the own interface and loads its
-// certificates.
-func prepare(c config.Log, f keys.Files) (*tls.Config, error) {
+// setUp sets up the log of a process of the own interface and loads its certificates.
+func setUp(c config.Log, f keys.Files) (*tls.Config, error) {
 	level := c.Level
 	if level == "" {
 		level = defaultLevel
--- a/internal/process/reload.go
+++ b/internal/process/reload.go
@@ -9,33 +9,34 @@
 	"foxcross.dev/foxcross/internal/direct/gateway"
 )
 
-// reloadInterval is how often the settings file is read again: it may change without a signal.
+// reloadInterval is the interval at which the settings file is read again. The file may change
+// without a signal.
 const reloadInterval = 2 * time.Second
 
-// watchSettings takes in changes of the settings file until ctx is done. Only bounds
-// come into force while the process runs. A file that can't be used changes nothing.
-func watchSettings(ctx context.Context, hangups <-chan os.Signal, g *gateway.Gateway, platform driver.Driver, inForce driver.Process) {
+// watchSettings reloads the settings file until ctx is done. Only bounds are applied while
+// the process runs. An invalid file changes nothing.
+func watchSettings(ctx context.Context, reloadSignals <-chan os.Signal, g *gateway.Gateway, platform driver.Driver, current driver.Process) {
 	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-hangups:
-			log.Info("Reading the settings file again, as SIGHUP asks.")
+		case <-reloadSignals:
+			log.Info("Reloading the settings file after SIGHUP.")
 		case <-ticker.C:
 		}
-		read, err := platform.Process()
+		updated, err := platform.Process()
 		if err != nil {
-			log.With("reason", err.Error()).Errorf("The settings file can't be used; the settings in force stay.")
+			log.With("reason", err.Error()).Errorf("The settings file is invalid; the current settings stay in force.")
 			continue
 		}
-		if changes := inForce.Changes(read); len(changes) > 0 {
+		if changes := current.Changes(updated); len(changes) > 0 {
 			log.With("changes", changes).Info("The settings file changed.")
 		}
-		if inForce.Bounds != read.Bounds {
-			g.SetBounds(read.Bounds)
+		if current.Bounds != updated.Bounds {
+			g.SetBounds(updated.Bounds)
 		}
-		inForce = read
+		current = updated
 	}
 }
--- a/internal/process/signals.go
+++ b/internal/process/signals.go
@@ -8,25 +8,25 @@
 	"syscall"
 )
 
-// stopSignals returns a context that ends with the first signal to stop and one
-// that ends with the second.
-func stopSignals() (first, second context.Context) {
-	first, cancelFirst := context.WithCancel(context.Background())
-	second, cancelSecond := context.WithCancel(context.Background())
+// stopSignals returns two contexts: stopping is done after the first signal to stop, aborting
+// after the second.
+func stopSignals() (stopping, aborting context.Context) {
+	stopping, cancelStopping := context.WithCancel(context.Background())
+	aborting, cancelAborting := context.WithCancel(context.Background())
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, os.Interrupt, syscall.SIGTERM)
 	go func() {
 		<-signals
-		log.Info("Stopping cleanly. A second signal stops at once.")
-		cancelFirst()
+		log.Info("Shutting down gracefully. A second signal stops at once.")
+		cancelStopping()
 		<-signals
-		cancelSecond()
+		cancelAborting()
 	}()
-	return first, second
+	return stopping, aborting
 }
 
-// dumpOnSignal writes the state to standard error on SIGUSR1.
-func dumpOnSignal(ctx context.Context, dump func() any) {
+// dumpStateOnSignal writes the state to standard error at each SIGUSR1, until ctx is done.
+func dumpStateOnSignal(ctx context.Context, dump func() any) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGUSR1)
 	go func() {
--- a/internal/process/suspension_test.go
+++ b/internal/process/suspension_test.go
@@ -13,16 +13,16 @@
 	"foxcross.dev/foxcross/internal/testing/suspension"
 )
 
-// TestGraceOfAStopPassesWhileSuspended holds that an entry which is to stop does not wait for time
-// that its balancer has already counted.
-func TestGraceOfAStopPassesWhileSuspended(t *testing.T) {
+// TestStopGraceCountsSuspension checks that the grace period of a stop includes the time for which
+// the machine is suspended, as it does for the load balancer.
+func TestStopGraceCountsSuspension(t *testing.T) {
 	go steady.Watch(t.Context())
 	e := entry.New(entry.Options{Settings: &versions.Holder{}})
 	stopped := make(chan error, 1)
 	go func() {
 		stopped <- stopEntry(e, &http.Server{}, config.Entry{StopGraceMS: int(time.Hour.Milliseconds())}, context.Background())
 	}()
-	// When the grace has begun no one can see: the machine is suspended again and again.
+	// The start of the grace period can't be observed, so the machine is suspended repeatedly.
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); {
 		t.Cleanup(suspension.Suspend(2 * time.Hour))
 		select {
@@ -34,5 +34,5 @@
 		case <-time.After(50 * time.Millisecond):
 		}
 	}
-	t.Error("it still waits")
+	t.Error("stopEntry did not return")
 }
--- a/internal/process/usageduty.go
+++ b/internal/process/usageduty.go
@@ -8,12 +8,12 @@
 	"foxcross.dev/foxcross/internal/direct/duties"
 )
 
-// usageDuty lets the gateway and the group of entries, which are made before, tell the
-// duties of requests and counts. The zero value, and one of a platform that asks for no
-// reports of usage, takes nothing in.
+// usageDuty passes usage from the gateway and the group of entries, which are created
+// first, to the duties. The zero value ignores all usage, also on a platform that
+// requires no usage reports.
 type usageDuty struct{ duties atomic.Pointer[duties.Duties] }
 
-// start begins the duties, if the platform asks for reports of usage.
+// start starts the duties if the platform requires usage reports.
 func (u *usageDuty) start(ctx context.Context, o duties.Options) {
 	if !o.Terms.Usage || o.Terms.Address == "" {
 		return
@@ -23,29 +23,29 @@
 	go d.Run(ctx)
 }
 
-// count takes in a request of a team that an endpoint began to run.
+// count counts a request of a team that an endpoint has started to run.
 func (u *usageDuty) count(team string) {
 	if d := u.duties.Load(); d != nil {
 		d.Count(team)
 	}
 }
 
-// take takes in what another entry counted.
-func (u *usageDuty) take(s duty.Statement) {
+// addStatement adds the counts of another entry.
+func (u *usageDuty) addStatement(s duty.Statement) {
 	if d := u.duties.Load(); d != nil {
 		d.TakeStatement(s)
 	}
 }
 
-// resign hands the duties over.
+// resign hands the duties over to another entry.
 func (u *usageDuty) resign() {
 	if d := u.duties.Load(); d != nil {
 		d.Resign()
 	}
 }
 
-// tellLast tells what was counted until the end.
-func (u *usageDuty) tellLast() {
+// reportLast sends the last counts to the other entries before the process exits.
+func (u *usageDuty) reportLast() {
 	if d := u.duties.Load(); d != nil {
 		d.TellLast()
 	}
