--- a/internal/command/check.go
+++ b/internal/command/check.go
@@ -9,8 +9,8 @@
 	"foxcross.dev/foxcross/internal/relay/config"
 )
 
-// Check reads the settings of a process, reports what is wrong, and else prints
-// what they come to.
+// Check reads the settings of a process and prints the result, or reports what is
+// wrong.
 type Check struct {
 	Settings string `long:"settings" short:"s" description:"file with the settings of an entry of the own interface"`
 	Platform string `long:"platform" short:"p" description:"name of a platform's driver, whose file the environment names"`
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -17,18 +17,18 @@
 	. "github.com/onsi/gomega"
 )
 
-// run runs the entry's command line.
-func run(arguments ...string) (code int, out, failures string) {
-	var o, f bytes.Buffer
-	code = command.Main("foxcross-entry", &command.Entry{}, arguments, &o, &f)
-	return code, o.String(), f.String()
+// run runs foxcross-entry with the arguments.
+func run(arguments ...string) (code int, stdout, stderr string) {
+	var outBuffer, errBuffer bytes.Buffer
+	code = command.Main("foxcross-entry", &command.Entry{}, arguments, &outBuffer, &errBuffer)
+	return code, outBuffer.String(), errBuffer.String()
 }
 
 var _ = Describe("Main", func() {
 	It("prints help", func() {
-		code, out, _ := run("tree", "--help")
+		code, stdout, _ := run("tree", "--help")
 		Expect(code).To(Equal(command.ExitOK))
-		golden.Compare(GinkgoT(), "help.golden", out)
+		golden.Compare(GinkgoT(), "help.golden", stdout)
 	})
 
 	It("prints the recorded help of every command", func() {
@@ -39,86 +39,86 @@
 			"keys", "keys authority", "keys issue", "keys hash",
 		} {
 			arguments := append(strings.Fields(line), "--help")
-			code, out, _ := run(arguments...)
+			code, stdout, _ := run(arguments...)
 			Expect(code).To(Equal(command.ExitOK))
-			fmt.Fprintf(&all, "$ foxcross-entry %s\n%s\n", strings.Join(arguments, " "), out)
+			fmt.Fprintf(&all, "$ foxcross-entry %s\n%s\n", strings.Join(arguments, " "), stdout)
 		}
 		for _, arguments := range [][]string{{"--help"}, {"run", "--help"}} {
-			var out bytes.Buffer
-			code := command.Main("foxcross-agent", &command.Agent{}, arguments, &out, &out)
+			var stdout bytes.Buffer
+			code := command.Main("foxcross-agent", &command.Agent{}, arguments, &stdout, &stdout)
 			Expect(code).To(Equal(command.ExitOK))
-			fmt.Fprintf(&all, "$ foxcross-agent %s\n%s\n", strings.Join(arguments, " "), out.String())
+			fmt.Fprintf(&all, "$ foxcross-agent %s\n%s\n", strings.Join(arguments, " "), stdout.String())
 		}
 		golden.Compare(GinkgoT(), "help-all.golden", all.String())
 	})
 
 	It("fails on an unknown command", func() {
-		code, _, failures := run("trea")
+		code, _, stderr := run("trea")
 		Expect(code).To(Equal(command.ExitUsage))
-		Expect(failures).To(ContainSubstring("trea"))
+		Expect(stderr).To(ContainSubstring("trea"))
 	})
 
-	It("fails with the code when a settings file is wrong", func() {
-		code, _, failures := run("run", "--settings", "/nowhere.json")
+	It("fails with the numbered code if a settings file can't be read", func() {
+		code, _, stderr := run("run", "--settings", "/nowhere.json")
 		Expect(code).To(Equal(command.ExitFailed))
-		Expect(failures).To(ContainSubstring("1701"))
+		Expect(stderr).To(ContainSubstring("1701"))
 	})
 
 	It("checks the settings of an entry without running it", func() {
-		code, out, _ := run("check", "--settings", "../../examples/processes/entry-1.json")
+		code, stdout, _ := run("check", "--settings", "../../examples/processes/entry-1.json")
 		Expect(code).To(Equal(command.ExitOK))
-		Expect(out).To(ContainSubstring(`"name": "entry-1"`))
-		code, _, failures := run("check", "--settings", "/nowhere.json")
+		Expect(stdout).To(ContainSubstring(`"name": "entry-1"`))
+		code, _, stderr := run("check", "--settings", "/nowhere.json")
 		Expect(code).To(Equal(command.ExitFailed))
-		Expect(failures).To(ContainSubstring("1701"))
+		Expect(stderr).To(ContainSubstring("1701"))
 		code, _, _ = run("check")
 		Expect(code).To(Equal(command.ExitFailed))
 	})
 
-	It("checks the settings that a platform gives", func() {
+	It("checks the settings from a platform", func() {
 		GinkgoT().Setenv("FOXCROSS_CONFIG", "../../platform/testdata/settings.json")
-		code, out, _ := run("check", "--platform", "fleet")
+		code, stdout, _ := run("check", "--platform", "fleet")
 		Expect(code).To(Equal(command.ExitOK))
-		golden.Compare(GinkgoT(), "check.golden", out)
+		golden.Compare(GinkgoT(), "check.golden", stdout)
 		path := filepath.Join(GinkgoT().TempDir(), "settings.json")
 		Expect(os.WriteFile(path, []byte(`{"nodeName":"a"}`), 0o600)).To(Succeed())
 		GinkgoT().Setenv("FOXCROSS_CONFIG", path)
-		code, _, failures := run("check", "--platform", "fleet")
+		code, _, stderr := run("check", "--platform", "fleet")
 		Expect(code).To(Equal(command.ExitFailed))
-		Expect(failures).To(ContainSubstring("1703 file_field"))
-		Expect(failures).To(ContainSubstring("zone: is missing"))
+		Expect(stderr).To(ContainSubstring("1703 file_field"))
+		Expect(stderr).To(ContainSubstring("zone: is missing"))
 	})
 
 	It("prints the hash of a key", func() {
-		_, out, _ := run("keys", "hash", "gent-key")
-		Expect(out).To(Equal("b470a81b6f65cdf47ac2780ef532389b0ac93a5c38354ee7af3772dd38c537d3\n"))
+		_, stdout, _ := run("keys", "hash", "gent-key")
+		Expect(stdout).To(Equal("b470a81b6f65cdf47ac2780ef532389b0ac93a5c38354ee7af3772dd38c537d3\n"))
 	})
 
-	It("makes keys that trust each other, also while an authority is replaced", func() {
-		old := GinkgoT().TempDir()
-		fresh := GinkgoT().TempDir()
-		for _, f := range []string{old, fresh} {
-			code, _, failures := run("keys", "authority", "--folder", f)
-			Expect(code).To(Equal(command.ExitOK), failures)
-			code, _, failures = run("keys", "issue", "--folder", f, "--name", "p")
-			Expect(code).To(Equal(command.ExitOK), failures)
+	It("issues certificates that verify each other during the replacement of an authority", func() {
+		oldDir := GinkgoT().TempDir()
+		newDir := GinkgoT().TempDir()
+		for _, dir := range []string{oldDir, newDir} {
+			code, _, stderr := run("keys", "authority", "--folder", dir)
+			Expect(code).To(Equal(command.ExitOK), stderr)
+			code, _, stderr = run("keys", "issue", "--folder", dir, "--name", "p")
+			Expect(code).To(Equal(command.ExitOK), stderr)
 		}
-		a, err := os.ReadFile(filepath.Join(old, "authority.crt"))
+		oldAuthority, err := os.ReadFile(filepath.Join(oldDir, "authority.crt"))
 		Expect(err).NotTo(HaveOccurred())
-		b, err := os.ReadFile(filepath.Join(fresh, "authority.crt"))
+		newAuthority, err := os.ReadFile(filepath.Join(newDir, "authority.crt"))
 		Expect(err).NotTo(HaveOccurred())
-		both := filepath.Join(old, "both.crt")
-		Expect(os.WriteFile(both, append(a, b...), 0o600)).To(Succeed())
-		c, err := keys.Files{Authorities: both, Certificate: filepath.Join(old, "p.crt"), Key: filepath.Join(old, "p.key")}.Load()
+		both := filepath.Join(oldDir, "both.crt")
+		Expect(os.WriteFile(both, append(oldAuthority, newAuthority...), 0o600)).To(Succeed())
+		config, err := keys.Files{Authorities: both, Certificate: filepath.Join(oldDir, "p.crt"), Key: filepath.Join(oldDir, "p.key")}.Load()
 		Expect(err).NotTo(HaveOccurred())
-		for _, f := range []string{old, fresh} {
-			own, err := keys.Files{
+		for _, dir := range []string{oldDir, newDir} {
+			issued, err := keys.Files{
 				Authorities: both,
-				Certificate: filepath.Join(f, "p.crt"),
-				Key:         filepath.Join(f, "p.key"),
+				Certificate: filepath.Join(dir, "p.crt"),
+				Key:         filepath.Join(dir, "p.key"),
 			}.Load()
 			Expect(err).NotTo(HaveOccurred())
-			_, err = own.Certificates[0].Leaf.Verify(x509.VerifyOptions{Roots: c.RootCAs, DNSName: keys.ServerName})
+			_, err = issued.Certificates[0].Leaf.Verify(x509.VerifyOptions{Roots: config.RootCAs, DNSName: keys.ServerName})
 			Expect(err).NotTo(HaveOccurred())
 		}
 	})
--- a/internal/command/entry.go
+++ b/internal/command/entry.go
@@ -9,7 +9,7 @@
 	"foxcross.dev/foxcross/internal/process"
 )
 
-// Entry are the subcommands of foxcross-entry.
+// Entry holds the subcommands of foxcross-entry.
 type Entry struct {
 	Run     RunEntry `command:"run" description:"run an entry"`
 	Serve   Serve    `command:"serve" description:"run an entry on a platform, with the settings that the platform gives"`
@@ -27,7 +27,7 @@
 // Execute runs the command.
 func (c *RunEntry) Execute([]string) error { return process.RunEntry(c.Settings) }
 
-// Serve runs an entry on a platform.
+// Serve runs an entry on a platform, with the settings from the platform.
 type Serve struct {
 	Platform string `long:"platform" short:"p" required:"yes" description:"name of the platform's driver"`
 }
@@ -35,7 +35,7 @@
 // Execute runs the command.
 func (c *Serve) Execute([]string) error { return process.RunGateway(c.Platform) }
 
-// Explain tells what became of a request.
+// Explain reports from a log how a request was handled.
 type Explain struct {
 	Log string `long:"log" short:"l" description:"file with the log of an entry, standard input if none"`
 	Of  struct {
@@ -51,7 +51,7 @@
 		if err != nil {
 			return result.Errorf(result.FileUnreadable, "%v", err)
 		}
-		defer func() { _ = f.Close() }() // it was only read
+		defer func() { _ = f.Close() }() // the file was only read
 		log = f
 	}
 	found, err := explain.Story(output, log, c.Of.Request)
@@ -61,7 +61,7 @@
 	return err
 }
 
-// Agent are the subcommands of foxcross-agent.
+// Agent holds the subcommands of foxcross-agent.
 type Agent struct {
 	Run RunAgent `command:"run" description:"run an agent"`
 }
--- a/internal/command/keys.go
+++ b/internal/command/keys.go
@@ -14,18 +14,18 @@
 const (
 	keyMode         = 0o600
 	certificateMode = 0o644
-	folderMode      = 0o700
+	directoryMode   = 0o700
 	day             = 24 * time.Hour
 )
 
-// Keys are the commands that make certificates and keys.
+// Keys holds the commands that create certificates and keys.
 type Keys struct {
 	Authority MakeAuthority `command:"authority" description:"make an authority that signs certificates"`
 	Issue     IssuePair     `command:"issue" description:"make a process's certificate and key"`
 	Hash      HashKey       `command:"hash" description:"print the hash of a bearer key, as settings hold it"`
 }
 
-// MakeAuthority makes an authority.
+// MakeAuthority creates a certificate authority.
 type MakeAuthority struct {
 	Folder string `long:"folder" default:"keys" description:"where the files go"`
 	Days   int    `long:"days" default:"3650" description:"how long it is valid"`
@@ -44,7 +44,7 @@
 	return writePair(c.Folder, "authority", p)
 }
 
-// IssuePair makes a certificate.
+// IssuePair creates a certificate and its key for a process, signed by the authority in the folder.
 type IssuePair struct {
 	Folder string `long:"folder" default:"keys" description:"where the authority is and the files go"`
 	Name   string `long:"name" required:"yes" description:"name of the process"`
@@ -73,7 +73,7 @@
 }
 
 func writePair(folder, name string, p keys.Pair) error {
-	if err := os.MkdirAll(folder, folderMode); err != nil {
+	if err := os.MkdirAll(folder, directoryMode); err != nil {
 		return err
 	}
 	if err := os.WriteFile(filepath.Join(folder, name+".crt"), p.Certificate, certificateMode); err != nil {
@@ -82,7 +82,7 @@
 	return os.WriteFile(filepath.Join(folder, name+".key"), p.Key, keyMode)
 }
 
-// HashKey prints a hash.
+// HashKey prints the hash of a bearer key, as stored in settings.
 type HashKey struct {
 	Arguments struct {
 		Key string `positional-arg-name:"key"`
--- a/internal/command/tree.go
+++ b/internal/command/tree.go
@@ -16,13 +16,13 @@
 )
 
 const (
-	// operatorTimeout bounds a command's call.
-	operatorTimeout = 60 * time.Second
-	// maxAnswer bounds an answer, in bytes: a whole tree.
-	maxAnswer = 64 << 20
+	// callTimeout bounds a request to the entry.
+	callTimeout = 60 * time.Second
+	// maxResponse bounds a response, in bytes. The largest is a whole tree.
+	maxResponse = 64 << 20
 )
 
-// Tree are the commands on the settings tree. They talk to any entry.
+// Tree holds the commands on the settings tree. Any entry can serve them.
 type Tree struct {
 	Get      GetTree      `command:"get" description:"print the tree"`
 	Put      PutTree      `command:"put" description:"put a tree from a file in force"`
@@ -33,50 +33,50 @@
 	Rollback RollbackTree `command:"rollback" description:"put an older version in force as a new one"`
 }
 
-// operator is how commands reach an entry.
-type operator struct {
+// adminClient holds the options of requests to the admin interface of an entry.
+type adminClient struct {
 	Entry  string `long:"entry" default:"http://127.0.0.1:8011" description:"admin URL of an entry"`
 	Key    string `long:"key" env:"FOXCROSS_ADMIN_KEY" description:"operators' bearer key"`
 	Author string `long:"author" env:"USER" description:"who makes the change"`
 	Note   string `long:"note" description:"why the change is made"`
 }
 
-// reply is an entry's answer.
-type reply struct {
+// adminResponse is a successful response of an entry.
+type adminResponse struct {
 	body []byte
 	etag string
 }
 
-// call sends a request to the entry.
-func (o operator) call(method, path string, query url.Values, body []byte, match string) (reply, error) {
-	to := strings.TrimSuffix(o.Entry, "/") + path + "?" + query.Encode()
-	request, err := http.NewRequest(method, to, bytes.NewReader(body))
+// call sends a request to the entry. match is the If-Match header, empty for none.
+func (c adminClient) call(method, path string, query url.Values, body []byte, match string) (adminResponse, error) {
+	address := strings.TrimSuffix(c.Entry, "/") + path + "?" + query.Encode()
+	request, err := http.NewRequest(method, address, bytes.NewReader(body))
 	if err != nil {
-		return reply{}, err
+		return adminResponse{}, err
 	}
-	request.Header.Set("Authorization", "Bearer "+o.Key)
-	request.Header.Set(admin.AuthorField, o.Author)
-	request.Header.Set(admin.NoteField, o.Note)
+	request.Header.Set("Authorization", "Bearer "+c.Key)
+	request.Header.Set(admin.AuthorField, c.Author)
+	request.Header.Set(admin.NoteField, c.Note)
 	if match != "" {
 		request.Header.Set("If-Match", match)
 	}
-	client := http.Client{Timeout: operatorTimeout}
+	client := http.Client{Timeout: callTimeout}
 	response, err := client.Do(request)
 	if err != nil {
-		return reply{}, err
+		return adminResponse{}, err
 	}
 	defer func() { _ = response.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxResponse))
 	if err != nil {
-		return reply{}, err
+		return adminResponse{}, err
 	}
 	if response.StatusCode != http.StatusOK {
-		return reply{}, refusal(response.Status, data)
+		return adminResponse{}, responseError(response.Status, data)
 	}
-	return reply{body: data, etag: response.Header.Get("ETag")}, nil
+	return adminResponse{body: data, etag: response.Header.Get("ETag")}, nil
 }
 
-func refusal(status string, data []byte) error {
+func responseError(status string, data []byte) error {
 	var f admin.Failure
 	if err := json.Unmarshal(data, &f); err != nil {
 		return fmt.Errorf("the entry answered %s", status)
@@ -84,9 +84,9 @@
 	return fmt.Errorf("%d %s: %s (%s)", f.Code, f.Type, f.Message, f.Run)
 }
 
-// print calls and prints the answer.
-func (o operator) print(method, path string, query url.Values, body []byte, match string) error {
-	r, err := o.call(method, path, query, body, match)
+// callAndPrint sends a request and prints the body of the response.
+func (c adminClient) callAndPrint(method, path string, query url.Values, body []byte, match string) error {
+	r, err := c.call(method, path, query, body, match)
 	if err != nil {
 		return err
 	}
@@ -96,12 +96,12 @@
 
 // GetTree prints the tree.
 type GetTree struct {
-	operator
+	adminClient
 	Version uint64 `long:"version" description:"an older version"`
 }
 
-// Execute runs the command. The version goes to standard error, so that the
-// tree alone can be kept in a file.
+// Execute runs the command. The version is printed to standard error, so that standard
+// output holds only the tree.
 func (c *GetTree) Execute([]string) error {
 	query := url.Values{}
 	if c.Version > 0 {
@@ -116,9 +116,9 @@
 	return err
 }
 
-// PutTree puts a tree in force.
+// PutTree replaces the tree in force.
 type PutTree struct {
-	operator
+	adminClient
 	File   string `long:"file" short:"f" required:"yes" description:"file with the whole tree"`
 	Base   uint64 `long:"base" description:"version that the file was made from"`
 	DryRun bool   `long:"dry-run" description:"only check the tree and print what it changes"`
@@ -130,12 +130,12 @@
 	if err != nil {
 		return err
 	}
-	return c.print(http.MethodPut, admin.TreePath, dryRun(c.DryRun), data, quoted(c.Base))
+	return c.callAndPrint(http.MethodPut, admin.TreePath, dryRunQuery(c.DryRun), data, ifMatch(c.Base))
 }
 
-func quoted(version uint64) string { return strconv.Quote(strconv.FormatUint(version, 10)) }
+func ifMatch(version uint64) string { return strconv.Quote(strconv.FormatUint(version, 10)) }
 
-func dryRun(on bool) url.Values {
+func dryRunQuery(on bool) url.Values {
 	query := url.Values{}
 	if on {
 		query.Set("dry_run", "1")
@@ -145,7 +145,7 @@
 
 // SetNode sets one node.
 type SetNode struct {
-	operator
+	adminClient
 	Path   string `long:"path" required:"yes" description:"path of the node, such as classes/language/member-chat"`
 	Node   string `long:"node" required:"yes" description:"the node as JSON, such as {\"kind\":\"class\",\"set\":{\"tier\":0}}"`
 	Base   uint64 `long:"base" description:"version that the change was made from; without it the newest"`
@@ -154,32 +154,32 @@
 
 // Execute runs the command.
 func (c *SetNode) Execute([]string) error {
-	query := dryRun(c.DryRun)
+	query := dryRunQuery(c.DryRun)
 	query.Set("path", c.Path)
 	match := ""
 	if c.Base > 0 {
-		match = quoted(c.Base)
+		match = ifMatch(c.Base)
 	}
-	return c.print(http.MethodPatch, admin.NodePath, query, []byte(c.Node), match)
+	return c.callAndPrint(http.MethodPatch, admin.NodePath, query, []byte(c.Node), match)
 }
 
-// RemoveNode removes a node.
+// RemoveNode removes a node and those below it.
 type RemoveNode struct {
-	operator
+	adminClient
 	Path   string `long:"path" required:"yes" description:"path of the node"`
 	DryRun bool   `long:"dry-run" description:"only check the change and print it"`
 }
 
 // Execute runs the command.
 func (c *RemoveNode) Execute([]string) error {
-	query := dryRun(c.DryRun)
+	query := dryRunQuery(c.DryRun)
 	query.Set("path", c.Path)
-	return c.print(http.MethodDelete, admin.NodePath, query, nil, "")
+	return c.callAndPrint(http.MethodDelete, admin.NodePath, query, nil, "")
 }
 
 // DiffTree compares two versions.
 type DiffTree struct {
-	operator
+	adminClient
 	From uint64 `long:"from" required:"yes" description:"older version"`
 	To   uint64 `long:"to" required:"yes" description:"newer version"`
 }
@@ -190,30 +190,30 @@
 		"from": {strconv.FormatUint(c.From, 10)},
 		"to":   {strconv.FormatUint(c.To, 10)},
 	}
-	return c.print(http.MethodGet, admin.DiffPath, query, nil, "")
+	return c.callAndPrint(http.MethodGet, admin.DiffPath, query, nil, "")
 }
 
 // HistoryTree lists versions.
 type HistoryTree struct {
-	operator
+	adminClient
 	Count int `long:"count" default:"20" description:"how many versions"`
 }
 
 // Execute runs the command.
 func (c *HistoryTree) Execute([]string) error {
-	return c.print(http.MethodGet, admin.HistoryPath, url.Values{"count": {strconv.Itoa(c.Count)}}, nil, "")
+	return c.callAndPrint(http.MethodGet, admin.HistoryPath, url.Values{"count": {strconv.Itoa(c.Count)}}, nil, "")
 }
 
-// RollbackTree goes back to an older tree.
+// RollbackTree puts an older tree in force as a new version.
 type RollbackTree struct {
-	operator
+	adminClient
 	Version uint64 `long:"version" required:"yes" description:"version whose tree is to be in force again"`
 	DryRun  bool   `long:"dry-run" description:"only check the change and print it"`
 }
 
 // Execute runs the command.
 func (c *RollbackTree) Execute([]string) error {
-	query := dryRun(c.DryRun)
+	query := dryRunQuery(c.DryRun)
 	query.Set("version", strconv.FormatUint(c.Version, 10))
-	return c.print(http.MethodPost, admin.RollbackPath, query, nil, "")
+	return c.callAndPrint(http.MethodPost, admin.RollbackPath, query, nil, "")
 }
