--- a/cmd/foxcross-agent/main.go
+++ b/cmd/foxcross-agent/main.go
@@ -1,4 +1,4 @@
-// Command foxcross-agent runs beside the endpoints of one instance.
+// Command foxcross-agent runs on one instance and passes requests from entries to its endpoints.
 package main
 
 import (
--- a/cmd/foxcross-entry/main.go
+++ b/cmd/foxcross-entry/main.go
@@ -1,4 +1,4 @@
-// Command foxcross-entry takes callers' requests and is the operators' tool.
+// Command foxcross-entry serves callers' requests. Its other subcommands are tools for operators.
 package main
 
 import (
--- a/internal/failure/failure.go
+++ b/internal/failure/failure.go
@@ -1,5 +1,5 @@
-// Package failure writes answers that carry a numbered code in place of an
-// endpoint's answer.
+// Package failure writes error responses with a numbered code in place of an endpoint's
+// response.
 package failure
 
 import (
@@ -11,19 +11,19 @@
 	"foxcross.dev/coord/result"
 )
 
-// Header fields of every answer of the system's own.
+// Header fields of responses that don't come from an endpoint.
 const (
 	CodeField  = "X-Foxcross-Code"
 	RunField   = "X-Foxcross-Run"
 	retryField = "Retry-After"
 )
 
-// Body is the body of an answer that is not OK.
+// Body is the JSON body of an error response.
 type Body struct {
 	Error Detail `json:"error"`
 }
 
-// Detail says what went wrong and whether the request was run.
+// Detail describes the error and says whether the request was run.
 type Detail struct {
 	Code         result.Code `json:"code"`
 	Type         string      `json:"type"`
@@ -32,24 +32,25 @@
 	RetryAfterMS int64       `json:"retry_after_ms,omitempty"`
 }
 
-// BodyOf returns the body for a failure.
+// BodyOf returns the body for an error.
 func BodyOf(f *result.Error) Body {
 	e := f.Code.Entry()
-	text := e.Text
+	message := e.Text
 	if f.Reason != "" {
-		text = fmt.Sprintf("%s: %s", e.Text, f.Reason)
+		message = fmt.Sprintf("%s: %s", e.Text, f.Reason)
 	}
 	return Body{Detail{
 		Code:         f.Code,
 		Type:         e.Name,
-		Message:      text,
+		Message:      message,
 		Run:          f.Run.String(),
 		RetryAfterMS: f.RetryAfter.Milliseconds(),
 	}}
 }
 
-// Write answers with a code. Nothing may have been written before. The time to
-// come back, empty for none, is in seconds as the caller's protocol wants them.
+// Write writes an error response. Nothing may have been written to w before. retryAfter
+// is the value of the Retry-After header in seconds, in the format of the caller's
+// protocol; empty for none.
 func Write(w http.ResponseWriter, f *result.Error, retryAfter string) {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
@@ -58,10 +59,10 @@
 		h.Set(retryField, retryAfter)
 	}
 	w.WriteHeader(f.Code.Entry().Status)
-	_ = json.NewEncoder(w).Encode(BodyOf(f)) // the caller may be gone
+	_ = json.NewEncoder(w).Encode(BodyOf(f)) // the caller may have disconnected
 }
 
-// SetCode sets the header fields of a code.
+// SetCode sets the header fields for a code.
 func SetCode(h http.Header, c result.Code, r result.Run) {
 	h.Set(CodeField, strconv.Itoa(int(c)))
 	h.Set(RunField, r.String())
--- a/internal/kernel/registry.go
+++ b/internal/kernel/registry.go
@@ -1,5 +1,5 @@
-// Package kernel keeps the plug-ins. A plug-in registers itself in its init
-// function; a binary chooses its plug-ins by importing them.
+// Package kernel provides registries of plug-ins. A plug-in registers itself in its init
+// function; a binary selects its plug-ins by importing them.
 package kernel
 
 import (
@@ -16,7 +16,7 @@
 	plugins map[string]T
 }
 
-// Register adds a plug-in. A name that is taken is a mistake in the program.
+// Register adds a plug-in. It panics if the name is already registered.
 func (r *Registry[T]) Register(name string, plugin T) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -29,7 +29,7 @@
 	r.plugins[name] = plugin
 }
 
-// Get returns a plug-in by name.
+// Get returns the plug-in registered under the name.
 func (r *Registry[T]) Get(name string) (T, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -1,5 +1,5 @@
-// Package lifecycle is the life of a process: starting, serving, draining and
-// stopped.
+// Package lifecycle implements the state machine of a process: starting, serving,
+// draining and stopped.
 package lifecycle
 
 import (
@@ -11,11 +11,11 @@
 // State is a state of the process.
 type State string
 
-// The states.
+// States of a process.
 const (
 	Starting State = "starting" // not ready: no settings or no connections yet
 	Serving  State = "serving"
-	Draining State = "draining" // takes nothing new, finishes what it has
+	Draining State = "draining" // refuses new requests and completes open ones
 	Stopped  State = "stopped"
 )
 
@@ -27,12 +27,12 @@
 	done  trigger = "done"
 )
 
-// Life is the life of one process. Create it with New.
+// Life is the state machine of one process. Create it with New.
 type Life struct {
 	machine *stateless.StateMachine
 }
 
-// New returns a life in the state Starting.
+// New returns a state machine in the state Starting.
 func New() *Life {
 	m := stateless.NewStateMachine(Starting)
 	m.Configure(Starting).Permit(ready, Serving).Permit(stop, Draining).Permit(done, Stopped)
@@ -42,20 +42,20 @@
 	return &Life{m}
 }
 
-// State returns the present state.
+// State returns the current state.
 func (l *Life) State() State { return l.machine.MustState().(State) }
 
-// Ready notes that the process can serve. Later calls change nothing.
+// Ready records that the process can serve. Later calls have no effect.
 func (l *Life) Ready() { l.fire(ready) }
 
-// Stop begins the clean stop.
+// Stop starts the graceful shutdown.
 func (l *Life) Stop() { l.fire(stop) }
 
-// Done notes that the process has finished.
+// Done records that the process has stopped.
 func (l *Life) Done() { l.fire(done) }
 
-func (l *Life) fire(t trigger) {
-	if err := l.machine.FireCtx(context.Background(), t); err != nil {
+func (l *Life) fire(tr trigger) {
+	if err := l.machine.FireCtx(context.Background(), tr); err != nil {
 		panic("lifecycle: " + err.Error()) // every state handles every trigger
 	}
 }
--- a/internal/logs/async.go
+++ b/internal/logs/async.go
@@ -6,41 +6,41 @@
 	"sync/atomic"
 )
 
-// maxLines bounds the lines that wait for a slow reader of the log. Some half a megabyte.
-const maxLines = 2048
+// maxPendingLines bounds the lines that wait for a slow reader of the log. They take some half a
+// megabyte.
+const maxPendingLines = 2048
 
-// Async is a writer that never blocks: lines beyond its bound are left out and
-// counted. Create it with NewAsync.
+// Async is a writer that never blocks. It drops and counts lines beyond its bound.
+// Create it with NewAsync.
 type Async struct {
-	lines chan []byte
-	left  atomic.Int64
+	lines   chan []byte
+	dropped atomic.Int64
 }
 
-// NewAsync returns a writer that passes lines on to w from a goroutine of its
-// own.
+// NewAsync returns a writer that writes lines to w in a separate goroutine.
 func NewAsync(w io.Writer) *Async {
-	a := &Async{lines: make(chan []byte, maxLines)}
+	a := &Async{lines: make(chan []byte, maxPendingLines)}
 	go a.run(w)
 	return a
 }
 
-// Write implements io.Writer. It takes whole lines.
+// Write implements io.Writer. Each call must pass whole lines.
 func (a *Async) Write(line []byte) (int, error) {
-	kept := make([]byte, len(line))
-	copy(kept, line)
+	lineCopy := make([]byte, len(line))
+	copy(lineCopy, line)
 	select {
-	case a.lines <- kept:
+	case a.lines <- lineCopy:
 	default:
-		a.left.Add(1)
+		a.dropped.Add(1)
 	}
 	return len(line), nil
 }
 
 func (a *Async) run(w io.Writer) {
 	for line := range a.lines {
-		_, _ = w.Write(line) // there is nowhere to report it
-		if n := a.left.Swap(0); n > 0 {
-			_, _ = fmt.Fprintf(w, "{\"message\":\"logs: Lines were left out.\",\"lines\":%d}\n", n) // there is nowhere to report it
+		_, _ = w.Write(line) // a write error can't be reported
+		if n := a.dropped.Swap(0); n > 0 {
+			_, _ = fmt.Fprintf(w, "{\"message\":\"logs: Lines were dropped.\",\"lines\":%d}\n", n) // a write error can't be reported
 		}
 	}
 }
--- a/internal/logs/limited.go
+++ b/internal/logs/limited.go
@@ -5,47 +5,47 @@
 	"time"
 )
 
-// limitedInterval is the shortest time between two lines of one kind that Limited writes.
-const limitedInterval = time.Second
+// minInterval is the minimum time between two lines of one kind that Limited writes.
+const minInterval = time.Second
 
-// limits counts, by prefix and kind, the lines that were left out.
-var limits struct {
+// kindStates holds the state of each kind of lines, by prefix and kind.
+var kindStates struct {
 	mu    sync.Mutex
-	kinds map[string]*limit
+	kinds map[string]*kindState
 }
 
-// limit is one kind of lines.
-type limit struct {
+// kindState is the state of one kind of lines.
+type kindState struct {
 	last    time.Time
-	leftOut int
+	dropped int
 }
 
-// Limited logs a warning, at most once a second for each kind. The line says in
-// "left_out" how many of its kind were left out since the one before.
+// Limited logs a warning, at most once per second for each kind. The field "left_out" is
+// the number of lines of the kind dropped since the previous one.
 func (l Logger) Limited(kind, line string) {
-	leftOut, ok := allow(l.prefix+kind, time.Now())
+	dropped, ok := allow(l.prefix+kind, time.Now())
 	if ok {
-		l.With("left_out", leftOut).Warnf("%s", line)
+		l.With("left_out", dropped).Warnf("%s", line)
 	}
 }
 
-// allow tells whether a line of a kind may be written, and how many were left out.
-func allow(kind string, now time.Time) (leftOut int, ok bool) {
-	limits.mu.Lock()
-	defer limits.mu.Unlock()
-	if limits.kinds == nil {
-		limits.kinds = map[string]*limit{}
+// allow reports whether a line of a kind may be written, and how many were dropped before it.
+func allow(kind string, now time.Time) (dropped int, ok bool) {
+	kindStates.mu.Lock()
+	defer kindStates.mu.Unlock()
+	if kindStates.kinds == nil {
+		kindStates.kinds = map[string]*kindState{}
 	}
-	k := limits.kinds[kind]
-	if k == nil {
-		k = &limit{}
-		limits.kinds[kind] = k
+	s := kindStates.kinds[kind]
+	if s == nil {
+		s = &kindState{}
+		kindStates.kinds[kind] = s
 	}
-	if !k.last.IsZero() && now.Sub(k.last) < limitedInterval {
-		k.leftOut++
+	if !s.last.IsZero() && now.Sub(s.last) < minInterval {
+		s.dropped++
 		return 0, false
 	}
-	leftOut = k.leftOut
-	*k = limit{last: now}
-	return leftOut, true
+	dropped = s.dropped
+	*s = kindState{last: now}
+	return dropped, true
 }
--- a/internal/logs/limited_test.go
+++ b/internal/logs/limited_test.go
@@ -11,14 +11,14 @@
 		t.Errorf("the first line: %d, %t", n, ok)
 	}
 	for range 3 {
-		if _, ok := allow("a", now.Add(limitedInterval/2)); ok {
-			t.Error("a line within the interval was let through")
+		if _, ok := allow("a", now.Add(minInterval/2)); ok {
+			t.Error("a line within the interval was allowed")
 		}
 	}
 	if _, ok := allow("b", now); !ok {
-		t.Error("a line of another kind was left out")
+		t.Error("a line of another kind was dropped")
 	}
-	if n, ok := allow("a", now.Add(limitedInterval)); !ok || n != 3 {
-		t.Errorf("the next line: %d left out, %t", n, ok)
+	if n, ok := allow("a", now.Add(minInterval)); !ok || n != 3 {
+		t.Errorf("the next line: %d dropped, %t", n, ok)
 	}
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,4 +1,4 @@
-// Package metrics makes tally scopes that are served in the Prometheus text
+// Package metrics creates tally scopes whose metrics are served in the Prometheus text
 // format.
 package metrics
 
@@ -12,20 +12,20 @@
 	"github.com/uber-go/tally/v4/prometheus"
 )
 
-// reportInterval is how old a figure may be when it is read.
+// reportInterval bounds the age of a metric when it is read.
 const reportInterval = time.Second
 
-// New returns the scope of a process, the handler that serves its metrics, and
-// what ends the reporting.
+// New returns the scope of a process, the handler that serves its metrics, and a closer
+// that stops the reporting.
 func New(process string) (tally.Scope, http.Handler, io.Closer) {
 	registry := client.NewRegistry()
-	r := prometheus.NewReporter(prometheus.Options{Registerer: registry, Gatherer: registry})
-	s, end := tally.NewRootScope(tally.ScopeOptions{
+	reporter := prometheus.NewReporter(prometheus.Options{Registerer: registry, Gatherer: registry})
+	scope, closer := tally.NewRootScope(tally.ScopeOptions{
 		Prefix:                 "foxcross_" + process,
-		CachedReporter:         r,
+		CachedReporter:         reporter,
 		Separator:              prometheus.DefaultSeparator,
 		SanitizeOptions:        &prometheus.DefaultSanitizerOpts,
 		OmitCardinalityMetrics: true,
 	}, reportInterval)
-	return s, r.HTTPHandler(), end
+	return scope, reporter.HTTPHandler(), closer
 }
