--- a/internal/command/tree.go
+++ b/internal/command/tree.go
@@ -84,8 +84,8 @@
 	return fmt.Errorf("%d %s: %s (%s)", f.Code, f.Type, f.Message, f.Run)
 }
 
-// callAndPrint sends a request and prints the body of the response.
-func (c adminClient) callAndPrint(method, path string, query url.Values, body []byte, match string) error {
+// print sends a request and prints the body of the response.
+func (c adminClient) print(method, path string, query url.Values, body []byte, match string) error {
 	r, err := c.call(method, path, query, body, match)
 	if err != nil {
 		return err
@@ -130,7 +130,7 @@
 	if err != nil {
 		return err
 	}
-	return c.callAndPrint(http.MethodPut, admin.TreePath, dryRunQuery(c.DryRun), data, ifMatch(c.Base))
+	return c.print(http.MethodPut, admin.TreePath, dryRunQuery(c.DryRun), data, ifMatch(c.Base))
 }
 
 func ifMatch(version uint64) string { return strconv.Quote(strconv.FormatUint(version, 10)) }
@@ -160,7 +160,7 @@
 	if c.Base > 0 {
 		match = ifMatch(c.Base)
 	}
-	return c.callAndPrint(http.MethodPatch, admin.NodePath, query, []byte(c.Node), match)
+	return c.print(http.MethodPatch, admin.NodePath, query, []byte(c.Node), match)
 }
 
 // RemoveNode removes a node and those below it.
@@ -174,7 +174,7 @@
 func (c *RemoveNode) Execute([]string) error {
 	query := dryRunQuery(c.DryRun)
 	query.Set("path", c.Path)
-	return c.callAndPrint(http.MethodDelete, admin.NodePath, query, nil, "")
+	return c.print(http.MethodDelete, admin.NodePath, query, nil, "")
 }
 
 // DiffTree compares two versions.
@@ -190,7 +190,7 @@
 		"from": {strconv.FormatUint(c.From, 10)},
 		"to":   {strconv.FormatUint(c.To, 10)},
 	}
-	return c.callAndPrint(http.MethodGet, admin.DiffPath, query, nil, "")
+	return c.print(http.MethodGet, admin.DiffPath, query, nil, "")
 }
 
 // HistoryTree lists versions.
@@ -201,7 +201,7 @@
 
 // Execute runs the command.
 func (c *HistoryTree) Execute([]string) error {
-	return c.callAndPrint(http.MethodGet, admin.HistoryPath, url.Values{"count": {strconv.Itoa(c.Count)}}, nil, "")
+	return c.print(http.MethodGet, admin.HistoryPath, url.Values{"count": {strconv.Itoa(c.Count)}}, nil, "")
 }
 
 // RollbackTree puts an older tree in force as a new version.
@@ -215,5 +215,5 @@
 func (c *RollbackTree) Execute([]string) error {
 	query := dryRunQuery(c.DryRun)
 	query.Set("version", strconv.FormatUint(c.Version, 10))
-	return c.callAndPrint(http.MethodPost, admin.RollbackPath, query, nil, "")
+	return c.print(http.MethodPost, admin.RollbackPath, query, nil, "")
 }
--- a/internal/direct/explain/explain.go
+++ b/internal/direct/explain/explain.go
@@ -46,16 +46,16 @@
 	if err := lines.Err(); err != nil {
 		return false, fmt.Errorf("explain: %w", err)
 	}
-	var story strings.Builder
+	var report strings.Builder
 	for _, line := range matches {
-		writeRequest(&story, line.Fields)
+		writeRequest(&report, line.Fields)
 		for _, other := range others {
 			if offset := other.At.Sub(line.At); offset >= -contextWindow-line.Fields.Total() && offset <= 0 {
-				fmt.Fprintf(&story, "  %8.3f s  %s\n", offset.Seconds(), other.Raw)
+				fmt.Fprintf(&report, "  %8.3f s  %s\n", offset.Seconds(), other.Raw)
 			}
 		}
 	}
-	if _, err := io.WriteString(w, story.String()); err != nil {
+	if _, err := io.WriteString(w, report.String()); err != nil {
 		return false, fmt.Errorf("explain: %w", err)
 	}
 	return len(matches) > 0, nil
--- a/internal/steady/suspended_linux.go
+++ b/internal/steady/suspended_linux.go
@@ -12,9 +12,9 @@
 const minSuspension = 20 * time.Millisecond
 
 // compareInterval is the time for which Now uses the result of a comparison of the clocks, on the
-// monotonic clock. The two readings take 0.4 us (BenchmarkNow), or 1.6 us under the simulation of
-// the users' machines, and a request takes some 40 readings. A suspension within the interval is
-// detected at its end.
+// monotonic clock. The two readings take 0.4 us (BenchmarkNow), or 1.6 us where the users'
+// machines are emulated, and a request takes some 40 readings. Detection of a suspension is delayed
+// by at most the interval.
 const compareInterval = time.Millisecond
 
 // baseSamples is the number of comparisons of the clocks at the start, after the first.
