--- a/internal/direct/directory/behind.go
+++ b/internal/direct/directory/behind.go
@@ -6,21 +6,21 @@
 	"foxcross.dev/foxcross/internal/steady"
 )
 
-// behind is what other entries have told of newer settings. Directory.mu guards it.
-type behind struct {
-	newest      uint64    // version that some entry has in force
-	since       time.Time // when the first that this entry lacks was told
-	outstanding int64     // bytes of the transfer under way that have not come
+// lag records newer settings of peers. Directory.mu guards it.
+type lag struct {
+	newest      uint64    // highest version announced by a peer
+	since       time.Time // when a version newer than the active one was first announced
+	outstanding int64     // remaining bytes of the current transfer
 }
 
-// Behind is how far the settings of this entry are behind others'.
+// Behind is how far the settings of this process lag behind those of its peers.
 type Behind struct {
-	Newest      uint64        // version that some entry has in force, 0 if none is newer
-	For         time.Duration // since a newer one was first told
-	Outstanding int64         // bytes of the transfer under way that have not come
+	Newest      uint64        // highest version announced by a peer, 0 if none is newer
+	For         time.Duration // time since a newer version was first announced
+	Outstanding int64         // remaining bytes of the current transfer
 }
 
-// SettingsTold records that another entry has a version in force.
+// SettingsTold records that a version is active at a peer.
 func (d *Directory) SettingsTold(version uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -28,26 +28,26 @@
 	if version <= own {
 		return
 	}
-	if d.behind.newest <= own {
-		d.behind.since = steady.Now()
+	if d.lag.newest <= own {
+		d.lag.since = steady.Now()
 	}
-	d.behind.newest = max(d.behind.newest, version)
+	d.lag.newest = max(d.lag.newest, version)
 }
 
-// SetOutstanding records how many bytes of a transfer of settings have not come.
+// SetOutstanding records the remaining bytes of a transfer of settings.
 func (d *Directory) SetOutstanding(bytes int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.behind.outstanding = bytes
+	d.lag.outstanding = bytes
 }
 
-// Behind tells whether other entries have newer settings, since when, and what is
-// outstanding.
+// Behind returns how far the settings lag behind those of the peers. It returns the zero
+// value if no peer has newer ones.
 func (d *Directory) Behind() Behind {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.behind.newest <= d.version() {
+	if d.lag.newest <= d.version() {
 		return Behind{}
 	}
-	return Behind{Newest: d.behind.newest, For: steady.Since(d.behind.since), Outstanding: d.behind.outstanding}
+	return Behind{Newest: d.lag.newest, For: steady.Since(d.lag.since), Outstanding: d.lag.outstanding}
 }
--- a/internal/direct/directory/bench_test.go
+++ b/internal/direct/directory/bench_test.go
@@ -8,11 +8,11 @@
 	"foxcross.dev/coord/settings"
 )
 
-// BenchmarkRequestBesideNewSettings asks for the settings in force, as each request does,
-// on one processor while versions of 10,000 routes are taken in that differ in one. It
-// reports the longest wait, in ms of a whole core: 120 to 222 in three runs when a version
-// was compiled under the lock that requests take, 18 to 30 in three runs since. What is
-// left is not traced; the collector of memory is suspected.
+// BenchmarkRequestBesideNewSettings reads the active settings, as each request does, on one
+// processor while versions of 10,000 routes that differ in one route are activated. It
+// reports the longest wait in ms of a whole core: 120 to 222 in three runs if a version is
+// compiled under a lock that requests acquire, 18 to 30 in three runs otherwise. The cause of
+// the remaining wait is not traced; garbage collection is suspected.
 func BenchmarkRequestBesideNewSettings(b *testing.B) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	const count = 10_000
@@ -27,9 +27,9 @@
 	longest := time.Duration(0)
 	for b.Loop() {
 		version++
-		taken := make(chan struct{})
+		done := make(chan struct{})
 		go func() {
-			defer close(taken)
+			defer close(done)
 			d.TakeSettings(version, versions[version%2], "test")
 		}()
 		for waiting := true; waiting; {
@@ -38,7 +38,7 @@
 			d.Settings()
 			longest = max(longest, time.Since(began))
 			select {
-			case <-taken:
+			case <-done:
 				waiting = false
 			default:
 			}
--- a/internal/direct/directory/changes.go
+++ b/internal/direct/directory/changes.go
@@ -2,45 +2,45 @@
 
 import "foxcross.dev/foxcross/internal/direct/driver"
 
-// maxChanges bounds the remembered changes.
+// maxChanges bounds the changes that are kept.
 const maxChanges = 256
 
-// changes are the last changes of the list, for entries that lack only these. The
-// zero value knows none.
-type changes struct {
-	from uint64          // the revision after which all changes are known
-	list []driver.Change // the oldest first
+// endpointHistory holds the latest changes of the endpoint list, for peers that lack only
+// these. The zero value is empty.
+type endpointHistory struct {
+	from uint64          // revision after which all changes are kept
+	list []driver.Change // oldest first
 }
 
-// reset forgets all: the whole list has been read at a revision.
-func (c *changes) reset(revision uint64) {
-	c.from = revision
-	c.list = nil
+// reset drops all changes after the list was replaced at a revision.
+func (h *endpointHistory) reset(revision uint64) {
+	h.from = revision
+	h.list = nil
 }
 
-func (c *changes) add(x driver.Change) {
-	c.list = append(c.list, x)
-	if len(c.list) > maxChanges {
-		c.from = c.list[0].Revision
-		c.list = c.list[1:]
+func (h *endpointHistory) add(c driver.Change) {
+	h.list = append(h.list, c)
+	if len(h.list) > maxChanges {
+		h.from = h.list[0].Revision
+		h.list = h.list[1:]
 	}
 }
 
-// since returns the changes after a revision as one; false if some of them are not
-// known.
-func (c *changes) since(revision, now uint64) (driver.Change, bool) {
-	if revision < c.from {
+// since returns the merged changes after a revision. It returns false if some of them are no
+// longer kept.
+func (h *endpointHistory) since(revision, now uint64) (driver.Change, bool) {
+	if revision < h.from {
 		return driver.Change{}, false
 	}
 	all := driver.Change{Revision: now}
-	for _, x := range c.list {
-		if x.Revision <= revision {
+	for _, c := range h.list {
+		if c.Revision <= revision {
 			continue
 		}
-		for _, e := range x.Changed {
+		for _, e := range c.Changed {
 			all.Put(e)
 		}
-		for _, id := range x.Gone {
+		for _, id := range c.Gone {
 			all.Remove(id)
 		}
 	}
--- a/internal/direct/directory/contact.go
+++ b/internal/direct/directory/contact.go
@@ -6,75 +6,76 @@
 	"foxcross.dev/foxcross/internal/steady"
 )
 
-// contact is what is known of the store's answers. Directory.mu guards it.
-type contact struct {
-	following bool          // the store answered the last call
-	answers   chan struct{} // closed while following
-	outage    bool          // the store has failed since it first answered
-	regained  time.Time     // when it last answered again after an outage
-	last      time.Time     // when the last call was made that it answered, or when part of an answer last came
+// storeStatus holds whether and when the store responded. Directory.mu guards it.
+type storeStatus struct {
+	responding  bool          // the store responded to the last call
+	recovery    chan struct{} // closed while responding
+	outage      bool          // the store has failed since its first response
+	recoveredAt time.Time     // when it last responded again after an outage
+	lastContact time.Time     // when the last call with a response was made, or part of a response last arrived
 }
 
-// storeAnswered records that the store answered, before its answer is taken in.
-func (d *Directory) storeAnswered() {
+// storeResponded records that the store responded. It is called before the response is applied.
+func (d *Directory) storeResponded() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.contact.following {
+	if d.store.responding {
 		return
 	}
-	d.contact.following = true
-	close(d.contact.answers)
-	if d.contact.outage {
-		d.contact.regained = steady.Now()
+	d.store.responding = true
+	close(d.store.recovery)
+	if d.store.outage {
+		d.store.recoveredAt = steady.Now()
 	}
-	log.Info("The store answers.")
+	log.Info("The store responds.")
 }
 
-// storeFailed records that the store did not answer; true if it answered before.
+// storeFailed records that a call to the store failed. It reports whether the call before
+// succeeded.
 func (d *Directory) storeFailed() (first bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	first = d.contact.following
-	d.contact.following = false
+	first = d.store.responding
+	d.store.responding = false
 	if first {
-		d.contact.answers = make(chan struct{})
+		d.store.recovery = make(chan struct{})
 	}
-	d.contact.outage = d.contact.outage || first
+	d.store.outage = d.store.outage || first
 	return first
 }
 
-// storeAnswers returns a channel that is closed while the store answers.
-func (d *Directory) storeAnswers() <-chan struct{} {
+// storeRecovery returns a channel that is closed while the store responds.
+func (d *Directory) storeRecovery() <-chan struct{} {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.contact.answers
+	return d.store.recovery
 }
 
-// Following tells whether the store answered the last call.
+// Following reports whether the store responded to the last call.
 func (d *Directory) Following() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.contact.following
+	return d.store.responding
 }
 
-// setLastContact records that the store answered a call made at the time.
+// setLastContact records a response of the store to a call made at the given time.
 func (d *Directory) setLastContact(at time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if at.After(d.contact.last) {
-		d.contact.last = at
+	if at.After(d.store.lastContact) {
+		d.store.lastContact = at
 	}
 }
 
-// StoreProgressed records that a part of an answer of the store has come. An entry whose
-// answers take long over a thin link is in contact: standbys would only burden the
-// store with the same.
+// StoreProgressed records that part of a response of the store has arrived. A process whose
+// responses take long over a slow link is in contact with the store. A standby that read in
+// its place would only add the same load to the store.
 func (d *Directory) StoreProgressed() { d.setLastContact(steady.Now()) }
 
-// LastContact returns when the last call was made that the store answered, or when part
-// of an answer last came.
+// LastContact returns when the last call to which the store responded was made, or when part
+// of a response last arrived.
 func (d *Directory) LastContact() time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.contact.last
+	return d.store.lastContact
 }
--- a/internal/direct/directory/directory.go
+++ b/internal/direct/directory/directory.go
@@ -1,13 +1,14 @@
-// Package directory holds what a process knows of the settings and of the list of
-// endpoints: read from the platform's store, or told by other entries. Neither goes
-// back to an older version while the process runs.
+// Package directory holds the settings and the endpoint list of a process. They are read
+// from the platform's store or received from peers. Neither returns to an older version
+// while the process runs.
 //
-// settings.go puts versions of the settings in force, evacuations.go what operators say of
-// whole data centres, follow.go reads the store, role.go
-// says whether this process does, lapse.go keeps endpoints whose leases ran out in an
-// outage, changes.go and versions.go remember changes for entries that lack only these.
+// settings.go activates versions of the settings. evacuations.go applies the evacuations of
+// data centres. follow.go polls the store, and role.go decides whether this process does.
+// contact.go records whether the store responds. lapse.go retains endpoints whose leases
+// expired in an outage. changes.go and versions.go keep recent changes for peers that lack
+// only these. behind.go compares the version of the settings with that of the peers.
 //
-// Locks: Directory.taking may be held when Directory.mu is taken, not the other way.
+// Locks: Directory.applyMu may be held when Directory.mu is acquired, not the other way round.
 package directory
 
 import (
@@ -25,66 +26,67 @@
 
 var log = logs.For("directory")
 
-// Directory is that knowledge. Create it with New. It is safe for concurrent use.
+// Directory holds the settings and the endpoint list. Create it with New. It is safe for
+// concurrent use.
 type Directory struct {
 	onSettings    func(InForce)
 	onEndpoints   func([]placement.Endpoint)
 	onEvacuations func([]string)
 
-	taking   sync.Mutex              // held while a version is put in force
-	settings atomic.Pointer[InForce] // read by each request, never behind a lock
-	versions versions                // guarded by taking
+	applyMu         sync.Mutex              // held while a version is activated
+	settings        atomic.Pointer[InForce] // read by each request without a lock
+	settingsHistory settingsHistory         // guarded by applyMu
 
-	evacuations atomic.Pointer[driver.Evacuations] // changed with mu held
+	evacuations atomic.Pointer[driver.Evacuations] // stored with mu held
 
-	mu        sync.Mutex
-	confirmed time.Time // when the settings were last known to be the newest
-	settled   uint64    // the store's revision at which they were
-	behind    behind
-	revision  uint64 // of the endpoints
-	listed    bool
-	endpoints map[string]placement.Endpoint
-	changes   changes
+	mu                sync.Mutex
+	confirmed         time.Time // when the active settings were last known to be the newest
+	confirmedRevision uint64    // store revision at which they were the newest
+	lag               lag
+	revision          uint64 // of the endpoint list
+	listed            bool
+	endpoints         map[string]placement.Endpoint
+	endpointHistory   endpointHistory
 
-	lapsed      map[string]lapse // by id
-	leaveWithin time.Duration    // an endpoint that has left gets nothing new after so long
-	contact     contact
+	retained    map[string]retainedEndpoint // by ID
+	leaveWithin time.Duration               // no new requests go to an endpoint this long after it left
+	store       storeStatus
 	role        Role
 	roleChanged chan struct{}
 }
 
-// New returns an empty directory. The functions are called when something changes,
-// each one at a time and with the directory locked: they must not call it. onSettings is
-// called before the version is in force. onEvacuations is told the evacuated data centres.
+// New returns an empty directory. The functions are called on changes, each one at a time
+// and with the directory locked, so they must not call it. onSettings is called before the
+// version is active. onEvacuations is called with the evacuated data centres.
 func New(onSettings func(InForce), onEndpoints func([]placement.Endpoint), onEvacuations func([]string)) *Directory {
 	return &Directory{
 		onSettings:    onSettings,
 		onEndpoints:   onEndpoints,
 		onEvacuations: onEvacuations,
 		endpoints:     map[string]placement.Endpoint{},
-		contact:       contact{answers: make(chan struct{})},
+		store:         storeStatus{recovery: make(chan struct{})},
 		roleChanged:   make(chan struct{}),
 	}
 }
 
-// TakeEndpoints replaces the list unless it is older than the present one.
+// TakeEndpoints replaces the endpoint list unless the current one is at least as new.
 func (d *Directory) TakeEndpoints(list driver.Endpoints, source string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.replace(list, source, d.keepFor)
+	d.replaceEndpoints(list, source, d.retention)
 }
 
-// TakeFromPeer is TakeEndpoints for what another entry read, with the endpoints that
-// it keeps in use though they have vanished.
-func (d *Directory) TakeFromPeer(list driver.Endpoints, lapsed map[string]time.Duration) {
+// TakeFromPeer is TakeEndpoints for a list that a peer read. retained holds the endpoints
+// that the peer retains, by ID, with the remaining time.
+func (d *Directory) TakeFromPeer(list driver.Endpoints, retained map[string]time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.replace(list, "peer", keptByPeer(lapsed))
+	d.replaceEndpoints(list, "peer", peerRetention(retained))
 }
 
-// replace takes in a whole list. keep tells how long an endpoint that is not on it
-// stays in use. The directory is locked.
-func (d *Directory) replace(list driver.Endpoints, source string, keep keeping) {
+// replaceEndpoints replaces the endpoint list. retention returns how long an endpoint that
+// is not on the new list stays in use. d.mu is held.
+func (d *Directory) replaceEndpoints(list driver.Endpoints, source string, retention retentionFunc) {
 	if d.listed && list.Revision <= d.revision {
 		return
 	}
@@ -93,36 +95,36 @@
 	listed := make(map[string]bool, len(list.List))
 	for _, e := range list.List {
 		listed[e.ID] = true
-		d.set(e)
+		d.put(e)
 	}
 	now := steady.Now()
 	for id, e := range d.endpoints {
 		if !listed[id] {
-			d.vanish(e, keep(now, e))
+			d.remove(e, retention(now, e))
 		}
 	}
-	d.changes.reset(list.Revision)
+	d.endpointHistory.reset(list.Revision)
 	log.With("revision", d.revision).With("endpoints", len(d.endpoints)).With("from", source).Info("The list of endpoints was read.")
 	d.onEndpoints(d.usable())
 }
 
-// Apply takes in changes of the list that a watch brought.
+// Apply applies changes of the endpoint list that a watch returned.
 func (d *Directory) Apply(c driver.Change) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.apply(c, d.keepFor)
+	d.applyChange(c, d.retention)
 }
 
-// ApplyFromPeer is Apply for what another entry was told, with the endpoints that it
-// keeps in use though they have vanished.
-func (d *Directory) ApplyFromPeer(c driver.Change, lapsed map[string]time.Duration) {
+// ApplyFromPeer is Apply for changes that a peer received. retained holds the endpoints that
+// the peer retains, by ID, with the remaining time.
+func (d *Directory) ApplyFromPeer(c driver.Change, retained map[string]time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.apply(c, keptByPeer(lapsed))
+	d.applyChange(c, peerRetention(retained))
 }
 
-// apply takes in changes. The directory is locked.
-func (d *Directory) apply(c driver.Change, keep keeping) {
+// applyChange applies changes of the endpoint list. d.mu is held.
+func (d *Directory) applyChange(c driver.Change, retention retentionFunc) {
 	if !d.listed || c.Revision <= d.revision {
 		return
 	}
@@ -130,28 +132,28 @@
 	if len(c.Changed) == 0 && len(c.Gone) == 0 {
 		return
 	}
-	d.changes.add(c)
+	d.endpointHistory.add(c)
 	for _, e := range c.Changed {
-		d.set(e)
+		d.put(e)
 	}
 	logChanged(c)
 	now := steady.Now()
 	for _, id := range c.Gone {
-		e, known := d.endpoints[id]
-		if !known {
+		e, listed := d.endpoints[id]
+		if !listed {
 			continue
 		}
-		d.vanish(e, keep(now, e))
+		d.remove(e, retention(now, e))
 		log.With("endpoint", id).With("revision", c.Revision).Info("An endpoint left the list.")
 	}
 	d.onEndpoints(d.usable())
 }
 
-// maxToldOneByOne is how many endpoints that changed or came together get a line each.
-const maxToldOneByOne = 4
+// maxLoggedEndpoints is how many added or changed endpoints of one change are logged one by one.
+const maxLoggedEndpoints = 4
 
-// logChanged tells which endpoints changed or came. Those that leave have a line each; of many
-// others there is one line, since each entry writes them.
+// logChanged logs the endpoints that were added or changed. Each leaving endpoint is logged.
+// More than maxLoggedEndpoints others share one line, since every process logs them.
 func logChanged(c driver.Change) {
 	others := 0
 	for _, e := range c.Changed {
@@ -160,34 +162,34 @@
 		}
 	}
 	for _, e := range c.Changed {
-		if e.Leaving || others <= maxToldOneByOne {
+		if e.Leaving || others <= maxLoggedEndpoints {
 			log.With("endpoint", e.ID).With("service", e.Service).With("leaving", e.Leaving).With("revision", c.Revision).Info("An endpoint changed or came.")
 		}
 	}
-	if others > maxToldOneByOne {
-		log.With("endpoints", others).With("revision", c.Revision).Info("Endpoints changed or came.")
+	if others > maxLoggedEndpoints {
+		log.With("endpoints", others).With("revision", c.Revision).Info("Endpoints were added or changed.")
 	}
 }
 
-// Since returns what changed in the list after a revision; false if that is not
-// known any more. What is kept beside the list is told by Lapsed.
+// Since returns the changes of the endpoint list after a revision. It returns false if they
+// are no longer kept. Lapsed returns the endpoints that are retained outside the list.
 func (d *Directory) Since(revision uint64) (driver.Change, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !d.listed {
 		return driver.Change{}, false
 	}
-	return d.changes.since(revision, d.revision)
+	return d.endpointHistory.since(revision, d.revision)
 }
 
-// Endpoints returns the list.
+// Endpoints returns the endpoint list without the retained endpoints.
 func (d *Directory) Endpoints() driver.Endpoints {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return driver.Endpoints{Revision: d.revision, List: d.list()}
 }
 
-// Listed tells whether the list has been read.
+// Listed reports whether an endpoint list has been received.
 func (d *Directory) Listed() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/direct/directory/directory_test.go
+++ b/internal/direct/directory/directory_test.go
@@ -14,23 +14,23 @@
 	"foxcross.dev/foxcross/internal/direct/driver"
 )
 
-// source is a store whose answers the test sets.
-type source struct {
-	mu       sync.Mutex
-	version  uint64
-	revision uint64
-	list     []placement.Endpoint
-	down     bool
-	gone     bool // the history of the endpoints
-	lost     bool // the history of the settings
-	waits    int
-	asked    uint64 // the revision of the last wait
-	read     func() // called once after the first read
+// fakeStore is a store whose responses the test sets.
+type fakeStore struct {
+	mu                   sync.Mutex
+	version              uint64
+	revision             uint64
+	list                 []placement.Endpoint
+	down                 bool
+	endpointsHistoryGone bool // the next watch of endpoints fails with ErrHistoryGone
+	settingsHistoryGone  bool // the next watch of settings fails with ErrHistoryGone
+	watchCalls           int
+	watchedAfter         uint64 // revision after which the last watch of endpoints started
+	onRead               func() // called once after the first read
 }
 
 var errDown = errors.New("down")
 
-func (s *source) ReadSettings(context.Context) (driver.Settings, error) {
+func (s *fakeStore) ReadSettings(context.Context) (driver.Settings, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	defer s.afterRead()
@@ -40,7 +40,7 @@
 	return driver.Settings{Version: s.version, Tree: tree(), Revision: s.revision}, nil
 }
 
-func (s *source) ReadEndpoints(context.Context) (driver.Endpoints, error) {
+func (s *fakeStore) ReadEndpoints(context.Context) (driver.Endpoints, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	defer s.afterRead()
@@ -50,9 +50,9 @@
 	return driver.Endpoints{Revision: s.revision, List: s.list}, nil
 }
 
-func (s *source) WaitEndpoints(ctx context.Context, after uint64, most time.Duration) (driver.Change, error) {
-	s.set(func() { s.asked = after })
-	revision, err := s.wait(ctx, after, most, &s.gone)
+func (s *fakeStore) WaitEndpoints(ctx context.Context, after uint64, maxWait time.Duration) (driver.Change, error) {
+	s.set(func() { s.watchedAfter = after })
+	revision, err := s.wait(ctx, after, maxWait, &s.endpointsHistoryGone)
 	if err != nil || revision == after {
 		return driver.Change{Revision: after}, err
 	}
@@ -61,8 +61,8 @@
 	return driver.Change{Revision: revision, Changed: s.list}, nil
 }
 
-func (s *source) WaitSettings(ctx context.Context, after uint64, most time.Duration) (driver.SettingsChange, error) {
-	revision, err := s.wait(ctx, after, most, &s.lost)
+func (s *fakeStore) WaitSettings(ctx context.Context, after uint64, maxWait time.Duration) (driver.SettingsChange, error) {
+	revision, err := s.wait(ctx, after, maxWait, &s.settingsHistoryGone)
 	if err != nil || revision == after {
 		return driver.SettingsChange{Revision: after}, err
 	}
@@ -72,20 +72,20 @@
 	return driver.SettingsChange{Revision: revision, Settings: &changed}, nil
 }
 
-// wait returns the source's revision as soon as it is after the given one, which it
-// returns itself if that takes too long. gone tells, once, that the history is lost.
-func (s *source) wait(ctx context.Context, after uint64, most time.Duration, gone *bool) (uint64, error) {
-	s.set(func() { s.waits++ })
-	end := time.Now().Add(most)
+// wait returns the store's revision as soon as it is after the given one. It returns the
+// given one after maxWait. If historyGone is set, wait clears it and returns ErrHistoryGone.
+func (s *fakeStore) wait(ctx context.Context, after uint64, maxWait time.Duration, historyGone *bool) (uint64, error) {
+	s.set(func() { s.watchCalls++ })
+	end := time.Now().Add(maxWait)
 	for time.Now().Before(end) {
 		s.mu.Lock()
-		down, lost, revision := s.down, *gone, s.revision
-		*gone = false
+		down, gone, revision := s.down, *historyGone, s.revision
+		*historyGone = false
 		s.mu.Unlock()
 		switch {
 		case down:
 			return 0, errDown
-		case lost:
+		case gone:
 			return 0, driver.ErrHistoryGone
 		case revision > after:
 			return revision, nil
@@ -99,27 +99,27 @@
 	return after, nil
 }
 
-func (s *source) count() int {
+func (s *fakeStore) watchCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.waits
+	return s.watchCalls
 }
 
-// afterRead lets something happen between the reads. The source is locked.
-func (s *source) afterRead() {
-	if s.read != nil {
-		s.read()
-		s.read = nil
+// afterRead calls onRead after the first read. s.mu is held.
+func (s *fakeStore) afterRead() {
+	if s.onRead != nil {
+		s.onRead()
+		s.onRead = nil
 	}
 }
 
-func (s *source) after() uint64 {
+func (s *fakeStore) lastWatchedAfter() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.asked
+	return s.watchedAfter
 }
 
-func (s *source) set(change func()) {
+func (s *fakeStore) set(change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change()
@@ -131,8 +131,8 @@
 	return directory.New(func(directory.InForce) {}, func([]placement.Endpoint) {}, func([]string) {})
 }
 
-// follow runs the test in virtual time with a directory that follows a store.
-func follow(t *testing.T, s driver.Store, test func(d *directory.Directory)) {
+// withFollowing runs the test in virtual time with a directory that follows a store.
+func withFollowing(t *testing.T, s driver.Store, test func(d *directory.Directory)) {
 	synctest.Test(t, func(t *testing.T) {
 		d := empty()
 		ctx, cancel := context.WithCancel(context.Background())
@@ -147,7 +147,7 @@
 	})
 }
 
-func expect(t *testing.T, d *directory.Directory, version, revision uint64) {
+func expectVersions(t *testing.T, d *directory.Directory, version, revision uint64) {
 	t.Helper()
 	v, r := d.Versions()
 	if v != version || r != revision {
@@ -155,157 +155,160 @@
 	}
 }
 
-func TestChangesComeAtOnce(t *testing.T) {
-	s := &source{version: 1, revision: 3}
-	follow(t, s, func(d *directory.Directory) {
+func TestChangesAreAppliedAtOnce(t *testing.T) {
+	s := &fakeStore{version: 1, revision: 3}
+	withFollowing(t, s, func(d *directory.Directory) {
 		time.Sleep(100 * time.Millisecond)
-		expect(t, d, 1, 3)
+		expectVersions(t, d, 1, 3)
 		s.set(func() { s.version, s.revision = 2, 4 })
 		time.Sleep(100 * time.Millisecond)
-		expect(t, d, 2, 4)
+		expectVersions(t, d, 2, 4)
 	})
 }
 
-func TestFirstSettingsComeLater(t *testing.T) {
-	s := &source{revision: 3}
-	follow(t, s, func(d *directory.Directory) {
+func TestFirstSettingsAfterStart(t *testing.T) {
+	s := &fakeStore{revision: 3}
+	withFollowing(t, s, func(d *directory.Directory) {
 		time.Sleep(time.Second)
 		if d.Known() {
-			t.Error("settings are known before there are any")
+			t.Error("Known reports true before the first settings")
 		}
 		s.set(func() { s.version, s.revision = 1, 4 })
 		time.Sleep(100 * time.Millisecond)
-		expect(t, d, 1, 4)
+		expectVersions(t, d, 1, 4)
 	})
 }
 
-func TestOutageAndLostHistory(t *testing.T) {
-	s := &source{version: 1, revision: 3}
-	follow(t, s, func(d *directory.Directory) {
+func TestOutageAndHistoryGone(t *testing.T) {
+	s := &fakeStore{version: 1, revision: 3}
+	withFollowing(t, s, func(d *directory.Directory) {
 		time.Sleep(100 * time.Millisecond)
 		s.set(func() { s.down = true })
 		time.Sleep(30 * time.Second)
 		if age := time.Since(d.Confirmed()); age < 20*time.Second {
-			t.Errorf("the settings count as confirmed %v ago in an outage", age)
+			t.Errorf("settings confirmed %v ago during an outage", age)
 		}
-		s.set(func() { s.down, s.gone, s.lost, s.version, s.revision = false, true, true, 7, 90 })
+		s.set(func() {
+			s.down, s.endpointsHistoryGone, s.settingsHistoryGone, s.version, s.revision = false, true, true, 7, 90
+		})
 		time.Sleep(2 * time.Second)
-		expect(t, d, 7, 90)
+		expectVersions(t, d, 7, 90)
 	})
 }
 
 func TestChangeBetweenReads(t *testing.T) {
-	s := &source{version: 1, revision: 3}
-	s.read = func() { s.version, s.revision = 2, 4 }
-	follow(t, s, func(d *directory.Directory) {
+	s := &fakeStore{version: 1, revision: 3}
+	s.onRead = func() { s.version, s.revision = 2, 4 }
+	withFollowing(t, s, func(d *directory.Directory) {
 		time.Sleep(5 * time.Second)
-		expect(t, d, 2, 4)
+		expectVersions(t, d, 2, 4)
 	})
 }
 
-func TestRelaxedDoesNotAsk(t *testing.T) {
-	s := &source{version: 1, revision: 3}
-	follow(t, s, func(d *directory.Directory) {
+func TestFollowerDoesNotCallStore(t *testing.T) {
+	s := &fakeStore{version: 1, revision: 3}
+	withFollowing(t, s, func(d *directory.Directory) {
 		time.Sleep(100 * time.Millisecond)
 		d.SetRole(directory.Follower)
-		time.Sleep(time.Second) // the watch that was begun ends
-		waits := s.count()
+		time.Sleep(time.Second) // the current watch ends
+		calls := s.watchCount()
 		time.Sleep(time.Minute)
-		if s.count() != waits {
-			t.Errorf("%d calls were made", s.count()-waits)
+		if s.watchCount() != calls {
+			t.Errorf("a follower made %d calls", s.watchCount()-calls)
 		}
 		d.TakeFromPeer(driver.Endpoints{Revision: 8, List: endpointsOf("a")}, nil)
 		s.set(func() { s.version, s.revision = 2, 9 })
 		time.Sleep(time.Second)
-		expect(t, d, 1, 8)
+		expectVersions(t, d, 1, 8)
 		d.SetRole(directory.Standby)
 		time.Sleep(100 * time.Millisecond)
-		expect(t, d, 2, 9)
-		if s.count() == waits || s.after() < 8 {
-			t.Errorf("%d calls, changes asked for from revision %d", s.count()-waits, s.after())
+		expectVersions(t, d, 2, 9)
+		if s.watchCount() == calls || s.lastWatchedAfter() < 8 {
+			t.Errorf("%d calls, last watch after revision %d", s.watchCount()-calls, s.lastWatchedAfter())
 		}
 		d.SetRole(directory.Reader)
-		waits = s.count()
+		calls = s.watchCount()
 		time.Sleep(time.Minute)
-		if often := s.count() - waits; often < 60 {
-			t.Errorf("%d calls a minute as a sentinel", often)
+		if rate := s.watchCount() - calls; rate < 60 {
+			t.Errorf("%d calls a minute as a reader", rate)
 		}
 	})
 }
 
-// An entry that nobody has told anything reads each part once and follows neither.
+// TestStarterReadsOnce checks that a starter reads the settings and the endpoints once and
+// watches neither.
 func TestStarterReadsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &source{version: 1, revision: 3}
+		s := &fakeStore{version: 1, revision: 3}
 		d := empty()
 		d.SetRole(directory.Starter)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		go d.Follow(ctx, s)
 		time.Sleep(time.Minute)
-		expect(t, d, 1, 3)
-		if s.count() != 0 {
-			t.Errorf("%d calls wait for changes", s.count())
+		expectVersions(t, d, 1, 3)
+		if s.watchCount() != 0 {
+			t.Errorf("a starter made %d watch calls", s.watchCount())
 		}
 		if d.ReadsStore() {
-			t.Error("others would leave the store to a starter")
+			t.Error("ReadsStore reports true for a starter")
 		}
 	})
 }
 
-func TestSubstituteAsksSeldomInAnOutage(t *testing.T) {
-	s := &source{version: 1, revision: 3}
-	follow(t, s, func(d *directory.Directory) {
+func TestStandbyRetriesLessOftenInOutage(t *testing.T) {
+	s := &fakeStore{version: 1, revision: 3}
+	withFollowing(t, s, func(d *directory.Directory) {
 		time.Sleep(100 * time.Millisecond)
 		calls := func(r directory.Role) int {
 			d.SetRole(r)
 			s.set(func() { s.down = true })
 			time.Sleep(5 * time.Second)
-			before := s.count()
+			before := s.watchCount()
 			time.Sleep(time.Minute)
-			n := s.count() - before
+			n := s.watchCount() - before
 			s.set(func() { s.down = false })
 			time.Sleep(5 * time.Second)
 			return n
 		}
-		sentinel, substitute := calls(directory.Reader), calls(directory.Standby)
-		if sentinel < 80 || substitute > sentinel/2 {
-			t.Errorf("%d calls a minute as a sentinel, %d as a substitute", sentinel, substitute)
+		reader, standby := calls(directory.Reader), calls(directory.Standby)
+		if reader < 80 || standby > reader/2 {
+			t.Errorf("%d calls a minute as a reader, %d as a standby", reader, standby)
 		}
 	})
 }
 
-func TestNeverBack(t *testing.T) {
+func TestOlderStateIsIgnored(t *testing.T) {
 	d := empty()
 	d.TakeSettings(5, tree(), "test")
 	d.TakeSettings(4, tree(), "test")
 	d.TakeEndpoints(driver.Endpoints{Revision: 8, List: []placement.Endpoint{{ID: "new"}}}, "test")
 	d.TakeEndpoints(driver.Endpoints{Revision: 7, List: []placement.Endpoint{{ID: "old"}}}, "test")
 	d.Apply(driver.Change{Revision: 8, Gone: []string{"new"}})
-	expect(t, d, 5, 8)
+	expectVersions(t, d, 5, 8)
 	if list := d.Endpoints().List; len(list) != 1 || list[0].ID != "new" {
-		t.Errorf("the list went back to %v", list)
+		t.Errorf("an older list replaced the current one: %v", list)
 	}
 }
 
-func TestInvalidSettingsStayOut(t *testing.T) {
+func TestInvalidSettingsAreRejected(t *testing.T) {
 	d := empty()
 	d.TakeSettings(1, tree(), "test")
 	d.TakeSettings(2, settings.NewTree(map[string]settings.Node{"a/b": {}}), "test") // no parent
-	expect(t, d, 1, 0)
+	expectVersions(t, d, 1, 0)
 }
 
 func TestSince(t *testing.T) {
 	d := empty()
 	if _, ok := d.Since(0); ok {
-		t.Error("changes are known before the list")
+		t.Error("Since returns changes before the first list")
 	}
 	d.TakeEndpoints(driver.Endpoints{Revision: 5, List: endpointsOf("a", "b")}, "test")
 	if _, ok := d.Since(4); ok {
-		t.Error("changes are known that came before the list")
+		t.Error("Since returns changes before the revision of the list")
 	}
 	d.Apply(driver.Change{Revision: 6, Changed: endpointsOf("c"), Gone: []string{"a"}})
-	d.Apply(driver.Change{Revision: 7}) // of something else
+	d.Apply(driver.Change{Revision: 7}) // no change of endpoints
 	d.Apply(driver.Change{Revision: 8, Changed: endpointsOf("a"), Gone: []string{"c"}})
 	c, ok := d.Since(5)
 	if !ok || c.Revision != 8 || len(c.Changed) != 1 || c.Changed[0].ID != "a" || len(c.Gone) != 1 || c.Gone[0] != "c" {
@@ -318,7 +321,7 @@
 		d.Apply(driver.Change{Revision: 10 + n, Changed: endpointsOf("d")})
 	}
 	if _, ok = d.Since(5); ok {
-		t.Error("changes are kept without a bound")
+		t.Error("the endpoint history has no bound")
 	}
 	if c, ok = d.Since(200); !ok || len(c.Changed) != 1 {
 		t.Errorf("got %+v, %v", c, ok)
--- a/internal/direct/directory/evacuations.go
+++ b/internal/direct/directory/evacuations.go
@@ -1,10 +1,10 @@
 // Which data centres operators have evacuated.
 //
-// Rule: what was true at the newest revision of the store is in force, whoever tells of it:
-// the store's list, its changes, or another entry. It stays while the store is away.
+// Rule: the state with the highest store revision applies, whether it comes from the store's
+// list, its changes, or a peer. It stays while the store is unavailable.
 // Inputs: lists and changes with their revisions.
-// Never: an older state replaces a newer one; a change that lies before the state's revision
-// is taken in again.
+// Never: an older state replaces a newer one; a change that is not after the state's revision
+// is applied again.
 
 package directory
 
@@ -14,7 +14,7 @@
 	"foxcross.dev/foxcross/internal/direct/driver"
 )
 
-// Evacuations returns which data centres are evacuated. It waits for no lock.
+// Evacuations returns the evacuated data centres. It acquires no lock.
 func (d *Directory) Evacuations() driver.Evacuations {
 	if e := d.evacuations.Load(); e != nil {
 		return *e
@@ -22,7 +22,7 @@
 	return driver.Evacuations{}
 }
 
-// TakeEvacuations takes in what was true at a revision, unless something newer is known.
+// TakeEvacuations replaces the evacuations unless the current ones are at least as new.
 func (d *Directory) TakeEvacuations(e driver.Evacuations, source string) {
 	if e.Revision <= d.Evacuations().Revision {
 		return
@@ -32,8 +32,8 @@
 	d.setEvacuations(e, source)
 }
 
-// applyEvacuations takes in the changes that came with a watch up to a revision.
-func (d *Directory) applyEvacuations(changes []driver.Evacuation, upTo uint64) {
+// applyEvacuationChanges applies the changes that a watch returned up to a revision.
+func (d *Directory) applyEvacuationChanges(changes []driver.Evacuation, upTo uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	next := d.Evacuations()
@@ -46,7 +46,7 @@
 	d.setEvacuations(next, "watch")
 }
 
-// setEvacuations puts what is newer in force. The directory is locked.
+// setEvacuations replaces the evacuations unless the current ones are at least as new. d.mu is held.
 func (d *Directory) setEvacuations(e driver.Evacuations, source string) {
 	before := d.Evacuations()
 	if e.Revision <= before.Revision {
--- a/internal/direct/directory/evacuations_test.go
+++ b/internal/direct/directory/evacuations_test.go
@@ -12,14 +12,14 @@
 	"foxcross.dev/foxcross/internal/direct/driver"
 )
 
-// evacuating is a store whose operators evacuate data centres.
-type evacuating struct {
-	source
+// evacuationStore is a fakeStore with evacuations of data centres.
+type evacuationStore struct {
+	fakeStore
 	changes []driver.Evacuation
 }
 
-// evacuate makes a change at the store's next revision.
-func (s *evacuating) evacuate(dataCentre string, ended bool) {
+// evacuate starts or ends an evacuation at the store's next revision.
+func (s *evacuationStore) evacuate(dataCentre string, ended bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
@@ -27,8 +27,8 @@
 }
 
 // ReadSettings implements driver.Store.
-func (s *evacuating) ReadSettings(ctx context.Context) (driver.Settings, error) {
-	read, err := s.source.ReadSettings(ctx)
+func (s *evacuationStore) ReadSettings(ctx context.Context) (driver.Settings, error) {
+	read, err := s.fakeStore.ReadSettings(ctx)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var state driver.Evacuations
@@ -40,8 +40,8 @@
 }
 
 // WaitSettings implements driver.Store.
-func (s *evacuating) WaitSettings(ctx context.Context, after uint64, most time.Duration) (driver.SettingsChange, error) {
-	c, err := s.source.WaitSettings(ctx, after, most)
+func (s *evacuationStore) WaitSettings(ctx context.Context, after uint64, maxWait time.Duration) (driver.SettingsChange, error) {
+	c, err := s.fakeStore.WaitSettings(ctx, after, maxWait)
 	c.Settings = nil
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -53,37 +53,37 @@
 	return c, err
 }
 
-// evacuated expects that just these data centres are evacuated.
-func evacuated(t *testing.T, d *directory.Directory, when string, want ...string) {
+// expectEvacuated checks that exactly these data centres are evacuated.
+func expectEvacuated(t *testing.T, d *directory.Directory, when string, want ...string) {
 	t.Helper()
 	if got := d.Evacuations().DataCentres; len(got)+len(want) > 0 && !reflect.DeepEqual(got, want) {
 		t.Errorf("%s %v are evacuated, want %v", when, got, want)
 	}
 }
 
-func TestEvacuationsOfTheStore(t *testing.T) {
-	s := &evacuating{source: source{version: 1, revision: 5}}
+func TestEvacuationsFollowStore(t *testing.T) {
+	s := &evacuationStore{fakeStore: fakeStore{version: 1, revision: 5}}
 	s.evacuate("b", false)
-	follow(t, s, func(d *directory.Directory) {
+	withFollowing(t, s, func(d *directory.Directory) {
 		time.Sleep(time.Second)
-		evacuated(t, d, "at first", "b")
+		expectEvacuated(t, d, "after the start", "b")
 		s.evacuate("a", false)
 		time.Sleep(time.Second)
-		evacuated(t, d, "a second after a change", "a", "b")
+		expectEvacuated(t, d, "a second after a change", "a", "b")
 		s.set(func() { s.down = true })
 		s.evacuate("b", true)
 		time.Sleep(time.Minute)
-		evacuated(t, d, "while the store is down", "a", "b")
-		s.set(func() { s.down, s.lost = false, true })
+		expectEvacuated(t, d, "while the store is unavailable", "a", "b")
+		s.set(func() { s.down, s.settingsHistoryGone = false, true })
 		time.Sleep(3 * time.Second)
-		evacuated(t, d, "after the store came back without its history", "a")
+		expectEvacuated(t, d, "after the store recovered without its history", "a")
 	})
 }
 
-// TestEvacuationsNeverGoBack takes in what two entries tell out of order.
-func TestEvacuationsNeverGoBack(t *testing.T) {
-	told := [][]string{}
-	d := directory.New(func(directory.InForce) {}, func([]placement.Endpoint) {}, func(all []string) { told = append(told, all) })
+// TestOlderEvacuationsAreIgnored applies evacuations of two peers out of order.
+func TestOlderEvacuationsAreIgnored(t *testing.T) {
+	calls := [][]string{}
+	d := directory.New(func(directory.InForce) {}, func([]placement.Endpoint) {}, func(all []string) { calls = append(calls, all) })
 	for _, e := range []driver.Evacuations{
 		{Revision: 7, DataCentres: []string{"a"}},
 		{Revision: 6},
@@ -93,16 +93,16 @@
 	} {
 		d.TakeEvacuations(e, "peer")
 	}
-	evacuated(t, d, "at the end")
-	if d.Evacuations().Revision != 9 || len(told) != 2 {
-		t.Errorf("at revision %d, told %v", d.Evacuations().Revision, told)
+	expectEvacuated(t, d, "at the end")
+	if d.Evacuations().Revision != 9 || len(calls) != 2 {
+		t.Errorf("at revision %d, onEvacuations calls %v", d.Evacuations().Revision, calls)
 	}
 }
 
-// TestEvacuationsAreWatchedFromWhereTheyAreKnown has another entry tell of settings that were
-// the newest at a later revision than what this entry knows of evacuations.
-func TestEvacuationsAreWatchedFromWhereTheyAreKnown(t *testing.T) {
-	s := &evacuating{source: source{version: 1, revision: 5}}
+// TestEvacuationWatchStartsAtKnownRevision guards against a missed evacuation. A peer reports
+// settings that were the newest at a later revision than the evacuations known here.
+func TestEvacuationWatchStartsAtKnownRevision(t *testing.T) {
+	s := &evacuationStore{fakeStore: fakeStore{version: 1, revision: 5}}
 	synctest.Test(t, func(t *testing.T) {
 		d := empty()
 		ctx, cancel := context.WithCancel(context.Background())
@@ -113,7 +113,7 @@
 		s.evacuate("a", false)
 		d.Settle(1, 1000)
 		time.Sleep(5 * time.Second)
-		evacuated(t, d, "though settings are known at a later revision", "a")
+		expectEvacuated(t, d, "with settings known at a later revision", "a")
 		cancel()
 		synctest.Wait()
 	})
--- a/internal/direct/directory/follow.go
+++ b/internal/direct/directory/follow.go
@@ -1,12 +1,12 @@
 // How a process follows the platform's store.
 //
-// Rule: a reader or standby reads the endpoints, and the settings with the evacuated data
-// centres, each by itself, and
-// waits for changes of each after the revision up to which it knows them; it reads anew
-// when the store no longer knows the changes since. It also reads the settings, in place
-// of waiting, while versions come faster than they can be taken in. Calls that fail are
-// retried with growing delays; while those for endpoints do, none is made for settings.
-// Inputs: the store, the role, the revisions that other entries have told.
+// Rule: a reader or standby reads the endpoints, and separately the settings with the
+// evacuated data centres. It then watches each for changes after the last known revision. It
+// reads the full state again if the store's history no longer covers that revision. It also
+// reads the settings, instead of watching, while new versions arrive faster than they can be
+// applied. Failed calls are retried with exponential backoff. While the calls for endpoints
+// fail, none is made for settings.
+// Inputs: the store, the role, the revisions received from peers.
 
 package directory
 
@@ -23,47 +23,47 @@
 )
 
 const (
-	// endpointsWait is how long a watch waits for changes of endpoints; a lost one is noticed
-	// soon after.
-	endpointsWait = 700 * time.Millisecond
-	// settingsWait is the same for settings, whose changes are rarer. Twice as long, so that a
-	// reader makes half a call more for it.
-	settingsWait = 1400 * time.Millisecond
-	// watchPause is the time after changes before the next watch, so that it brings more of
-	// them at once.
+	// endpointsWatchTimeout is how long a watch waits for changes of endpoints. A lost watch is
+	// noticed soon after.
+	endpointsWatchTimeout = 700 * time.Millisecond
+	// settingsWatchTimeout is the same for settings, which change less often. It is twice as
+	// long, so that it adds half a call of a reader to each watch of endpoints.
+	settingsWatchTimeout = 1400 * time.Millisecond
+	// watchPause is the pause between changes and the next watch, which batches further changes.
 	watchPause = 100 * time.Millisecond
-	// minRetryDelay, maxRetryDelay and retryFactor space calls that fail.
+	// minRetryDelay, maxRetryDelay and retryFactor define the backoff of failed calls.
 	minRetryDelay = 60 * time.Millisecond
 	maxRetryDelay = 500 * time.Millisecond
 	retryFactor   = 1.6
-	// maxStandbyRetryDelay is the longest delay of a standby, of which there may be many.
+	// maxStandbyRetryDelay is the longest retry delay of a standby. It is longer than a
+	// reader's, since there may be many standbys.
 	maxStandbyRetryDelay = 2 * time.Second
 )
 
 // Follow keeps the directory up to date from the store until ctx is done.
 func (d *Directory) Follow(ctx context.Context, s driver.Store) {
-	var both sync.WaitGroup
-	both.Go(func() { d.follow(ctx, &endpointsFollower{directory: d, store: s}) })
-	both.Go(func() { d.follow(ctx, &settingsFollower{directory: d, store: s}) })
-	both.Wait()
+	var wg sync.WaitGroup
+	wg.Go(func() { d.run(ctx, &endpointsPoller{directory: d, store: s}) })
+	wg.Go(func() { d.run(ctx, &settingsPoller{directory: d, store: s}) })
+	wg.Wait()
 }
 
-// follower reads one part of what the store holds: all of it at first and when changes
-// were missed, then the changes.
-type follower interface {
-	// step makes the next call. changed tells whether it brought something.
-	step(ctx context.Context) (changed bool, err error)
-	// hasRead tells whether all was read; what follows are changes.
+// poller reads the endpoints or the settings from the store: the full state at first and
+// after missed changes, then the changes.
+type poller interface {
+	// poll makes the next call. changed reports whether it returned anything new.
+	poll(ctx context.Context) (changed bool, err error)
+	// hasRead reports whether the full state has been read. The next calls return changes.
 	hasRead() bool
-	// reset lets the next step read all anew.
+	// reset makes the next poll read the full state.
 	reset()
-	// failed is told of an error of the store. The next call waits for the channel, or
-	// for a delay where it is nil.
-	failed(err error) (until <-chan struct{})
+	// handleError handles an error of the store. The next call waits until the channel is
+	// closed, or for the backoff delay if it is nil.
+	handleError(err error) (until <-chan struct{})
 }
 
-// follow makes a follower's calls while the role says so.
-func (d *Directory) follow(ctx context.Context, f follower) {
+// run makes the poller's calls while the role allows them, until ctx is done.
+func (d *Directory) run(ctx context.Context, p poller) {
 	var delays backoff.ExponentialBackOff
 	delays.InitialInterval = minRetryDelay
 	delays.Multiplier = retryFactor
@@ -71,16 +71,16 @@
 	delays.MaxInterval = maxRetryDelay
 	delays.Reset()
 	for ctx.Err() == nil {
-		if d.awaitRole(ctx, f.hasRead()) {
+		if d.awaitRole(ctx, p.hasRead()) {
 			continue
 		}
-		changed, err := f.step(ctx)
+		changed, err := p.poll(ctx)
 		switch {
 		case errors.Is(err, driver.ErrHistoryGone):
-			log.Info("The store no longer knows the changes since the last call; reading all anew.")
-			f.reset()
+			log.Info("The store's history no longer covers the last known revision; reading the full state.")
+			p.reset()
 		case err != nil:
-			until := f.failed(err)
+			until := p.handleError(err)
 			role, roleChanged := d.watchRole()
 			delays.MaxInterval = role.maxDelay()
 			if until == nil {
@@ -97,157 +97,158 @@
 	}
 }
 
-// endpointsFollower follows the list of endpoints. By its calls the directory knows
-// whether the store answers.
-type endpointsFollower struct {
+// endpointsPoller polls the endpoint list. Its calls determine whether the store counts as
+// responding.
+type endpointsPoller struct {
 	directory *Directory
 	store     driver.Store
-	known     bool   // the list was read
-	revision  uint64 // of the last answer
+	fullyRead bool   // the full list has been read
+	revision  uint64 // of the last response
 }
 
-func (f *endpointsFollower) step(ctx context.Context) (bool, error) {
-	if f.known {
-		return f.readChanges(ctx)
+func (p *endpointsPoller) poll(ctx context.Context) (bool, error) {
+	if p.fullyRead {
+		return p.readChanges(ctx)
 	}
-	return false, f.readAll(ctx)
+	return false, p.readAll(ctx)
 }
 
-func (f *endpointsFollower) readAll(ctx context.Context) error {
-	asked := steady.Now()
-	list, err := f.store.ReadEndpoints(ctx)
+func (p *endpointsPoller) readAll(ctx context.Context) error {
+	sentAt := steady.Now()
+	list, err := p.store.ReadEndpoints(ctx)
 	if err != nil {
 		return err
 	}
-	d := f.directory
-	d.storeAnswered()
+	d := p.directory
+	d.storeResponded()
 	d.TakeEndpoints(list, "store")
-	d.setLastContact(asked)
-	f.known = true
-	f.revision = list.Revision
+	d.setLastContact(sentAt)
+	p.fullyRead = true
+	p.revision = list.Revision
 	return nil
 }
 
-func (f *endpointsFollower) readChanges(ctx context.Context) (changed bool, err error) {
-	asked := steady.Now()
-	d := f.directory
-	_, known := d.Versions()
-	c, err := f.store.WaitEndpoints(ctx, max(f.revision, known), endpointsWait)
+func (p *endpointsPoller) readChanges(ctx context.Context) (changed bool, err error) {
+	sentAt := steady.Now()
+	d := p.directory
+	_, current := d.Versions()
+	c, err := p.store.WaitEndpoints(ctx, max(p.revision, current), endpointsWatchTimeout)
 	if err != nil {
 		return false, err
 	}
-	d.storeAnswered()
+	d.storeResponded()
 	d.Apply(c)
-	d.setLastContact(asked)
-	f.revision = c.Revision
+	d.setLastContact(sentAt)
+	p.revision = c.Revision
 	return len(c.Changed) > 0 || len(c.Gone) > 0, nil
 }
 
-func (f *endpointsFollower) hasRead() bool { return f.known }
+func (p *endpointsPoller) hasRead() bool { return p.fullyRead }
 
-func (f *endpointsFollower) reset() { f.known = false }
+func (p *endpointsPoller) reset() { p.fullyRead = false }
 
-// failed logs the first failure of a row.
-func (f *endpointsFollower) failed(err error) <-chan struct{} {
-	if f.directory.storeFailed() {
-		log.With("reason", err.Error()).With("version", f.directory.version()).
-			Warnf("The store does not answer; the settings and endpoints that are known stay in use.")
+// handleError logs the first of consecutive failures.
+func (p *endpointsPoller) handleError(err error) <-chan struct{} {
+	if p.directory.storeFailed() {
+		log.With("reason", err.Error()).With("version", p.directory.version()).
+			Warnf("The store does not respond; the last known settings and endpoints stay in use.")
 	}
 	return nil
 }
 
-// settingsFollower follows the settings.
-type settingsFollower struct {
-	directory *Directory
-	store     driver.Store
-	known     bool   // the settings were read, and changes after revision are to be asked for
-	behind    bool   // versions come faster than they are taken in
-	revision  uint64 // of the last answer
-	seen      uint64 // the newest version that came, which may be one that can't be used
-	failing   bool   // the last call failed
+// settingsPoller polls the settings and the evacuations.
+type settingsPoller struct {
+	directory  *Directory
+	store      driver.Store
+	fullyRead  bool   // the settings have been read, and a watch starts after revision
+	lagging    bool   // new versions arrive faster than they are applied
+	revision   uint64 // of the last response
+	newestSeen uint64 // newest version received, valid or not
+	failing    bool   // the last call failed
 }
 
-func (f *settingsFollower) step(ctx context.Context) (bool, error) {
-	if f.known {
-		return f.readChanges(ctx)
+func (p *settingsPoller) poll(ctx context.Context) (bool, error) {
+	if p.fullyRead {
+		return p.readChanges(ctx)
 	}
-	return f.read(ctx)
+	return p.read(ctx)
 }
 
-// read reads the settings. While versions come faster than they are taken in, it is
-// repeated until it brings nothing newer: a watch would bring all versions in between,
-// each whole, and of those only the last counts.
-func (f *settingsFollower) read(ctx context.Context) (newer bool, err error) {
-	asked := steady.Now()
-	s, err := f.store.ReadSettings(ctx)
+// read reads the settings. While new versions arrive faster than they are applied, it is
+// repeated until it returns no newer version. A watch would transfer every version in
+// between in full, and only the last one is needed.
+func (p *settingsPoller) read(ctx context.Context) (newer bool, err error) {
+	sentAt := steady.Now()
+	s, err := p.store.ReadSettings(ctx)
 	if err != nil {
 		return false, err
 	}
-	newer = f.take(s, s.Revision, asked, "store")
-	f.directory.TakeEvacuations(driver.Evacuations{Revision: s.Revision, DataCentres: s.Evacuated}, "store")
-	f.behind = f.behind && newer
-	f.known = !f.behind
-	f.revision = s.Revision
+	newer = p.apply(s, s.Revision, sentAt, "store")
+	p.directory.TakeEvacuations(driver.Evacuations{Revision: s.Revision, DataCentres: s.Evacuated}, "store")
+	p.lagging = p.lagging && newer
+	p.fullyRead = !p.lagging
+	p.revision = s.Revision
 	return newer, nil
 }
 
-func (f *settingsFollower) readChanges(ctx context.Context) (changed bool, err error) {
-	asked := steady.Now()
-	c, err := f.store.WaitSettings(ctx, max(f.revision, f.told()), settingsWait)
+func (p *settingsPoller) readChanges(ctx context.Context) (changed bool, err error) {
+	sentAt := steady.Now()
+	c, err := p.store.WaitSettings(ctx, max(p.revision, p.peerRevision()), settingsWatchTimeout)
 	if err != nil {
 		return false, err
 	}
-	f.revision = c.Revision
-	f.directory.applyEvacuations(c.Evacuations, c.Revision)
+	p.revision = c.Revision
+	p.directory.applyEvacuationChanges(c.Evacuations, c.Revision)
 	if c.Settings == nil {
-		f.failing = false
-		f.directory.Confirm(f.directory.version(), asked)
-		f.directory.Settle(f.directory.version(), c.Revision)
+		p.failing = false
+		p.directory.Confirm(p.directory.version(), sentAt)
+		p.directory.Settle(p.directory.version(), c.Revision)
 		return len(c.Evacuations) > 0, nil
 	}
-	f.take(*c.Settings, c.Revision, asked, "watch")
-	f.behind = c.Superseded > 0
-	f.known = !f.behind
+	p.apply(*c.Settings, c.Revision, sentAt, "watch")
+	p.lagging = c.Superseded > 0
+	p.fullyRead = !p.lagging
 	return true, nil
 }
 
-// told returns the revision up to which other entries have told all that the watch brings.
-func (f *settingsFollower) told() uint64 {
-	_, settled := f.directory.Settled()
-	return min(settled, f.directory.Evacuations().Revision)
+// peerRevision returns the revision up to which peers have sent everything that the watch
+// returns.
+func (p *settingsPoller) peerRevision() uint64 {
+	_, confirmed := p.directory.Settled()
+	return min(confirmed, p.directory.Evacuations().Revision)
 }
 
-// take puts settings in force that were the newest at a revision. It tells whether they
-// are newer than those that were, and than any that came before.
-func (f *settingsFollower) take(s driver.Settings, revision uint64, asked time.Time, source string) (newer bool) {
-	f.failing = false
-	d := f.directory
-	newer = s.Version > max(f.seen, d.version())
-	f.seen = max(f.seen, s.Version)
+// apply activates settings that were the newest at a store revision. It reports whether they
+// are newer than the active ones and than any received before.
+func (p *settingsPoller) apply(s driver.Settings, revision uint64, sentAt time.Time, source string) (newer bool) {
+	p.failing = false
+	d := p.directory
+	newer = s.Version > max(p.newestSeen, d.version())
+	p.newestSeen = max(p.newestSeen, s.Version)
 	if newer {
 		d.TakeSettings(s.Version, s.Tree, source)
 	}
-	d.Confirm(s.Version, asked)
+	d.Confirm(s.Version, sentAt)
 	d.Settle(s.Version, revision)
 	return newer
 }
 
-func (f *settingsFollower) hasRead() bool { return f.known }
+func (p *settingsPoller) hasRead() bool { return p.fullyRead }
 
-func (f *settingsFollower) reset() { f.known = false }
+func (p *settingsPoller) reset() { p.fullyRead = false }
 
-// failed logs the first failure of a row. While the store answers nothing, only the calls
-// for endpoints look for its return: each call has its price.
-func (f *settingsFollower) failed(err error) <-chan struct{} {
-	if !f.failing {
-		f.failing = true
-		log.With("reason", err.Error()).With("version", f.directory.version()).
-			Warnf("The settings can't be read from the store; those in force stay until the next try.")
+// handleError logs the first of consecutive failures. While the store does not respond, only
+// the calls for endpoints are retried, since each call counts against the platform's rates.
+func (p *settingsPoller) handleError(err error) <-chan struct{} {
+	if !p.failing {
+		p.failing = true
+		log.With("reason", err.Error()).With("version", p.directory.version()).
+			Warnf("Reading the settings from the store failed; the active version stays in use.")
 	}
-	if f.directory.Following() {
+	if p.directory.Following() {
 		return nil
 	}
-	return f.directory.storeAnswers()
+	return p.directory.storeRecovery()
 }
 
 // awaitAny returns when one of the channels is closed or ctx is done.
@@ -259,7 +260,7 @@
 	}
 }
 
-// wait returns after the time, when ctx is done, or when until is closed.
+// wait returns after d, when ctx is done, or when until is closed.
 func wait(ctx context.Context, d time.Duration, until <-chan struct{}) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/direct/directory/lapse.go
+++ b/internal/direct/directory/lapse.go
@@ -1,12 +1,14 @@
-// When an endpoint that vanished from the list is kept in use.
+// When an endpoint that was removed from the list stays in use.
 //
-// Rule: leases of endpoints may run out while the store is away. One that vanishes
-// within lapseWindow of the store's return, without having said that it leaves, is
-// kept until lapseEnd after the return, but no longer than an endpoint may get new
-// requests after it left. If it has come back by then it stays; else it is dropped.
-// Inputs: the store's return, the platform's bound on leaving, other entries' word on
-// what they keep.
-// Never: an endpoint that said it leaves is not kept; outside an outage none is.
+// Rule: leases of endpoints may expire while the store is unavailable. An endpoint that is
+// removed within removalWindow of the store's recovery, without having announced that it
+// leaves, is retained until retentionEnd after the recovery, but no longer than an endpoint
+// may get new requests after it left. If it is listed again by then it stays; otherwise it is
+// dropped.
+// Inputs: the time of the store's recovery, the platform's bound on leaving, the endpoints
+// that peers retain.
+// Never: an endpoint that announced that it leaves is retained; an endpoint is retained
+// without an outage.
 
 package directory
 
@@ -19,112 +21,110 @@
 )
 
 const (
-	// lapseWindow is how long after the store's return an endpoint may vanish by a lapse.
-	lapseWindow = time.Second
-	// lapseEnd is when, after the store's return, all that have vanished are dropped.
-	// Live endpoints are back within about two seconds of the return.
-	lapseEnd = 2300 * time.Millisecond
-	// leaveSlack is the part of the time allowed after leaving that is not used.
-	leaveSlack = 100 * time.Millisecond
+	// removalWindow is how long after the store's recovery a removal counts as an expired lease.
+	removalWindow = time.Second
+	// retentionEnd is the time after the store's recovery at which retained endpoints are
+	// dropped. Live endpoints are listed again within about two seconds of the recovery.
+	retentionEnd = 2300 * time.Millisecond
+	// leaveMargin is subtracted from the time for which an endpoint may be used after it left.
+	leaveMargin = 100 * time.Millisecond
 )
 
-// lapse is an endpoint that vanished from the list and is still used.
-type lapse struct {
+// retainedEndpoint is an endpoint that was removed from the list and stays in use.
+type retainedEndpoint struct {
 	endpoint placement.Endpoint
 	until    time.Time
 }
 
-// keepFor returns how long an endpoint that has just vanished stays in use, 0 for
-// not at all. The directory is locked.
-func (d *Directory) keepFor(now time.Time, e placement.Endpoint) time.Duration {
-	regained := d.contact.regained
-	if e.Leaving || regained.IsZero() || now.Sub(regained) > lapseWindow {
+// retention returns how long an endpoint that has just been removed stays in use. It returns
+// 0 if the endpoint is dropped at once. d.mu is held.
+func (d *Directory) retention(now time.Time, e placement.Endpoint) time.Duration {
+	recoveredAt := d.store.recoveredAt
+	if e.Leaving || recoveredAt.IsZero() || now.Sub(recoveredAt) > removalWindow {
 		return 0
 	}
-	return min(regained.Add(lapseEnd).Sub(now), d.leaveWithin-leaveSlack)
+	return min(recoveredAt.Add(retentionEnd).Sub(now), d.leaveWithin-leaveMargin)
 }
 
-// keeping tells how long an endpoint that has just vanished stays in use.
-type keeping func(now time.Time, e placement.Endpoint) time.Duration
+// retentionFunc returns how long an endpoint that has just been removed stays in use.
+type retentionFunc func(now time.Time, e placement.Endpoint) time.Duration
 
-// keptByPeer keeps what another entry keeps.
-func keptByPeer(lapsed map[string]time.Duration) keeping {
-	return func(_ time.Time, e placement.Endpoint) time.Duration { return min(lapsed[e.ID], lapseEnd) }
+// peerRetention retains the endpoints that a peer retains, for the same time.
+func peerRetention(retained map[string]time.Duration) retentionFunc {
+	return func(_ time.Time, e placement.Endpoint) time.Duration { return min(retained[e.ID], retentionEnd) }
 }
 
-// vanish takes an endpoint off the list and keeps it in use for a time. The
-// directory is locked.
-func (d *Directory) vanish(e placement.Endpoint, keep time.Duration) {
+// remove removes an endpoint from the list. It retains the endpoint for the given time, or
+// drops it if that is not positive. d.mu is held.
+func (d *Directory) remove(e placement.Endpoint, retention time.Duration) {
 	delete(d.endpoints, e.ID)
-	if keep <= 0 {
+	if retention <= 0 {
 		return
 	}
-	if d.lapsed == nil {
-		d.lapsed = map[string]lapse{}
+	if d.retained == nil {
+		d.retained = map[string]retainedEndpoint{}
 	}
-	d.lapsed[e.ID] = lapse{endpoint: e, until: steady.Now().Add(keep)}
-	steady.AfterFunc(keep, d.dropLapsed)
+	d.retained[e.ID] = retainedEndpoint{endpoint: e, until: steady.Now().Add(retention)}
+	steady.AfterFunc(retention, d.dropExpired)
 }
 
-// dropLapsed drops the endpoints that have not come back in time.
-func (d *Directory) dropLapsed() {
+// dropExpired drops the retained endpoints whose time is over.
+func (d *Directory) dropExpired() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := steady.Now()
 	dropped := false
-	for id, l := range d.lapsed {
-		if now.Before(l.until) {
+	for id, r := range d.retained {
+		if now.Before(r.until) {
 			continue
 		}
-		delete(d.lapsed, id)
+		delete(d.retained, id)
 		dropped = true
-		log.With("endpoint", id).Info("An endpoint that vanished during an outage of the store has not come back; it is dropped.")
+		log.With("endpoint", id).Info("An endpoint whose lease expired during an outage of the store was not listed again; it is dropped.")
 	}
 	if dropped {
 		d.onEndpoints(d.usable())
 	}
 }
 
-// set puts an endpoint on the list. The directory is locked.
-func (d *Directory) set(e placement.Endpoint) {
-	delete(d.lapsed, e.ID)
+// put adds or replaces an endpoint of the list. d.mu is held.
+func (d *Directory) put(e placement.Endpoint) {
+	delete(d.retained, e.ID)
 	d.endpoints[e.ID] = e
 }
 
-// usable returns the list with the endpoints that are kept beside it. The directory
-// is locked.
+// usable returns the listed and the retained endpoints. d.mu is held.
 func (d *Directory) usable() []placement.Endpoint {
 	list := d.list()
-	for _, l := range d.lapsed {
-		list = append(list, l.endpoint)
+	for _, r := range d.retained {
+		list = append(list, r.endpoint)
 	}
 	return list
 }
 
-// Serving tells whether an endpoint is listed, or kept in use though it vanished, and has
-// not said that it leaves.
+// Serving reports whether an endpoint is listed or retained, and has not announced that it
+// leaves.
 func (d *Directory) Serving(id string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	e, listed := d.endpoints[id]
-	_, lapsed := d.lapsed[id]
-	return listed && !e.Leaving || lapsed
+	_, retained := d.retained[id]
+	return listed && !e.Leaving || retained
 }
 
-// Lapsed returns the endpoints that vanished and are kept in use, by id, and for how
-// much longer.
+// Lapsed returns the remaining time of each retained endpoint, by ID.
 func (d *Directory) Lapsed() map[string]time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := steady.Now()
-	left := make(map[string]time.Duration, len(d.lapsed))
-	for id, l := range d.lapsed {
-		left[id] = l.until.Sub(now)
+	remaining := make(map[string]time.Duration, len(d.retained))
+	for id, r := range d.retained {
+		remaining[id] = r.until.Sub(now)
 	}
-	return left
+	return remaining
 }
 
-// SetBounds takes in changed bounds of the process.
+// SetBounds applies changed bounds of the process.
 func (d *Directory) SetBounds(b driver.Bounds) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/direct/directory/lapse_test.go
+++ b/internal/direct/directory/lapse_test.go
@@ -13,28 +13,28 @@
 	"foxcross.dev/foxcross/internal/direct/driver"
 )
 
-// users keeps the endpoints that a directory tells to use.
-type users struct {
+// endpointRecorder records the endpoints that a directory passes to onEndpoints.
+type endpointRecorder struct {
 	mu   sync.Mutex
 	list []string
 }
 
-func (u *users) take(list []placement.Endpoint) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	u.list = u.list[:0]
+func (r *endpointRecorder) record(list []placement.Endpoint) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.list = r.list[:0]
 	for _, e := range list {
-		u.list = append(u.list, e.ID)
+		r.list = append(r.list, e.ID)
 	}
-	slices.Sort(u.list)
+	slices.Sort(r.list)
 }
 
-func (u *users) expect(t *testing.T, when string, want ...string) {
+func (r *endpointRecorder) expect(t *testing.T, when string, want ...string) {
 	t.Helper()
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if !slices.Equal(u.list, want) {
-		t.Errorf("%s: endpoints %v in use, want %v", when, u.list, want)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if !slices.Equal(r.list, want) {
+		t.Errorf("%s: endpoints %v in use, want %v", when, r.list, want)
 	}
 }
 
@@ -46,12 +46,12 @@
 	return list
 }
 
-// following runs a directory that follows the source, with the time in which
-// nothing new may go to an endpoint that has left.
-func following(t *testing.T, s *source, leaveWithin time.Duration, test func(u *users)) {
+// withRetention runs the test in virtual time with a directory that follows the store.
+// leaveWithin is the time after which no new requests go to an endpoint that left.
+func withRetention(t *testing.T, s *fakeStore, leaveWithin time.Duration, test func(r *endpointRecorder)) {
 	synctest.Test(t, func(t *testing.T) {
-		u := &users{}
-		d := directory.New(func(directory.InForce) {}, u.take, func([]string) {})
+		r := &endpointRecorder{}
+		d := directory.New(func(directory.InForce) {}, r.record, func([]string) {})
 		d.SetBounds(driver.Bounds{LeaveWithin: leaveWithin})
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
@@ -60,84 +60,84 @@
 			d.Follow(ctx, s)
 		}()
 		time.Sleep(100 * time.Millisecond)
-		test(u)
+		test(r)
 		cancel()
 		<-done
-		time.Sleep(5 * time.Second) // what is held ends
+		time.Sleep(5 * time.Second) // the retention of endpoints ends
 	})
 }
 
-// outage lets the source be away for a while and come back with the list.
-func (s *source) outage(list []placement.Endpoint) {
+// outage makes the store unavailable for 4 s. It recovers with the given list.
+func (s *fakeStore) outage(list []placement.Endpoint) {
 	s.set(func() { s.down = true })
 	time.Sleep(4 * time.Second)
 	s.set(func() {
-		s.down, s.gone = false, true
+		s.down, s.endpointsHistoryGone = false, true
 		s.revision++
 		s.list = list
 	})
 	time.Sleep(time.Second)
 }
 
-func TestLapsedEndpointsStayInUse(t *testing.T) {
-	s := &source{version: 1, revision: 3, list: endpointsOf("a", "b")}
-	following(t, s, 2*time.Second, func(u *users) {
+func TestRetainedEndpointsStayInUse(t *testing.T) {
+	s := &fakeStore{version: 1, revision: 3, list: endpointsOf("a", "b")}
+	withRetention(t, s, 2*time.Second, func(r *endpointRecorder) {
 		s.outage(nil)
-		u.expect(t, "just after the outage", "a", "b")
+		r.expect(t, "just after the outage", "a", "b")
 		s.set(func() { s.revision++; s.list = endpointsOf("a") })
 		time.Sleep(200 * time.Millisecond)
-		u.expect(t, "one has come back", "a", "b")
+		r.expect(t, "one endpoint is listed again", "a", "b")
 		time.Sleep(3 * time.Second)
-		u.expect(t, "the other has not", "a")
+		r.expect(t, "the other one is not", "a")
 	})
 }
 
-func TestLapsedEndpointsEndWithTheTimeAllowed(t *testing.T) {
-	s := &source{version: 1, revision: 3, list: endpointsOf("a")}
-	following(t, s, 500*time.Millisecond, func(u *users) {
+func TestRetentionIsBoundedByLeaveWithin(t *testing.T) {
+	s := &fakeStore{version: 1, revision: 3, list: endpointsOf("a")}
+	withRetention(t, s, 500*time.Millisecond, func(r *endpointRecorder) {
 		s.outage(nil)
-		// The return is noticed after a retry delay of up to 0.75 s, and the endpoint kept
-		// for 0.4 s from then on; without the bound it would be for 2.3 s.
+		// The recovery is noticed after a retry delay of up to 0.75 s. The endpoint is
+		// retained for 0.4 s from then on; without the bound it would be 2.3 s.
 		time.Sleep(200 * time.Millisecond)
-		u.expect(t, "beyond the time that an endpoint may be used after it left")
+		r.expect(t, "after the time allowed for an endpoint that left")
 	})
 }
 
-func TestLeavingEndpointsDoNotLapse(t *testing.T) {
+func TestLeavingEndpointsAreNotRetained(t *testing.T) {
 	list := endpointsOf("a")
 	list[0].Leaving = true
-	s := &source{version: 1, revision: 3, list: list}
-	following(t, s, 2*time.Second, func(u *users) {
+	s := &fakeStore{version: 1, revision: 3, list: list}
+	withRetention(t, s, 2*time.Second, func(r *endpointRecorder) {
 		s.outage(nil)
-		u.expect(t, "an endpoint that had said that it leaves")
+		r.expect(t, "an endpoint that announced that it leaves")
 	})
 }
 
-func TestGoneWithoutAnOutage(t *testing.T) {
-	s := &source{version: 1, revision: 3, list: endpointsOf("a", "b")}
-	following(t, s, 2*time.Second, func(u *users) {
-		s.set(func() { s.gone = true; s.revision++; s.list = endpointsOf("b") })
+func TestNoRetentionWithoutOutage(t *testing.T) {
+	s := &fakeStore{version: 1, revision: 3, list: endpointsOf("a", "b")}
+	withRetention(t, s, 2*time.Second, func(r *endpointRecorder) {
+		s.set(func() { s.endpointsHistoryGone = true; s.revision++; s.list = endpointsOf("b") })
 		time.Sleep(200 * time.Millisecond)
-		u.expect(t, "gone while the source answers", "b")
+		r.expect(t, "removed while the store responds", "b")
 		s.outage(endpointsOf("b"))
 		time.Sleep(3 * time.Second)
-		s.set(func() { s.gone = true; s.revision++; s.list = nil })
+		s.set(func() { s.endpointsHistoryGone = true; s.revision++; s.list = nil })
 		time.Sleep(200 * time.Millisecond)
-		u.expect(t, "gone long after an outage")
+		r.expect(t, "removed long after an outage")
 	})
 }
 
-func TestLapsedEndpointsOfAPeer(t *testing.T) {
+func TestEndpointsRetainedByPeer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		u := &users{}
-		d := directory.New(func(directory.InForce) {}, u.take, func([]string) {})
+		r := &endpointRecorder{}
+		d := directory.New(func(directory.InForce) {}, r.record, func([]string) {})
 		d.TakeFromPeer(driver.Endpoints{Revision: 1, List: endpointsOf("a", "b", "c")}, nil)
 		d.TakeFromPeer(driver.Endpoints{Revision: 2, List: endpointsOf("a")}, map[string]time.Duration{"b": time.Second})
-		u.expect(t, "one is still used by the peer", "a", "b")
+		r.expect(t, "the peer retains one endpoint", "a", "b")
 		if list := d.Endpoints().List; len(list) != 1 {
-			t.Errorf("%v is on the list", list)
+			t.Errorf("endpoint list %v, want one endpoint", list)
 		}
 		time.Sleep(1100 * time.Millisecond)
-		u.expect(t, "its time is over", "a")
+		r.expect(t, "after the retention", "a")
 	})
 }
--- a/internal/direct/directory/role.go
+++ b/internal/direct/directory/role.go
@@ -5,20 +5,19 @@
 	"time"
 )
 
-// Role is what a process does to learn of changes of the store. Package peers
-// decides it.
+// Role determines whether a process reads the store. Package peers chooses it.
 type Role int
 
-// The roles. Few processes read the store, whose calls are counted; the others are
-// told by them.
+// The roles. Calls to the store are rate limited, so few processes read it and send its
+// changes to the others.
 const (
 	Reader   Role = iota // reads the store
-	Standby              // reads it in place of readers that it does not answer, seldom while it fails
+	Standby              // reads it in place of readers without responses; retries less often
 	Follower             // does not read it
-	Starter              // reads it once, since nobody has told it anything yet
+	Starter              // reads it once, since no peer has sent the state yet
 )
 
-// String returns the role's name for the log.
+// String returns the name of the role for the log.
 func (r Role) String() string {
 	switch r {
 	case Reader:
@@ -32,7 +31,7 @@
 	}
 }
 
-// SetRole tells the process what to do.
+// SetRole sets the role of the process.
 func (d *Directory) SetRole(r Role) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -40,35 +39,34 @@
 		return
 	}
 	d.role = r
-	log.With("role", r.String()).Info("The role towards the store changed.")
+	log.With("role", r.String()).Info("The role for reading the store changed.")
 	close(d.roleChanged)
 	d.roleChanged = make(chan struct{})
 }
 
-// Role returns what the process does.
+// Role returns the role of the process.
 func (d *Directory) Role() Role {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.role
 }
 
-// watchRole returns what the process does, and a channel that is closed when that
-// changes.
+// watchRole returns the role and a channel that is closed when it changes.
 func (d *Directory) watchRole() (Role, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.role, d.roleChanged
 }
 
-// ReadsStore tells whether the process follows the store.
+// ReadsStore reports whether the process keeps reading the store.
 func (d *Directory) ReadsStore() bool {
 	role := d.Role()
 	return role == Reader || role == Standby
 }
 
-// awaitRole waits while the process is a follower, or a starter that has read what there
-// is, until its role changes or ctx is done. It returns false at once if the process is to
-// read the store.
+// awaitRole waits until the role changes or ctx is done, if the process is a follower or a
+// starter that has read the full state. Otherwise the process has to read the store, and
+// awaitRole returns false at once.
 func (d *Directory) awaitRole(ctx context.Context, hasRead bool) (waited bool) {
 	role, changed := d.watchRole()
 	if role != Follower && (role != Starter || !hasRead) {
@@ -81,7 +79,7 @@
 	return true
 }
 
-// maxDelay returns the longest delay between calls that fail.
+// maxDelay returns the longest retry delay of the role.
 func (r Role) maxDelay() time.Duration {
 	if r == Standby {
 		return maxStandbyRetryDelay
--- a/internal/direct/directory/settings.go
+++ b/internal/direct/directory/settings.go
@@ -9,15 +9,15 @@
 	"foxcross.dev/foxcross/internal/steady"
 )
 
-// Errors of settings that are handed over as changes.
+// Errors of TakeChanges.
 var (
-	// ErrOtherBase means that the changes are not to the version in force.
-	ErrOtherBase = errors.New("directory: the changes are to another version")
-	// ErrDigest means that the changes do not give the tree that they were made from.
-	ErrDigest = errors.New("directory: the changes give another tree")
+	// ErrOtherBase means that the changes are based on another version than the active one.
+	ErrOtherBase = errors.New("directory: the changes are based on another version")
+	// ErrDigest means that the changed tree does not have the sender's digest.
+	ErrDigest = errors.New("directory: digest mismatch of the changed tree")
 )
 
-// InForce is one version of the settings, ready for look-ups.
+// InForce is the active version of the settings, compiled for lookups.
 type InForce struct {
 	Version  uint64
 	Tree     settings.Tree
@@ -25,19 +25,19 @@
 	Digest   uint64 // of Tree
 }
 
-// Settings returns the version in force, nil before the first. It waits for no lock:
-// each request asks for it, and a large version takes some 0.3 s to be put in force on a
-// tenth of a core (10,000 routes, BenchmarkRecompile).
+// Settings returns the active version, nil before the first. It acquires no lock, since each
+// request calls it and the activation of a large version takes about 0.3 s on a tenth of a
+// core (10,000 routes, BenchmarkRecompile).
 func (d *Directory) Settings() *InForce { return d.settings.Load() }
 
-// Versions returns the version of the settings and the revision of the list.
+// Versions returns the version of the settings and the revision of the endpoint list.
 func (d *Directory) Versions() (version, revision uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.version(), d.revision
 }
 
-// version returns the version in force, 0 before the first.
+// version returns the active version, 0 before the first.
 func (d *Directory) version() uint64 {
 	if f := d.settings.Load(); f != nil {
 		return f.Version
@@ -45,17 +45,17 @@
 	return 0
 }
 
-// Known tells whether both settings and endpoints have been read.
+// Known reports whether both settings and endpoints have been received.
 func (d *Directory) Known() bool { return d.Settings() != nil && d.Listed() }
 
-// Confirmed returns when the settings were last known to be the newest.
+// Confirmed returns when the active settings were last known to be the newest.
 func (d *Directory) Confirmed() time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.confirmed
 }
 
-// Confirm records that the version was the newest at the time.
+// Confirm records that the version was the newest at the given time.
 func (d *Directory) Confirm(version uint64, at time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -64,60 +64,61 @@
 	}
 }
 
-// Settle records that the version was the newest at a revision of the store. Whoever
-// has it, or a newer one, asks for changes of the settings only after that revision.
+// Settle records that the version was the newest at a store revision. A process that has
+// this version or a newer one watches the settings only after that revision.
 func (d *Directory) Settle(version, revision uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.version() >= version {
-		d.settled = max(d.settled, revision)
+		d.confirmedRevision = max(d.confirmedRevision, revision)
 	}
 }
 
-// Settled returns the version in force and the store's revision at which it was known
-// to be the newest.
+// Settled returns the active version and the store revision at which it was known to be the
+// newest.
 func (d *Directory) Settled() (version, revision uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.version(), d.settled
+	return d.version(), d.confirmedRevision
 }
 
-// TakeSettings puts a version in force unless it is older than the present one.
+// TakeSettings activates a version unless the active one is at least as new.
 func (d *Directory) TakeSettings(version uint64, t settings.Tree, source string) {
-	d.taking.Lock()
-	defer d.taking.Unlock()
-	before := d.inForce()
+	d.applyMu.Lock()
+	defer d.applyMu.Unlock()
+	before := d.active()
 	if version <= before.Version {
 		return
 	}
 	changes := settings.Diff(before.Tree, t)
 	digest := settings.DigestAfter(before.Digest, changes)
-	if err := d.putInForce(before, version, changes, digest, source); err != nil {
-		log.With("version", version).With("from", source).Errorf("Settings can't be used; those in force stay: %v.", err)
+	if err := d.activate(before, version, changes, digest, source); err != nil {
+		log.With("version", version).With("from", source).Errorf("The settings are invalid; the active version stays in use: %v.", err)
 	}
 }
 
-// TakeChanges puts in force what changes make of the version in force. It fails if they
-// are to another one, or give a tree of another digest.
+// TakeChanges applies changes to the active version and activates the result. It returns
+// ErrOtherBase if they are based on another version, and ErrDigest if the digest of the
+// changed tree differs. Changes to a version no newer than the active one are ignored.
 func (d *Directory) TakeChanges(base, version uint64, changes []settings.Difference, digest uint64, source string) error {
-	d.taking.Lock()
-	defer d.taking.Unlock()
-	before := d.inForce()
+	d.applyMu.Lock()
+	defer d.applyMu.Unlock()
+	before := d.active()
 	if version <= before.Version {
 		return nil
 	}
 	if base != before.Version {
 		return fmt.Errorf("%w: %d, not %d", ErrOtherBase, base, before.Version)
 	}
-	changes = completed(changes, before.Tree)
+	changes = withBefore(changes, before.Tree)
 	if settings.DigestAfter(before.Digest, changes) != digest {
 		return fmt.Errorf("%w: from %d to %d", ErrDigest, base, version)
 	}
-	return d.putInForce(before, version, changes, digest, source)
+	return d.activate(before, version, changes, digest, source)
 }
 
-// completed adds to changes what they replace.
-func completed(changes []settings.Difference, before settings.Tree) []settings.Difference {
+// withBefore returns the changes with the nodes that they replace.
+func withBefore(changes []settings.Difference, before settings.Tree) []settings.Difference {
 	all := make([]settings.Difference, 0, len(changes))
 	for _, c := range changes {
 		c.Before = nil
@@ -129,17 +130,17 @@
 	return all
 }
 
-// inForce returns the version in force, the empty one before the first.
-func (d *Directory) inForce() InForce {
+// active returns the active version, the zero value before the first.
+func (d *Directory) active() InForce {
 	if f := d.settings.Load(); f != nil {
 		return *f
 	}
 	return InForce{}
 }
 
-// putInForce compiles a version and puts it in force; requests go on by the former one
-// meanwhile. The directory is locked for taking.
-func (d *Directory) putInForce(before InForce, version uint64, changes []settings.Difference, digest uint64, source string) error {
+// activate compiles a version and activates it. Requests use the previous version in the
+// meantime. d.applyMu is held.
+func (d *Directory) activate(before InForce, version uint64, changes []settings.Difference, digest uint64, source string) error {
 	began := steady.Now()
 	tree := before.Tree.Apply(changes)
 	snapshot, err := before.Snapshot.Recompile(tree)
@@ -147,7 +148,7 @@
 		return err
 	}
 	now := InForce{Version: version, Tree: tree, Snapshot: snapshot, Digest: digest}
-	d.versions.add(before.Version, version, changes)
+	d.settingsHistory.add(before.Version, version, changes)
 	d.onSettings(now)
 	d.mu.Lock()
 	d.settings.Store(&now)
@@ -158,12 +159,12 @@
 	return nil
 }
 
-// SettingsSince returns what changed in the settings after a version, with the version
-// in force; false if that is not known any more.
+// SettingsSince returns the active version and the changes of the settings since an older
+// one. It returns false if these changes are no longer kept.
 func (d *Directory) SettingsSince(version uint64) (now InForce, changes []settings.Difference, ok bool) {
-	d.taking.Lock()
-	defer d.taking.Unlock()
-	now = d.inForce()
-	changes, ok = d.versions.since(version, now.Version)
+	d.applyMu.Lock()
+	defer d.applyMu.Unlock()
+	now = d.active()
+	changes, ok = d.settingsHistory.since(version, now.Version)
 	return now, changes, ok
 }
--- a/internal/direct/directory/settings_test.go
+++ b/internal/direct/directory/settings_test.go
@@ -15,7 +15,7 @@
 	"foxcross.dev/foxcross/internal/direct/driver"
 )
 
-// routes returns a tree with routes of these numbers, each with a priority.
+// routes returns a tree with routes of these numbers, all with one priority.
 func routes(priority int, numbers ...int) settings.Tree {
 	nodes := map[string]settings.Node{"": {}, "routes": {}}
 	for _, n := range numbers {
@@ -28,8 +28,8 @@
 	return settings.NewTree(nodes)
 }
 
-// TestChangesOfSettings lays over one directory what another one says has changed since.
-func TestChangesOfSettings(t *testing.T) {
+// TestSettingsChangesBetweenDirectories applies the changes of one directory to another one.
+func TestSettingsChangesBetweenDirectories(t *testing.T) {
 	a, b := empty(), empty()
 	for _, d := range []*directory.Directory{a, b} {
 		d.TakeSettings(3, routes(0, 1, 2, 3), "test")
@@ -41,12 +41,12 @@
 		t.Fatalf("version %d, %d changes, %v", now.Version, len(changes), ok)
 	}
 	if err := b.TakeChanges(5, 9, changes, now.Digest, "test"); !errors.Is(err, directory.ErrOtherBase) {
-		t.Errorf("changes to another version: %v", err)
+		t.Errorf("changes based on another version: %v", err)
 	}
 	if err := b.TakeChanges(3, 9, changes[1:], now.Digest, "test"); !errors.Is(err, directory.ErrDigest) {
-		t.Errorf("a change is missing: %v", err)
+		t.Errorf("with a missing change: %v", err)
 	}
-	expect(t, b, 3, 0)
+	expectVersions(t, b, 3, 0)
 	if err := b.TakeChanges(3, 9, changes, now.Digest, "test"); err != nil {
 		t.Fatal(err)
 	}
@@ -55,100 +55,100 @@
 		t.Errorf("got %+v, want %+v", got, a.Settings())
 	}
 	if _, _, ok := a.SettingsSince(4); ok {
-		t.Error("changes are known since a version that never was")
+		t.Error("SettingsSince returns changes since a version that was never active")
 	}
 }
 
-// TestRememberedVersionsAreBounded changes the settings more often than is remembered.
-func TestRememberedVersionsAreBounded(t *testing.T) {
+// TestSettingsHistoryIsBounded activates more versions than the history keeps.
+func TestSettingsHistoryIsBounded(t *testing.T) {
 	d := empty()
 	for v := range uint64(100) {
 		d.TakeSettings(v+1, routes(int(v), 1), "test")
 	}
 	if _, _, ok := d.SettingsSince(1); ok {
-		t.Error("versions are remembered without a bound")
+		t.Error("the settings history has no bound")
 	}
 	if _, changes, ok := d.SettingsSince(90); !ok || len(changes) != 1 {
 		t.Errorf("%d changes, %v", len(changes), ok)
 	}
 }
 
-// TestRequestsDoNotWaitForNewSettings holds up the taking in of a version: what is in
-// force, and the list of endpoints, are had meanwhile.
+// TestRequestsDoNotWaitForNewSettings blocks the activation of a version. The active version
+// and the endpoint list stay available in the meantime.
 func TestRequestsDoNotWaitForNewSettings(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		held := make(chan struct{})
+		release := make(chan struct{})
 		d := directory.New(func(f directory.InForce) {
 			if f.Version == 2 {
-				<-held
+				<-release
 			}
 		}, func([]placement.Endpoint) {}, func([]string) {})
 		d.TakeSettings(1, tree(), "test")
 		go d.TakeSettings(2, routes(0, 1), "test")
 		synctest.Wait()
 		d.TakeEndpoints(driver.Endpoints{Revision: 7, List: endpointsOf("a")}, "test")
-		expect(t, d, 1, 7)
+		expectVersions(t, d, 1, 7)
 		if !d.Known() {
-			t.Error("nothing is known while a version is taken in")
+			t.Error("Known reports false while a version is activated")
 		}
-		close(held)
+		close(release)
 		synctest.Wait()
-		expect(t, d, 2, 7)
+		expectVersions(t, d, 2, 7)
 	})
 }
 
-// TestEndpointsDoNotWaitForSettings has an endpoint change while settings are under way
-// from the store over a thin link.
+// TestEndpointsDoNotWaitForSettings changes an endpoint while settings are being transferred
+// from the store over a slow link.
 func TestEndpointsDoNotWaitForSettings(t *testing.T) {
-	s := &source{version: 1, revision: 3, list: endpointsOf("a")}
-	slow := &slowSettings{source: s, takes: time.Minute}
-	follow(t, slow, func(d *directory.Directory) {
+	s := &fakeStore{version: 1, revision: 3, list: endpointsOf("a")}
+	slow := &slowSettingsStore{fakeStore: s, delay: time.Minute}
+	withFollowing(t, slow, func(d *directory.Directory) {
 		time.Sleep(time.Second)
 		s.set(func() { s.version, s.revision, s.list = 2, 4, endpointsOf("b") })
 		time.Sleep(100 * time.Millisecond)
-		expect(t, d, 1, 4)
+		expectVersions(t, d, 1, 4)
 		time.Sleep(2 * time.Minute)
-		expect(t, d, 2, 4)
+		expectVersions(t, d, 2, 4)
 	})
 }
 
-// slowSettings is a source whose changed settings take long to come.
-type slowSettings struct {
-	*source
-	takes time.Duration
+// slowSettingsStore is a fakeStore whose changed settings arrive after a delay.
+type slowSettingsStore struct {
+	*fakeStore
+	delay time.Duration
 }
 
-func (s *slowSettings) WaitSettings(ctx context.Context, after uint64, most time.Duration) (driver.SettingsChange, error) {
-	c, err := s.source.WaitSettings(ctx, after, most)
+func (s *slowSettingsStore) WaitSettings(ctx context.Context, after uint64, maxWait time.Duration) (driver.SettingsChange, error) {
+	c, err := s.fakeStore.WaitSettings(ctx, after, maxWait)
 	if err == nil && c.Settings != nil {
-		time.Sleep(s.takes)
+		time.Sleep(s.delay)
 	}
 	return c, err
 }
 
-// storm is a source that has ten versions more by each answer.
-type storm struct {
-	source
+// burstStore is a store that has ten new versions at each response.
+type burstStore struct {
+	fakeStore
 	reads, watches int
-	until          uint64 // version
+	lastVersion    uint64
 }
 
-func (s *storm) next() driver.Settings {
-	s.version = min(s.version+10, s.until)
+func (s *burstStore) next() driver.Settings {
+	s.version = min(s.version+10, s.lastVersion)
 	return driver.Settings{Version: s.version, Tree: tree(), Revision: s.version}
 }
 
-func (s *storm) ReadSettings(context.Context) (driver.Settings, error) {
+func (s *burstStore) ReadSettings(context.Context) (driver.Settings, error) {
 	time.Sleep(time.Second)
 	s.reads++
 	return s.next(), nil
 }
 
-// WaitSettings takes a second for each version that it brings.
-func (s *storm) WaitSettings(_ context.Context, after uint64, most time.Duration) (driver.SettingsChange, error) {
+// WaitSettings takes a second for each version that it transfers.
+func (s *burstStore) WaitSettings(_ context.Context, after uint64, maxWait time.Duration) (driver.SettingsChange, error) {
 	s.watches++
-	if s.version == s.until {
-		time.Sleep(most)
+	if s.version == s.lastVersion {
+		time.Sleep(maxWait)
 		return driver.SettingsChange{Revision: after}, nil
 	}
 	now := s.next()
@@ -156,45 +156,46 @@
 	return driver.SettingsChange{Revision: now.Revision, Settings: &now, Superseded: int(now.Version-after) - 1}, nil
 }
 
-// TestVersionsInQuickSuccession expects that versions which come faster than they can be
-// read are not all read: only the newest counts.
+// TestVersionsInQuickSuccession checks that not every version is read if versions arrive
+// faster than they can be read. Only the newest one is needed.
 func TestVersionsInQuickSuccession(t *testing.T) {
-	s := &storm{until: 200}
-	follow(t, s, func(d *directory.Directory) {
+	s := &burstStore{lastVersion: 200}
+	withFollowing(t, s, func(d *directory.Directory) {
 		time.Sleep(40 * time.Second)
-		expect(t, d, 200, 0)
+		expectVersions(t, d, 200, 0)
 		if s.reads > 25 {
 			t.Errorf("%d reads", s.reads)
 		}
 	})
 }
 
-// TestUnusableSettingsAreReadOnce has the store hold a version that can't be compiled.
-func TestUnusableSettingsAreReadOnce(t *testing.T) {
-	s := &unusable{}
-	follow(t, s, func(d *directory.Directory) {
+// TestInvalidSettingsAreReadOnce checks that a version that can't be compiled is not read
+// again and again.
+func TestInvalidSettingsAreReadOnce(t *testing.T) {
+	s := &invalidSettingsStore{}
+	withFollowing(t, s, func(d *directory.Directory) {
 		time.Sleep(time.Minute)
-		expect(t, d, 0, 0)
+		expectVersions(t, d, 0, 0)
 		if s.reads > 2 {
 			t.Errorf("read %d times", s.reads)
 		}
 	})
 }
 
-// unusable is a source whose settings lack a parent.
-type unusable struct {
-	source
+// invalidSettingsStore is a store whose settings lack a parent node.
+type invalidSettingsStore struct {
+	fakeStore
 	reads int
 }
 
-func (s *unusable) ReadSettings(context.Context) (driver.Settings, error) {
+func (s *invalidSettingsStore) ReadSettings(context.Context) (driver.Settings, error) {
 	s.reads++
 	return driver.Settings{Version: 7, Revision: 7, Tree: settings.NewTree(map[string]settings.Node{"a/b": {}})}, nil
 }
 
-// TestSettledRevision tells from which revision on changes of the settings are asked
-// for: not after one at which a newer version was in force elsewhere.
-func TestSettledRevision(t *testing.T) {
+// TestConfirmedRevision checks the revision after which the settings are watched. It must not
+// be one at which a newer version than the active one was the newest.
+func TestConfirmedRevision(t *testing.T) {
 	d := empty()
 	d.TakeSettings(3, tree(), "test")
 	d.Settle(3, 8)
@@ -209,7 +210,7 @@
 	}
 }
 
-// TestBehind tells how far the settings are behind others'.
+// TestBehind checks how far the settings lag behind those of the peers.
 func TestBehind(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := empty()
--- a/internal/direct/directory/suspension_test.go
+++ b/internal/direct/directory/suspension_test.go
@@ -11,10 +11,10 @@
 	"foxcross.dev/foxcross/internal/testing/suspension"
 )
 
-// TestSettingsAgeWhileSuspended holds that settings which were the newest when the machine was
-// suspended are not taken for confirmed when it wakes.
+// TestSettingsAgeWhileSuspended checks that the age of the last confirmation includes the time
+// for which the machine was suspended.
 func TestSettingsAgeWhileSuspended(t *testing.T) {
-	d := directory.New(func(directory.InForce) {}, (&users{}).take, func([]string) {})
+	d := directory.New(func(directory.InForce) {}, (&endpointRecorder{}).record, func([]string) {})
 	d.TakeSettings(1, tree(), "test")
 	d.Confirm(1, steady.Now())
 	t.Cleanup(suspension.Suspend(time.Minute))
@@ -23,19 +23,19 @@
 	}
 }
 
-// TestLapsedEndpointsEndWhileSuspended holds that an endpoint which is kept in use after it
-// vanished is not kept for longer by a suspension.
-func TestLapsedEndpointsEndWhileSuspended(t *testing.T) {
-	s := &source{version: 1, revision: 3, list: endpointsOf("a")}
-	following(t, s, time.Hour, func(u *users) {
+// TestRetentionExpiresWhileSuspended checks that a suspension does not prolong the retention
+// of an endpoint.
+func TestRetentionExpiresWhileSuspended(t *testing.T) {
+	s := &fakeStore{version: 1, revision: 3, list: endpointsOf("a")}
+	withRetention(t, s, time.Hour, func(r *endpointRecorder) {
 		watching, end := context.WithCancel(context.Background())
 		defer end()
 		go steady.Watch(watching)
 		s.outage(nil)
-		u.expect(t, "just after the outage", "a")
+		r.expect(t, "just after the outage", "a")
 		t.Cleanup(suspension.Suspend(time.Minute))
 		time.Sleep(100 * time.Millisecond)
 		synctest.Wait()
-		u.expect(t, "after a minute")
+		r.expect(t, "after a minute")
 	})
 }
--- a/internal/direct/directory/versions.go
+++ b/internal/direct/directory/versions.go
@@ -8,55 +8,55 @@
 )
 
 const (
-	// maxVersions bounds the versions whose changes are remembered. A version every 0.3 s for
-	// some twenty seconds.
+	// maxVersions bounds the versions whose changes are kept. It covers a version every 0.3 s
+	// for about twenty seconds.
 	maxVersions = 64
-	// maxVersionNodes bounds the changed nodes that are remembered. Twice the largest settings
-	// measured (10,000 routes).
+	// maxVersionNodes bounds the changed nodes that are kept. It is twice the size of settings
+	// with 10,000 routes.
 	maxVersionNodes = 20_000
 )
 
-// versions are the last changes of the settings, for entries that lack only these.
-// The zero value knows none.
-type versions struct {
-	steps []step // the oldest first, each to the version that the next one is from
-	nodes int    // changed in all of them
+// settingsHistory holds the latest changes of the settings, for peers that lack only these.
+// The zero value is empty.
+type settingsHistory struct {
+	transitions []transition // oldest first; each starts at the version at which the previous one ends
+	nodes       int          // changed nodes of all transitions
 }
 
-// step is what changed from one version to the next one that was put in force.
-type step struct {
+// transition is the change from one active version to the next.
+type transition struct {
 	from, to uint64
 	changes  []settings.Difference
 }
 
-func (v *versions) add(from, to uint64, changes []settings.Difference) {
+func (h *settingsHistory) add(from, to uint64, changes []settings.Difference) {
 	if from == 0 {
-		return // an asker without a version gets all
+		return // a peer without a version gets the whole tree
 	}
-	v.steps = append(v.steps, step{from: from, to: to, changes: changes})
-	v.nodes += len(changes)
-	for len(v.steps) > maxVersions || v.nodes > maxVersionNodes {
-		v.nodes -= len(v.steps[0].changes)
-		v.steps = slices.Delete(v.steps, 0, 1)
+	h.transitions = append(h.transitions, transition{from: from, to: to, changes: changes})
+	h.nodes += len(changes)
+	for len(h.transitions) > maxVersions || h.nodes > maxVersionNodes {
+		h.nodes -= len(h.transitions[0].changes)
+		h.transitions = slices.Delete(h.transitions, 0, 1)
 	}
 }
 
-// since returns the changes from one version to another as one, by path; false if some
-// of them are not known.
-func (v *versions) since(from, to uint64) ([]settings.Difference, bool) {
-	at := slices.IndexFunc(v.steps, func(s step) bool { return s.from == from })
+// since returns the merged changes from one version to another, sorted by path. It returns
+// false if some of them are not kept.
+func (h *settingsHistory) since(from, to uint64) ([]settings.Difference, bool) {
+	at := slices.IndexFunc(h.transitions, func(t transition) bool { return t.from == from })
 	if at < 0 || from == 0 {
 		return nil, false
 	}
 	merged := map[string]settings.Difference{}
-	for _, s := range v.steps[at:] {
-		for _, c := range s.changes {
+	for _, t := range h.transitions[at:] {
+		for _, c := range t.changes {
 			if earlier, changed := merged[c.Path]; changed {
 				c.Before = earlier.Before
 			}
 			merged[c.Path] = c
 		}
-		from = s.to
+		from = t.to
 	}
 	if from != to {
 		return nil, false
