--- a/internal/direct/driver/changes.go
+++ b/internal/direct/driver/changes.go
@@ -6,19 +6,19 @@
 	"slices"
 )
 
-// Changes are the fields in which the newer settings of a process differ, with
-// what they were and are, for the log. Only bounds come into force while the
-// process runs; the rest does at its next start.
+// Changes returns the fields in which the newer settings of a process differ, with their old
+// and new values, for the log. Only bounds take effect while the process runs. The other
+// fields take effect at its next start.
 func (p Process) Changes(newer Process) []Difference {
 	before, after := p.fields(), newer.fields()
-	var all []Difference
+	var differences []Difference
 	for _, name := range slices.Sorted(maps.Keys(after)) {
 		if before[name] != after[name] {
 			_, bound := newer.Bounds.fields()[name]
-			all = append(all, Difference{Field: name, Before: before[name], After: after[name], InForce: bound})
+			differences = append(differences, Difference{Field: name, Before: before[name], After: after[name], InForce: bound})
 		}
 	}
-	return all
+	return differences
 }
 
 // Difference is one changed field.
@@ -26,32 +26,32 @@
 	Field   string `json:"field"`
 	Before  string `json:"before"`
 	After   string `json:"after"`
-	InForce bool   `json:"in_force"` // already, without a restart
+	InForce bool   `json:"in_force"` // already in effect, without a restart
 }
 
-// fields returns all settings in text form by name.
+// fields returns the JSON values of all settings by field name.
 func (p Process) fields() map[string]string {
-	all := textsOf(p)
+	all := jsonFields(p)
 	delete(all, "Bounds")
 	maps.Copy(all, p.Bounds.fields())
 	return all
 }
 
-func (b Bounds) fields() map[string]string { return textsOf(b) }
+func (b Bounds) fields() map[string]string { return jsonFields(b) }
 
-// textsOf returns the fields of a struct of plain values in text form.
-func textsOf(v any) map[string]string {
+// jsonFields returns the JSON values of the fields of a struct by name.
+func jsonFields(v any) map[string]string {
 	data, err := json.Marshal(v)
 	if err != nil {
-		return nil // there is nothing in it that can't be written
+		return nil // unreachable: every field can be encoded
 	}
 	var raw map[string]json.RawMessage
 	if err := json.Unmarshal(data, &raw); err != nil {
 		return nil
 	}
-	texts := make(map[string]string, len(raw))
+	values := make(map[string]string, len(raw))
 	for name, value := range raw {
-		texts[name] = string(value)
+		values[name] = string(value)
 	}
-	return texts
+	return values
 }
--- a/internal/direct/driver/changes_test.go
+++ b/internal/direct/driver/changes_test.go
@@ -11,7 +11,7 @@
 func TestChanges(t *testing.T) {
 	before := driver.Process{Name: "entry-1", Seeds: []string{"a"}, Bounds: driver.Bounds{StopGrace: time.Second, RetrySlack: 5}}
 	if got := before.Changes(before); got != nil {
-		t.Errorf("found %v in the same settings", got)
+		t.Errorf("got %v for equal settings", got)
 	}
 	after := before
 	after.Seeds = []string{"a", "b"}
@@ -21,6 +21,6 @@
 		{Field: "Seeds", Before: `["a"]`, After: `["a","b"]`},
 	}
 	if got := before.Changes(after); !reflect.DeepEqual(got, want) {
-		t.Errorf("found %v, want %v", got, want)
+		t.Errorf("got %v, want %v", got, want)
 	}
 }
--- a/internal/direct/driver/evacuations.go
+++ b/internal/direct/driver/evacuations.go
@@ -2,19 +2,19 @@
 
 import "slices"
 
-// Evacuation is that operators want nothing more sent to a data centre, or that they give it
-// back.
+// Evacuation is an operator's request to send no more requests to a data centre, or the end
+// of such a request.
 type Evacuation struct {
 	DataCentre string
-	Revision   uint64 // of the store
-	Ended      bool   // it is given back
+	Revision   uint64 // store revision
+	Ended      bool   // the evacuation has ended
 }
 
-// Evacuations are the data centres that were evacuated at a revision of the store. They are
-// immutable; the zero value is older than any.
+// Evacuations holds the data centres that are evacuated at a store revision. It is immutable.
+// The zero value is older than any other.
 type Evacuations struct {
 	Revision    uint64
-	DataCentres []string // in order
+	DataCentres []string // sorted
 }
 
 // With returns the evacuations after one more change.
@@ -30,7 +30,7 @@
 	return next
 }
 
-// Has tells whether a data centre is evacuated.
+// Has reports whether a data centre is evacuated.
 func (e Evacuations) Has(dataCentre string) bool {
 	_, listed := slices.BinarySearch(e.DataCentres, dataCentre)
 	return listed
