--- a/internal/testing/soak/connection.go
+++ b/internal/testing/soak/connection.go
@@ -8,34 +8,34 @@
 	"net/http"
 )
 
-// connection is one of a caller to an entry. It is opened when it is needed, and repeats
-// nothing. Only one request goes over it at a time.
+// connection is a connection of a caller to an entry. It is opened when it is needed and sends
+// no request twice. It carries one request at a time.
 type connection struct {
-	entry   *entry
-	conn    net.Conn // nil for none
-	answers *bufio.Reader
+	entry     *entry
+	conn      net.Conn // nil for none
+	responses *bufio.Reader
 }
 
-// exchange sends a request and reads its answer; the answer is nil if none began. The
-// connection is closed when either failed, or the answer says so.
+// exchange sends a request and reads its answer. The answer is nil if none began. The connection
+// is closed if either failed, or if the answer asks for it.
 func (c *connection) exchange(ctx context.Context, q *http.Request) (*http.Response, []byte, error) {
 	if err := c.open(ctx); err != nil {
 		return nil, nil, err
 	}
 	conn := c.conn
-	stop := context.AfterFunc(ctx, func() { _ = conn.Close() }) // the read ends
+	stop := context.AfterFunc(ctx, func() { _ = conn.Close() }) // ends the read
 	defer stop()
 	if err := q.Write(conn); err != nil {
 		c.close()
 		return nil, nil, err
 	}
-	answer, err := http.ReadResponse(c.answers, q)
+	answer, err := http.ReadResponse(c.responses, q)
 	if err != nil {
 		c.close()
 		return nil, nil, err
 	}
 	body, err := io.ReadAll(answer.Body)
-	_ = answer.Body.Close() // it was read or broke off
+	_ = answer.Body.Close() // it has been read or was truncated
 	if err != nil || answer.Close {
 		c.close()
 	}
@@ -47,16 +47,15 @@
 		return nil
 	}
 	var dialer net.Dialer
-	conn, err := dialer.DialContext(ctx, "tcp", c.entry.callers())
+	conn, err := dialer.DialContext(ctx, "tcp", c.entry.callerAddress())
 	if err != nil {
 		return err
 	}
 	c.conn = conn
-	c.answers = bufio.NewReader(conn)
+	c.responses = bufio.NewReader(conn)
 	return nil
 }
 
-// close closes the connection, if it is open.
 func (c *connection) close() {
 	if c.conn != nil {
 		_ = c.conn.Close() // the entry may have closed it
--- a/internal/testing/soak/crashing.go
+++ b/internal/testing/soak/crashing.go
@@ -11,79 +11,79 @@
 	"foxcross.dev/foxcross/internal/testing/standin/platformtest"
 )
 
-// crashingPath is below which a request crashes the endpoint that runs it.
+// crashingPath is the path prefix of requests that crash the endpoint that runs them.
 const crashingPath = "/page/crash/"
 
 const (
-	// crashingPause is the longest time between two returns of the caller.
-	crashingPause = 150 * time.Millisecond
-	// crashingBack is the time until an endpoint that crashed is replaced.
-	crashingBack = 300 * time.Millisecond
-	// maxCrashesSeen is how many crashes under one content an entry may see itself before it has to
-	// know of it, in each of its lives.
-	maxCrashesSeen = 3
+	// maxCrashingPause is the longest time between two crashing requests.
+	maxCrashingPause = 150 * time.Millisecond
+	// crashReplaceDelay is the time until a crashed endpoint is replaced.
+	crashReplaceDelay = 300 * time.Millisecond
+	// maxCrashesPerIncarnation is how many crashes by one content an entry may observe itself,
+	// between two starts, before it has to quarantine the content.
+	maxCrashesPerIncarnation = 3
 )
 
-// callCrashing sends the same request again and again, to any entry, until ctx is done. It
-// crashes each endpoint that runs it.
-func (d *deployment) callCrashing(ctx context.Context) {
+// runCrashingCaller sends the same request repeatedly, to random entries, until ctx is done. The
+// request crashes each endpoint that runs it.
+func (d *deployment) runCrashingCaller(ctx context.Context) {
 	random := rand.New(rand.NewPCG(d.options.Seed, 3))
 	for ctx.Err() == nil {
 		e := d.entries[random.IntN(len(d.entries))]
-		d.askCrashing(ctx, e)
+		d.sendCrashingRequest(ctx, e)
 		select {
 		case <-ctx.Done():
-		case <-time.After(time.Duration(random.Int64N(int64(crashingPause)))):
+		case <-time.After(time.Duration(random.Int64N(int64(maxCrashingPause)))):
 		}
 	}
 }
 
-// askCrashing sends that request once, on a connection of its own.
-func (d *deployment) askCrashing(ctx context.Context, e *entry) {
-	ctx, cancel := context.WithTimeout(ctx, requestTime)
+// sendCrashingRequest sends the crashing request once, over a new connection.
+func (d *deployment) sendCrashingRequest(ctx context.Context, e *entry) {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	q, err := http.NewRequest(http.MethodPost, "http://"+host+crashingPath, bytes.NewBufferString("crashes what runs it"))
 	if err != nil {
 		return
 	}
-	q.Header.Set(platformtest.RequestIDField, fmt.Sprintf("%016x", ids.Add(1)))
-	q.Header.Set(platformtest.DeadlineField, fmt.Sprint(requestTime.Milliseconds()))
+	q.Header.Set(platformtest.RequestIDField, fmt.Sprintf("%016x", requestCount.Add(1)))
+	q.Header.Set(platformtest.DeadlineField, fmt.Sprint(requestTimeout.Milliseconds()))
 	q.Header.Set(platformtest.KeyField, teamKey)
 	c := &connection{entry: e}
 	defer c.close()
-	_, _, _ = c.exchange(ctx, q) // what it is answered does not matter
+	_, _, _ = c.exchange(ctx, q) // the answer is not checked
 }
 
-// awaitCrash replaces an endpoint that has crashed under a request.
+// awaitCrash waits for the end of an endpoint and replaces it if it has crashed under a request.
 func (d *deployment) awaitCrash(e *endpoint) {
 	<-e.runner.Ended()
 	d.mu.Lock()
-	over := d.closed || e.gone
-	if !over {
-		e.gone = true
+	ignored := d.closed || e.removed
+	if !ignored {
+		e.removed = true
 		d.crashed++
 	}
 	d.mu.Unlock()
-	if over {
+	if ignored {
 		return
 	}
-	time.Sleep(crashingBack)
+	time.Sleep(crashReplaceDelay)
 	d.store.Lose(e.runner)
 	d.addEndpoint()
 }
 
-// checkCrashing holds the number of endpoints that crashed under the request to what is borne.
+// checkCrashing reports a breach if more endpoints have crashed under the request than allowed.
 func (d *deployment) checkCrashing() {
-	lives := 0
+	starts := 0
 	for _, e := range d.entries {
 		e.mu.Lock()
-		lives += e.life
+		starts += e.starts
 		e.mu.Unlock()
 	}
 	d.mu.Lock()
 	crashed := d.crashed
 	d.mu.Unlock()
-	if crashed > maxCrashesSeen*lives {
-		d.history.breach(KeptFrom, "", fmt.Sprintf("%d endpoints crashed under one content, in %d lives of entries", crashed, lives))
+	if crashed > maxCrashesPerIncarnation*starts {
+		d.history.recordBreach(KeptFrom, "", fmt.Sprintf("%d endpoints crashed under one content, in %d starts of entries", crashed, starts))
 	}
 }
--- a/internal/testing/soak/crashing_test.go
+++ b/internal/testing/soak/crashing_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// TestTooManyCrashesAreFound plants one crash more, and as many as are borne.
-func TestTooManyCrashesAreFound(t *testing.T) {
-	for crashed, breaches := range map[int]int{2 * maxCrashesSeen: 0, 2*maxCrashesSeen + 1: 1} {
-		d := &deployment{entries: []*entry{{life: 1}, {life: 1}}, crashed: crashed}
+// TestTooManyCrashesAreReported checks the largest allowed number of crashes, and one more.
+func TestTooManyCrashesAreReported(t *testing.T) {
+	for crashed, breaches := range map[int]int{2 * maxCrashesPerIncarnation: 0, 2*maxCrashesPerIncarnation + 1: 1} {
+		d := &deployment{entries: []*entry{{starts: 1}, {starts: 1}}, crashed: crashed}
 		d.checkCrashing()
 		if n := len(d.history.breaches); n != breaches {
 			t.Errorf("%d crashes: %d breaches", crashed, n)
--- a/internal/testing/soak/entry.go
+++ b/internal/testing/soak/entry.go
@@ -15,7 +15,7 @@
 	"foxcross.dev/foxcross/internal/testing/thinlink"
 )
 
-// Ports of each entry; it has an address of its own.
+// Ports of each entry. Entries differ in their loopback addresses.
 const (
 	callersPort   = 18227
 	readinessPort = 18220
@@ -24,58 +24,58 @@
 	seedPort      = 18229
 )
 
-// entryMemoryMB is what each entry is told that it may use.
-const entryMemoryMB = 160
+// entryMemoryLimitMB is the memory limit in the settings of each entry.
+const entryMemoryLimitMB = 160
 
-// stopGrace is the time from SIGTERM to the end by force, in seconds.
-const stopGrace = 3
+// stopGraceSeconds is the time from SIGTERM to a forced end.
+const stopGraceSeconds = 3
 
-// entry is one process of the system.
+// entry is an entry that runs as a process of its own.
 type entry struct {
-	name     string
-	address  string
-	settings string
-	options  Options
-	log      *os.File
-	link     *thinlink.Link // to the store, nil for a wide one
+	name         string
+	address      string
+	settingsPath string
+	options      Options
+	log          *os.File
+	link         *thinlink.Link // to the store, nil if its rate is not limited
 
-	restarting sync.Mutex // one signal that ends or freezes it at a time
+	signalMu sync.Mutex // held while a restart or a freeze is in progress
 
-	mu      sync.Mutex
-	command *exec.Cmd
-	began   time.Time
-	frozen  time.Time     // since when it stands still, zero if it runs
-	stood   time.Duration // for which it stood still before, since it began
-	freezes []interval    // that are over
-	life    int           // counts the starts
-	ended   chan struct{}
-	outcome string // of the last life that has ended
+	mu          sync.Mutex
+	command     *exec.Cmd
+	startedAt   time.Time
+	frozenSince time.Time     // start of the present freeze, zero if it runs
+	frozenTotal time.Duration // of the past freezes since it was started
+	freezes     []interval    // past freezes
+	starts      int           // number of starts
+	ended       chan struct{}
+	exitStatus  string // of the last process that has ended
 }
 
-// Rates of links to the store, in 10^6 bits a second.
+// Rates of the links to the store, in 10^6 bits a second.
 const (
-	thinMbps    = 10
-	wideMbps    = 1000
-	bitsPerByte = 8
+	slowLinkMbps = 10
+	fastLinkMbps = 1000
+	bitsPerByte  = 8
 )
 
-// callers returns the address for callers' requests.
-func (e *entry) callers() string { return fmt.Sprintf("%s:%d", e.address, callersPort) }
+// callerAddress returns the address that serves callers.
+func (e *entry) callerAddress() string { return fmt.Sprintf("%s:%d", e.address, callersPort) }
 
-// addressOf returns an own loopback address of the entry of this process.
-func addressOf(n int) string {
+// loopbackAddress returns the loopback address of entry n. It depends on the id of this process.
+func loopbackAddress(n int) string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 2+pid>>8&127, pid&255, n+2)
 }
 
-// newEntry prepares the entry of a number. Every other one reaches the store over a thin
-// link, and is told so.
+// newEntry prepares entry n. Every other entry reaches the store over a slow link, whose rate
+// stands in its settings.
 func newEntry(o Options, n int, store, reports string) (*entry, error) {
-	e := &entry{name: fmt.Sprint("entry-", n+1), address: addressOf(n), options: o}
-	linkMbps := wideMbps
+	e := &entry{name: fmt.Sprint("entry-", n+1), address: loopbackAddress(n), options: o}
+	linkMbps := fastLinkMbps
 	if n%2 == 1 {
-		linkMbps = thinMbps
-		link, err := thinlink.New(store, thinMbps*1_000_000/bitsPerByte)
+		linkMbps = slowLinkMbps
+		link, err := thinlink.New(store, slowLinkMbps*1_000_000/bitsPerByte)
 		if err != nil {
 			return nil, err
 		}
@@ -84,60 +84,60 @@
 	}
 	seeds := []string{}
 	for other := range min(o.Entries, 3) {
-		seeds = append(seeds, fmt.Sprintf("%s:%d", addressOf(other), seedPort))
+		seeds = append(seeds, fmt.Sprintf("%s:%d", loopbackAddress(other), seedPort))
 	}
 	data, err := json.Marshal(map[string]any{
 		"nodeName": e.name, "zone": fmt.Sprint("zone-", n%2+1), "ip": e.address, "seeds": seeds, "zones": regions,
 		"portRange": []int{peersPort, peersPort + 15},
 		"listen": map[string]any{
-			"frontend":  e.callers(),
+			"frontend":  e.callerAddress(),
 			"readiness": fmt.Sprintf("%s:%d", e.address, readinessPort),
 		},
 		"bounds": map[string]any{
-			"graceS": stopGrace, "drainMs": leaveMS, "retryRatio": 0.2, "retryWindowS": 10, "retrySlack": 50, "retryAfterS": 10,
-			"reportWindowS": usageWindowS, "leaseMs": alternateMS, "thawMs": thawMS,
+			"graceS": stopGraceSeconds, "drainMs": drainGraceMS, "retryRatio": 0.2, "retryWindowS": 10, "retrySlack": 50, "retryAfterS": 10,
+			"reportWindowS": usageWindowS, "leaseMs": dutyLeaseMS, "thawMs": thawMS,
 		},
-		"limits":   map[string]any{"linkMbps": linkMbps, "cpuShare": 1, "memoryMb": entryMemoryMB},
+		"limits":   map[string]any{"linkMbps": linkMbps, "cpuShare": 1, "memoryMb": entryMemoryLimitMB},
 		"platform": map[string]any{"address": store, "ttl_min_ms": minLeaseMS},
 		"cloud":    map[string]any{"address": reports, "duties": []string{"usage_report"}},
 	})
 	if err != nil {
 		return nil, fmt.Errorf("soak: %w", err)
 	}
-	e.settings = filepath.Join(o.Folder, e.name+".json")
-	if err := os.WriteFile(e.settings, data, 0o600); err != nil {
+	e.settingsPath = filepath.Join(o.Folder, e.name+".json")
+	if err := os.WriteFile(e.settingsPath, data, 0o600); err != nil {
 		return nil, fmt.Errorf("soak: %w", err)
 	}
 	e.log, err = logFile(o.Folder, e.name)
 	return e, err
 }
 
-// start runs the process.
+// start starts the process.
 func (e *entry) start() error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	c := e.options.Command(e.settings)
+	c := e.options.Command(e.settingsPath)
 	c.Stdout, c.Stderr = e.log, e.log
 	if err := c.Start(); err != nil {
 		return fmt.Errorf("soak: %s: %w", e.name, err)
 	}
 	e.command = c
-	e.began, e.frozen, e.stood = time.Now(), time.Time{}, 0
-	e.life++
-	life := e.life
+	e.startedAt, e.frozenSince, e.frozenTotal = time.Now(), time.Time{}, 0
+	e.starts++
+	starts := e.starts
 	ended := make(chan struct{})
 	e.ended = ended
 	go func() {
 		_ = c.Wait() // a killed process ends with an error
 		e.mu.Lock()
-		e.outcome = fmt.Sprintf("life %d: %s", life, c.ProcessState)
+		e.exitStatus = fmt.Sprintf("start %d: %s", starts, c.ProcessState)
 		e.mu.Unlock()
 		close(ended)
 	}()
 	return nil
 }
 
-// signal sends a signal to the process, if it runs.
+// signal sends a signal to the process if it runs.
 func (e *entry) signal(s syscall.Signal) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -148,63 +148,64 @@
 	}
 }
 
-// fate says how the process ended, if it does not run.
-func (e *entry) fate() string {
+// exitDescription describes how the process ended. It is empty while the process runs.
+func (e *entry) exitDescription() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	select {
 	case <-e.ended:
-		return ", ended, " + e.outcome
+		return ", ended, " + e.exitStatus
 	default:
 		return ""
 	}
 }
 
-// settled tells whether the process has had the time to take signals: one that was frozen when it
-// had just started has not, however long ago that was, and ends by the first one when it wakes.
-func (e *entry) settled() bool {
+// handlesSignals reports whether the process has run long enough to install its signal handlers. A
+// process that was frozen just after its start has not, however long ago that was: the first signal
+// ends it when it resumes.
+func (e *entry) handlesSignals() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	ran := time.Since(e.began) - e.stood
-	if !e.frozen.IsZero() {
-		ran -= time.Since(e.frozen)
+	ran := time.Since(e.startedAt) - e.frozenTotal
+	if !e.frozenSince.IsZero() {
+		ran -= time.Since(e.frozenSince)
 	}
-	return ran > settleTime
+	return ran > signalSetupTime
 }
 
-// freeze lets the process stand still for a time.
+// freeze suspends the process for a time.
 func (e *entry) freeze(length time.Duration) {
 	e.signal(syscall.SIGSTOP)
 	e.mu.Lock()
-	e.frozen = time.Now()
+	e.frozenSince = time.Now()
 	e.mu.Unlock()
 	time.Sleep(length)
 	e.mu.Lock()
-	e.stood += time.Since(e.frozen)
-	e.freezes = append(e.freezes, interval{from: e.frozen, to: time.Now()})
-	e.frozen = time.Time{}
+	e.frozenTotal += time.Since(e.frozenSince)
+	e.freezes = append(e.freezes, interval{from: e.frozenSince, to: time.Now()})
+	e.frozenSince = time.Time{}
 	e.mu.Unlock()
 	e.signal(syscall.SIGCONT)
 }
 
-// settleTime is how long a process has to have run until it takes signals.
-const settleTime = 300 * time.Millisecond
+// signalSetupTime is the time after its start in which a process installs its signal handlers.
+const signalSetupTime = 300 * time.Millisecond
 
-// awaitEnd waits for the end of the process and ends it by force after a time.
-func (e *entry) awaitEnd(patience time.Duration) {
+// awaitEnd waits for the end of the process and kills it after the timeout.
+func (e *entry) awaitEnd(timeout time.Duration) {
 	e.mu.Lock()
 	ended := e.ended
 	e.mu.Unlock()
 	select {
 	case <-ended:
-	case <-time.After(patience):
+	case <-time.After(timeout):
 		e.signal(syscall.SIGKILL)
 		<-ended
 	}
 }
 
-// end kills the process for good.
-func (e *entry) end() {
+// shutDown kills the process and releases its resources.
+func (e *entry) shutDown() {
 	e.mu.Lock()
 	running := e.command != nil
 	e.mu.Unlock()
@@ -221,17 +222,17 @@
 	}
 }
 
-// life is one life of an entry. The zero value is none.
-type life struct {
+// incarnation identifies the process between two starts of an entry. The zero value stands for none.
+type incarnation struct {
 	entry  string
-	number int
+	starts int
 }
 
-// lived returns the present life.
-func (e *entry) lived() life { return life{e.name, e.number()} }
+// incarnation returns the present incarnation.
+func (e *entry) incarnation() incarnation { return incarnation{e.name, e.startCount()} }
 
-// froze tells whether the entry stood still at any time of an interval.
-func (e *entry) froze(from, to time.Time) bool {
+// wasFrozen reports whether the process was frozen at any time of an interval.
+func (e *entry) wasFrozen(from, to time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, f := range e.freezes {
@@ -239,33 +240,34 @@
 			return true
 		}
 	}
-	return !e.frozen.IsZero() && e.frozen.Before(to)
+	return !e.frozenSince.IsZero() && e.frozenSince.Before(to)
 }
 
-// number returns which life of the process it is.
-func (e *entry) number() int {
+// startCount returns how often the process has been started.
+func (e *entry) startCount() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.life
+	return e.starts
 }
 
-// probeTimeout bounds a look at an entry's state.
+// probeTimeout bounds a read of an entry's state.
 const probeTimeout = 500 * time.Millisecond
 
-// state is what is read of an entry's state.
+// state holds the fields of an entry's state that are read.
 type state struct {
 	Version   int   `json:"settings_version"`
 	BodyBytes int64 `json:"body_bytes"`
 }
 
-// settingsVersion returns the version in force by the entry's state.
+// settingsVersion returns the settings version in force at the entry. It returns false if the
+// entry does not answer.
 func (e *entry) settingsVersion(ctx context.Context) (int, bool) {
-	s, ok := e.state(ctx)
+	s, ok := e.fetchState(ctx)
 	return s.Version, ok
 }
 
-// state reads the entry's state.
-func (e *entry) state(ctx context.Context) (state, bool) {
+// fetchState reads the entry's state from its own interface.
+func (e *entry) fetchState(ctx context.Context) (state, bool) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	q, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://%s:%d/state", e.address, metricsPort), http.NoBody)
@@ -277,9 +279,9 @@
 		return state{}, false
 	}
 	defer func() { _ = a.Body.Close() }()
-	var now state
-	if err := json.NewDecoder(a.Body).Decode(&now); err != nil {
+	var s state
+	if err := json.NewDecoder(a.Body).Decode(&s); err != nil {
 		return state{}, false
 	}
-	return now, true
+	return s, true
 }
--- a/internal/testing/soak/faults.go
+++ b/internal/testing/soak/faults.go
@@ -10,26 +10,25 @@
 	"foxcross.dev/foxcross/internal/testing/standin/platformtest"
 )
 
-// fault is something that goes wrong. Several may go on at once.
+// fault is a fault that can be injected. Several may be active at once.
 type fault struct {
-	name    string
-	attacks []Promise
-	planned bool // whether it is planned work, by which nothing may be lost
-	// apply returns when the fault is over. The amount, from 0 to 1, says how
-	// badly it strikes.
-	apply func(d *deployment, amount float64)
+	name     string
+	promises []Promise
+	planned  bool // planned work, during which no request may be lost
+	// inject returns when the fault is over. The amount, from 0 to 1, is its severity.
+	inject func(d *deployment, amount float64)
 }
 
-// faults are all that may strike, with the promises that each of them attacks.
-// A seed draws them by their places in the list: a new fault goes to its end.
-var faults = []fault{
+// allFaults are the faults with the promises that each of them may break. A seed selects them by
+// their index, so a new fault is appended.
+var allFaults = []fault{
 	{"kill an entry", []Promise{OwnAnswer, AtMostOnce, NeverBack, OneReport, Recovers}, false,
-		func(d *deployment, _ float64) { d.restart(syscall.SIGKILL) }},
+		func(d *deployment, _ float64) { d.restartEntry(syscall.SIGKILL) }},
 	{"stop an entry", []Promise{OwnAnswer, NotRun, Recovers}, true,
-		func(d *deployment, _ float64) { d.restart(syscall.SIGTERM) }},
-	{"freeze an entry", []Promise{NothingNew, NeverBack, Recovers}, false, freeze},
-	{"reload an entry", []Promise{OwnAnswer, Recovers}, true, reload},
-	{"kill all entries", []Promise{NeverBack, Recovers}, false, killAll},
+		func(d *deployment, _ float64) { d.restartEntry(syscall.SIGTERM) }},
+	{"freeze an entry", []Promise{NothingNew, NeverBack, Recovers}, false, freezeEntry},
+	{"reload an entry", []Promise{OwnAnswer, Recovers}, true, reloadEntry},
+	{"kill all entries", []Promise{NeverBack, Recovers}, false, killAllEntries},
 	{"store busy", []Promise{NothingNew, NeverBack, Recovers}, false, storeFault(platformtest.Busy)},
 	{"store turns away", []Promise{NothingNew, NeverBack, Recovers}, false, storeFault(platformtest.Many)},
 	{"store resets", []Promise{NothingNew, NeverBack, Recovers}, false, storeFault(platformtest.Reset)},
@@ -38,42 +37,42 @@
 		func(d *deployment, _ float64) { d.store.Forget() }},
 	{"settings change", []Promise{Untouched, NeverBack}, true, changeSettings},
 	{"settings change often", []Promise{Untouched, NeverBack, Recovers}, false, changeSettingsOften},
-	{"endpoint leaves", []Promise{OwnAnswer, NothingNew, GoodSource}, true, leave},
-	{"endpoint crashes", []Promise{OwnAnswer, InOrder, AtMostOnce, NotRun}, false, crash},
+	{"endpoint leaves", []Promise{OwnAnswer, NothingNew, GoodSource}, true, drainEndpoint},
+	{"endpoint crashes", []Promise{OwnAnswer, InOrder, AtMostOnce, NotRun}, false, crashEndpoint},
 	{"endpoint comes", []Promise{OwnAnswer, Untouched}, true,
 		func(d *deployment, _ float64) { d.addEndpoint() }},
-	{"answers go wrong", []Promise{OwnAnswer, InOrder, AtMostOnce, NotRun, Untouched}, false, misbehave},
+	{"answers go wrong", []Promise{OwnAnswer, InOrder, AtMostOnce, NotRun, Untouched}, false, injectFaultyActs},
 	{"settings grow", []Promise{NothingNew, NeverBack, NothingLost, Recovers}, true, growSettings},
-	{"reports fail", []Promise{OneReport, Recovers}, false, reportsFail},
+	{"reports fail", []Promise{OneReport, Recovers}, false, failReports},
 	{"data centre evacuated", []Promise{Emptied, InRegion, WarmsUp, OwnAnswer}, true, evacuate},
-	{"endpoint names a limit", []Promise{Heeds, OwnAnswer}, true, nameLimit},
+	{"endpoint names a limit", []Promise{Heeds, OwnAnswer}, true, nameLimits},
 	{"endpoint asks for a backoff", []Promise{BacksOff, NotRun, AtMostOnce, OwnAnswer}, true, askForBackoff},
 	{"endpoint drains in its responses", []Promise{Drains, OwnAnswer, InOrder}, true, drainInResponses},
 }
 
-// How long faults last and what they do,.
+// Durations and sizes of faults.
 const (
-	restartPause    = 100 * time.Millisecond // between an entry's end and its next start
-	shortestFault   = 100 * time.Millisecond // of a freeze, of a failing store
-	longestFreeze   = 2 * time.Second        // beside the shortest
-	longestOutage   = 3 * time.Second        // of the store, beside the shortest
-	longestPresence = time.Second            // of a crashed endpoint in the list
-	changePause     = 30 * time.Millisecond  // between two changes of the settings
-	fewestChanges   = 2                      // of the settings, one after another
-	moreChanges     = 8                      // beside the fewest
-	moreWrong       = 6                      // requests in a row that go wrong, beside the first
-	mostRoutes      = 5000                   // some 0.9 MB of settings, about the store's largest value
+	restartPause         = 100 * time.Millisecond // between the end of an entry and its next start
+	minFaultDuration     = 100 * time.Millisecond // of a freeze or a failing store
+	extraFreeze          = 2 * time.Second        // in addition to the shortest
+	extraOutage          = 3 * time.Second        // of the store, in addition to the shortest
+	maxListedAfterCrash  = time.Second            // of the record of a crashed endpoint
+	settingsChangePause  = 30 * time.Millisecond  // between two changes of the settings
+	minSettingsChanges   = 2                      // in succession
+	extraSettingsChanges = 8                      // in addition to the fewest
+	extraFaultyResponses = 6                      // consecutive faulty responses, in addition to the first
+	maxExtraRoutes       = 5000                   // about 0.9 MB of settings, close to the store's largest value
 )
 
-// lasting returns the shortest time of a fault and a part of the longest.
-func lasting(amount float64, longest time.Duration) time.Duration {
-	return shortestFault + time.Duration(amount*float64(longest))
+// faultDuration returns the shortest duration of a fault plus the fraction amount of extra.
+func faultDuration(amount float64, extra time.Duration) time.Duration {
+	return minFaultDuration + time.Duration(amount*float64(extra))
 }
 
 // Planned returns the names of the faults that are planned work.
 func Planned() []string {
 	var names []string
-	for _, f := range faults {
+	for _, f := range allFaults {
 		if f.planned {
 			names = append(names, f.name)
 		}
@@ -81,26 +80,26 @@
 	return names
 }
 
-// entry returns one of the entries.
-func (d *deployment) entry() *entry {
+// randomEntry returns a random entry.
+func (d *deployment) randomEntry() *entry {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.entries[d.random.IntN(len(d.entries))]
 }
 
-// restart ends an entry by the signal and starts it again.
-func (d *deployment) restart(s syscall.Signal) { d.entry().restart(s) }
+// restartEntry ends a random entry by the signal and starts it again.
+func (d *deployment) restartEntry(s syscall.Signal) { d.randomEntry().restart(s) }
 
 func (e *entry) restart(s syscall.Signal) {
-	e.restarting.Lock()
-	defer e.restarting.Unlock()
+	e.signalMu.Lock()
+	defer e.signalMu.Unlock()
 	e.signal(s)
-	e.awaitEnd((stopGrace + 1) * time.Second)
+	e.awaitEnd((stopGraceSeconds + 1) * time.Second)
 	time.Sleep(restartPause)
-	_ = e.start() // the run ends with an entry that does not recover
+	_ = e.start() // a failure shows as an entry that does not recover
 }
 
-func killAll(d *deployment, _ float64) {
+func killAllEntries(d *deployment, _ float64) {
 	var all sync.WaitGroup
 	for _, e := range d.entries {
 		all.Go(func() { e.restart(syscall.SIGKILL) })
@@ -108,90 +107,91 @@
 	all.Wait()
 }
 
-func reload(d *deployment, _ float64) {
-	if e := d.entry(); e.settled() {
+func reloadEntry(d *deployment, _ float64) {
+	if e := d.randomEntry(); e.handlesSignals() {
 		e.signal(syscall.SIGHUP)
 	}
 }
 
-func freeze(d *deployment, amount float64) {
-	e := d.entry()
-	e.restarting.Lock()
-	defer e.restarting.Unlock()
-	d.history.disturb(time.Now())
-	e.freeze(lasting(amount, longestFreeze))
-	d.history.disturb(time.Now())
+func freezeEntry(d *deployment, amount float64) {
+	e := d.randomEntry()
+	e.signalMu.Lock()
+	defer e.signalMu.Unlock()
+	d.history.recordDisturbance(time.Now())
+	e.freeze(faultDuration(amount, extraFreeze))
+	d.history.recordDisturbance(time.Now())
 }
 
-// storeFault lets the store fail in one way and work again.
+// storeFault returns a fault that makes the store fail in one way for a time.
 func storeFault(f platformtest.Fault) func(d *deployment, amount float64) {
 	return func(d *deployment, amount float64) {
-		d.history.disturb(time.Now())
+		d.history.recordDisturbance(time.Now())
 		d.store.SetFault(f)
-		time.Sleep(lasting(amount, longestOutage))
+		time.Sleep(faultDuration(amount, extraOutage))
 		d.store.SetFault(platformtest.Sound)
-		d.history.disturb(time.Now())
+		d.history.recordDisturbance(time.Now())
 	}
 }
 
 func changeSettings(d *deployment, _ float64) {
 	d.mu.Lock()
-	d.extra = !d.extra
+	d.extraRoute = !d.extraRoute
 	d.mu.Unlock()
 	d.configure()
 }
 
 func changeSettingsOften(d *deployment, amount float64) {
-	for range fewestChanges + int(moreChanges*amount) {
+	for range minSettingsChanges + int(extraSettingsChanges*amount) {
 		changeSettings(d, amount)
-		time.Sleep(changePause)
+		time.Sleep(settingsChangePause)
 	}
 }
 
-// growSettings changes the number of routes, small numbers being as likely as large ones.
+// growSettings changes the number of routes. The exponent is uniform, so that small numbers are as
+// likely as large ones.
 func growSettings(d *deployment, amount float64) {
 	d.mu.Lock()
-	d.routes = int(math.Pow(mostRoutes, amount))
+	d.moreRoutes = int(math.Pow(maxExtraRoutes, amount))
 	d.mu.Unlock()
 	d.configure()
 }
 
-// leave lets an endpoint say that it leaves, and end later.
-func leave(d *deployment, _ float64) {
-	e := d.pick(2)
+// drainEndpoint marks an endpoint as draining in the store and ends it later.
+func drainEndpoint(d *deployment, _ float64) {
+	e := d.pickEndpoint(2)
 	if e == nil {
 		return
 	}
 	d.mu.Lock()
 	d.store.Enter(e.runner, "draining")
-	e.left = time.Now()
+	e.leavingSince = time.Now()
 	d.mu.Unlock()
 	d.addEndpoint()
-	time.Sleep(3 * leaveMS * time.Millisecond)
+	time.Sleep(3 * drainGraceMS * time.Millisecond)
 	d.mu.Lock()
-	e.gone = true
+	e.removed = true
 	d.mu.Unlock()
 	d.store.Lose(e.runner)
 	e.runner.Close()
 }
 
-// crash ends an endpoint; its entry goes later.
-func crash(d *deployment, amount float64) {
-	e := d.pick(2)
+// crashEndpoint ends an endpoint and removes its record later.
+func crashEndpoint(d *deployment, amount float64) {
+	e := d.pickEndpoint(2)
 	if e == nil {
 		return
 	}
 	d.mu.Lock()
-	e.gone = true
+	e.removed = true
 	d.mu.Unlock()
 	e.runner.Close()
-	time.Sleep(time.Duration(amount * float64(longestPresence)))
+	time.Sleep(time.Duration(amount * float64(maxListedAfterCrash)))
 	d.store.Lose(e.runner)
 	d.addEndpoint()
 }
 
-// wrongs are what an endpoint may do with a request beside answering it.
-var wrongs = []platformtest.Act{
+// faultyActs are the ways in which an endpoint may fail to answer a request.
+var faultyActs = []platformtest.Act{
 	platformtest.Refuse{Status: http.StatusServiceUnavailable},
 	platformtest.Refuse{Status: http.StatusTooManyRequests},
 	platformtest.Fail{Status: http.StatusInternalServerError},
@@ -206,15 +206,15 @@
 	platformtest.Events{To: 4, Broken: true},
 }
 
-// misbehave lets the next requests of an endpoint go wrong.
-func misbehave(d *deployment, amount float64) {
-	e := d.pick(1)
+// injectFaultyActs makes the next requests of an endpoint fail.
+func injectFaultyActs(d *deployment, amount float64) {
+	e := d.pickEndpoint(1)
 	if e == nil {
 		return
 	}
-	for range 1 + int(moreWrong*amount) {
+	for range 1 + int(extraFaultyResponses*amount) {
 		d.mu.Lock()
-		a := wrongs[d.random.IntN(len(wrongs))]
+		a := faultyActs[d.random.IntN(len(faultyActs))]
 		d.mu.Unlock()
 		e.runner.Next(a)
 	}
--- a/internal/testing/soak/limits.go
+++ b/internal/testing/soak/limits.go
@@ -8,58 +8,58 @@
 )
 
 const (
-	// limitKnownWithin is how long after an endpoint first named a limit entries are to keep to it.
-	limitKnownWithin = 3 * time.Second
+	// limitGracePeriod is the time after an endpoint first names a limit until entries have to keep it.
+	limitGracePeriod = 3 * time.Second
 
-	leastLimit   = 0.3 // in requests a second
-	moreLimit    = 8   // beside the least, at the most
-	longestLimit = 4 * time.Second
-	// limitChange is how many times as much an endpoint names later.
-	limitChange = 0.5
+	minLimitPerSecond   = 0.3 // in requests a second
+	extraLimitPerSecond = 8   // in addition to the lowest, at most
+	extraLimitDuration  = 4 * time.Second
+	// limitReduction is the factor between the first and the second limit.
+	limitReduction = 0.5
 )
 
-// namedLimit is that an endpoint named a limit for a time.
+// namedLimit is a limit that an endpoint named for a time.
 type namedLimit struct {
 	runner    *platformtest.Runner
 	perSecond float64
-	during    interval
+	active    interval
 }
 
-// nameLimit lets an endpoint name a limit for a time, then a lower one, then none.
-func nameLimit(d *deployment, amount float64) {
-	e := d.pick(2)
-	if e == nil || !e.naming.TryLock() {
+// nameLimits makes an endpoint name a limit for a time, then a lower one, then none.
+func nameLimits(d *deployment, amount float64) {
+	e := d.pickEndpoint(2)
+	if e == nil || !e.limitMu.TryLock() {
 		return
 	}
-	defer e.naming.Unlock()
-	higher := leastLimit + amount*moreLimit
-	for _, perSecond := range []float64{higher, limitChange * higher} {
+	defer e.limitMu.Unlock()
+	higher := minLimitPerSecond + amount*extraLimitPerSecond
+	for _, perSecond := range []float64{higher, limitReduction * higher} {
 		begun := time.Now()
 		e.runner.NameLimit(strconv.FormatFloat(perSecond, 'f', -1, 64))
-		time.Sleep(limitKnownWithin + platformtest.LimitWindow + lasting(amount, longestLimit))
-		d.history.named(namedLimit{e.runner, perSecond, interval{from: begun, to: time.Now()}})
+		time.Sleep(limitGracePeriod + platformtest.LimitWindow + faultDuration(amount, extraLimitDuration))
+		d.history.addNamedLimit(namedLimit{e.runner, perSecond, interval{from: begun, to: time.Now()}})
 	}
 	e.runner.NameLimit()
 }
 
-func (h *history) named(l namedLimit) {
+func (h *history) addNamedLimit(l namedLimit) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.limits = append(h.limits, l)
+	h.namedLimits = append(h.namedLimits, l)
 }
 
-// checkLimit holds what an endpoint got while it named a limit to what it bears.
+// checkLimit reports a breach if an endpoint received more requests than its named limit allows.
 func (h *history) checkLimit(l namedLimit, runs []platformtest.Run) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var times []time.Time
 	for _, r := range runs {
-		if r.At.Sub(l.during.from) > limitKnownWithin && r.At.Before(l.during.to) {
+		if r.At.Sub(l.active.from) > limitGracePeriod && r.At.Before(l.active.to) {
 			times = append(times, r.At)
 		}
 	}
-	most := platformtest.Borne(l.perSecond)
-	if got := platformtest.MostWithin(times, platformtest.LimitWindow); float64(got) > most {
-		h.found(Heeds, "", "%s named a limit of %.2f a second and got %d requests in %v; it bears %.0f", l.runner.ID, l.perSecond, got, platformtest.LimitWindow, most)
+	allowed := platformtest.Borne(l.perSecond)
+	if got := platformtest.MostWithin(times, platformtest.LimitWindow); float64(got) > allowed {
+		h.addBreach(Heeds, "", "%s named a limit of %.2f a second and got %d requests in %v; allowed are %.0f", l.runner.ID, l.perSecond, got, platformtest.LimitWindow, allowed)
 	}
 }
--- a/internal/testing/soak/platform.go
+++ b/internal/testing/soak/platform.go
@@ -17,46 +17,46 @@
 	teamKey = "key-of-the-team"
 )
 
-// leaveMS is the time after which an endpoint that said that it leaves gets
-// nothing new.
-const leaveMS = 2000
+// drainGraceMS is the time after which an endpoint that announced that it leaves gets no new
+// requests.
+const drainGraceMS = 2000
 
-// eventsOf a stream.
-const eventsOf = 12
+// eventsPerStream a stream.
+const eventsPerStream = 12
 
-// kind is a kind of request.
-type kind struct {
-	path   string
-	kind   string // of its route
-	method string
-	resume bool // a stream that may go on at another endpoint
-	stream bool
-	once   bool // it may not run twice
+// requestKind is a kind of request.
+type requestKind struct {
+	path          string
+	routeType     string // of the route
+	method        string
+	resumable     bool // a stream that may be resumed at another endpoint
+	stream        bool
+	nonIdempotent bool // must not run twice
 }
 
-// The kinds of requests.
-var kinds = []kind{
-	{path: "/page/", kind: "idempotent", method: http.MethodGet},
-	{path: "/book/", kind: "non_idempotent", method: http.MethodPost, once: true},
-	{path: "/chat/", kind: "streaming", method: http.MethodPost, stream: true, resume: true},
-	{path: "/plan/", kind: "streaming", method: http.MethodPost, stream: true, once: true},
-	{path: homePath, kind: "idempotent", method: http.MethodGet},
+// requestKinds are the kinds of requests that callers send.
+var requestKinds = []requestKind{
+	{path: "/page/", routeType: "idempotent", method: http.MethodGet},
+	{path: "/book/", routeType: "non_idempotent", method: http.MethodPost, nonIdempotent: true},
+	{path: "/chat/", routeType: "streaming", method: http.MethodPost, stream: true, resumable: true},
+	{path: "/plan/", routeType: "streaming", method: http.MethodPost, stream: true, nonIdempotent: true},
+	{path: regionalPath, routeType: "idempotent", method: http.MethodGet},
 }
 
 // configure writes the next version of the configuration.
 func (d *deployment) configure() {
 	d.mu.Lock()
 	d.version++
-	version, extra, more := d.version, d.extra, d.routes
+	version, extra, moreRoutes := d.version, d.extraRoute, d.moreRoutes
 	d.mu.Unlock()
 	routes := []map[string]any{}
-	for _, k := range kinds {
-		if k.path != homePath {
-			routes = append(routes, route(k.path, k.kind, k.resume))
+	for _, k := range requestKinds {
+		if k.path != regionalPath {
+			routes = append(routes, route(k.path, k.routeType, k.resumable))
 		}
 	}
-	routes = append(routes, homeRoute(), route(largePath, "idempotent", false))
-	for n := range more {
+	routes = append(routes, regionalRoute(), route(largePath, "idempotent", false))
+	for n := range moreRoutes {
 		routes = append(routes, route(fmt.Sprintf("/more/%d/", n), "idempotent", false))
 	}
 	if extra {
@@ -64,7 +64,7 @@
 	}
 	d.store.Configure(map[string]any{
 		"version": version, "routes": routes,
-		"backends": []map[string]any{{"name": service, "maxConns": 100, "warmupS": warmupTime.Seconds(), "warmupPerS": warmupPerS, "engine": map[string]any{
+		"backends": []map[string]any{{"name": service, "maxConns": 100, "warmupS": warmupDuration.Seconds(), "warmupPerS": warmupPerS, "engine": map[string]any{
 			"slots": 8, "kvCapacity": 400_000, "kvBytes": 163_840, "linkMbps": 260_000.0, "stride": 1,
 		}}},
 		"limits":  map[string]any{"maxHeaderBytes": 16384, "maxBodyBytes": 1 << 20, "idleTimeoutMs": 15000},
@@ -72,66 +72,66 @@
 	})
 }
 
-func route(path, kind string, resume bool) map[string]any {
+func route(path, routeType string, resumable bool) map[string]any {
 	return map[string]any{
-		"name": "r" + path, "hostname": host, "pathPrefix": path, "routeType": kind, "timeoutMs": 6000,
-		"latencyGoalMs": 500, "itlTargetMs": 200, "priority": 1, "backend": service, "maxAttempts": 2, "streamResume": resume,
+		"name": "r" + path, "hostname": host, "pathPrefix": path, "routeType": routeType, "timeoutMs": 6000,
+		"latencyGoalMs": 500, "itlTargetMs": 200, "priority": 1, "backend": service, "maxAttempts": 2, "streamResume": resumable,
 	}
 }
 
-// endpoint is one endpoint and when it began to leave.
+// endpoint is an endpoint and its state as seen by the store.
 type endpoint struct {
-	runner *platformtest.Runner
-	left   time.Time // when the sound store took that it leaves, zero for not
-	gone   bool
-	began  time.Time  // it warms up from then on
-	naming sync.Mutex // one limit at a time
-	drains bool       // its responses say that it drains
+	runner       *platformtest.Runner
+	leavingSince time.Time // when the store accepted that it leaves, zero if it does not
+	removed      bool
+	startedAt    time.Time  // start of the warm-up
+	limitMu      sync.Mutex // held while a limit is named
+	draining     bool       // announces in its responses that it drains
 }
 
-// addEndpoint starts an endpoint and enters it in the store.
+// addEndpoint starts an endpoint and writes its record to the store.
 func (d *deployment) addEndpoint() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	e := &endpoint{began: time.Now(), runner: platformtest.NewRunner(fmt.Sprint("i-", len(d.endpoints)+1), service, platformtest.ByPath{
+	e := &endpoint{startedAt: time.Now(), runner: platformtest.NewRunner(fmt.Sprint("i-", len(d.endpoints)+1), service, platformtest.ByPath{
 		Prefix: []string{crashingPath},
 		Then:   platformtest.Crash{},
 		Else: platformtest.ByPath{
 			Prefix: []string{"/chat/", "/plan/"},
-			Then:   platformtest.Events{To: eventsOf, Pause: 5 * time.Millisecond, Token: 20 * time.Microsecond},
+			Then:   platformtest.Events{To: eventsPerStream, Pause: 5 * time.Millisecond, Token: 20 * time.Microsecond},
 			Else: platformtest.ByPath{
 				Prefix: []string{largePath},
-				Then:   platformtest.Answer{Status: http.StatusOK, Body: largeBody},
-				Else:   platformtest.Answer{Status: http.StatusOK, Body: wholeBody},
+				Then:   platformtest.Answer{Status: http.StatusOK, Body: largeResponseBody},
+				Else:   platformtest.Answer{Status: http.StatusOK, Body: responseBody},
 			},
 		},
 	})}
 	e.runner.Engine = true
-	e.runner.DataCentre = d.centreFor()
-	e.runner.WarmupLeftMS = int(warmupTime.Milliseconds())
+	e.runner.DataCentre = d.dataCentreWithFewerEndpoints()
+	e.runner.WarmupLeftMS = int(warmupDuration.Milliseconds())
 	d.endpoints = append(d.endpoints, e)
 	d.store.Enter(e.runner, "ready")
 	go d.awaitCrash(e)
-	go d.warm(e)
+	go d.finishWarmup(e)
 }
 
-// largeBody is the answer that slow callers do not read.
-var largeBody = strings.Repeat("x", largeAnswer)
+// largeResponseBody is the answer that slow callers do not read.
+var largeResponseBody = strings.Repeat("x", largeResponseBytes)
 
-// wholeBody is the answer to a request that is no stream.
-const wholeBody = "the whole answer"
+// responseBody is the complete answer to a request that is no stream.
+const responseBody = "the whole answer"
 
-// pick returns an endpoint that serves; nil where there are too few.
-func (d *deployment) pick(least int) *endpoint {
+// pickEndpoint returns a random serving endpoint, or nil if fewer than minServing serve.
+func (d *deployment) pickEndpoint(minServing int) *endpoint {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var serving []*endpoint
 	for _, e := range d.endpoints {
-		if !e.gone && e.left.IsZero() && !e.drains {
+		if !e.removed && e.leavingSince.IsZero() && !e.draining {
 			serving = append(serving, e)
 		}
 	}
-	if len(serving) < least {
+	if len(serving) < minServing {
 		return nil
 	}
 	return serving[d.random.IntN(len(serving))]
--- a/internal/testing/soak/signals.go
+++ b/internal/testing/soak/signals.go
@@ -7,55 +7,55 @@
 )
 
 const (
-	leastBackoff   = 700 * time.Millisecond // that an endpoint asks for
-	moreBackoff    = 3 * time.Second        // beside the least, at the most
-	longestRefusal = 300 * time.Millisecond // in which an endpoint refuses all, beside the shortest fault
+	minBackoff   = 700 * time.Millisecond // shortest Retry-After
+	extraBackoff = 3 * time.Second        // in addition to the shortest, at most
+	extraRefusal = 300 * time.Millisecond // during which an endpoint refuses all requests, in addition to the shortest fault
 )
 
-// askForBackoff lets an endpoint refuse all requests for a time, each with a Retry-After.
+// askForBackoff makes an endpoint refuse all requests for a time, each with a Retry-After.
 func askForBackoff(d *deployment, amount float64) {
-	e := d.pick(1)
+	e := d.pickEndpoint(1)
 	if e == nil {
 		return
 	}
-	lasts := lasting(amount, longestRefusal)
-	e.runner.RefuseFor(lasts, leastBackoff+time.Duration(amount*float64(moreBackoff)))
+	lasts := faultDuration(amount, extraRefusal)
+	e.runner.RefuseFor(lasts, minBackoff+time.Duration(amount*float64(extraBackoff)))
 	time.Sleep(lasts)
 }
 
-// drainInResponses lets an endpoint say in its responses that it drains, and later in the store,
-// and end.
+// drainInResponses makes an endpoint announce that it drains, first in its responses, later in the
+// store, and then ends it.
 func drainInResponses(d *deployment, amount float64) {
-	e := d.pick(3)
+	e := d.pickEndpoint(3)
 	if e == nil {
 		return
 	}
 	d.mu.Lock()
-	e.drains = true
+	e.draining = true
 	d.mu.Unlock()
 	e.runner.Drain("1")
 	d.addEndpoint()
-	time.Sleep(leaveMS*time.Millisecond + lasting(amount, leaveMS*time.Millisecond))
+	time.Sleep(drainGraceMS*time.Millisecond + faultDuration(amount, drainGraceMS*time.Millisecond))
 	d.mu.Lock()
 	d.store.Enter(e.runner, "draining")
-	e.left = time.Now()
+	e.leavingSince = time.Now()
 	d.mu.Unlock()
-	time.Sleep(leaveMS * time.Millisecond)
+	time.Sleep(drainGraceMS * time.Millisecond)
 	d.mu.Lock()
-	e.gone = true
+	e.removed = true
 	d.mu.Unlock()
 	d.store.Lose(e.runner)
 	e.runner.Close()
 }
 
-// checkSignals holds what each life of an entry sent to what endpoints had said in their responses
-// to it. The deployment is locked.
-func (d *deployment) checkSignals() {
+// checkResponseSignals checks that each incarnation of an entry follows the signals in the responses
+// that it received from endpoints. The deployment is locked.
+func (d *deployment) checkResponseSignals() {
 	h := &d.history
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	byID := make(map[string]seen, len(h.seen))
-	for _, s := range h.seen {
+	byID := make(map[string]observation, len(h.observations))
+	for _, s := range h.observations {
 		byID[s.id] = s
 	}
 	for _, e := range d.endpoints {
@@ -68,48 +68,48 @@
 	}
 }
 
-// checkBackoff counts what an entry sent an endpoint after a refusal.
-func (d *deployment) checkBackoff(e *endpoint, r platformtest.Refusal, arrivals []platformtest.Arrival, byID map[string]seen) {
-	by := byID[r.ID].by
-	if by == (life{}) {
+// checkBackoff counts the requests that an entry sent an endpoint during the backoff after a refusal.
+func (d *deployment) checkBackoff(e *endpoint, r platformtest.Refusal, arrivals []platformtest.Arrival, byID map[string]observation) {
+	sender := byID[r.ID].servedBy
+	if sender == (incarnation{}) {
 		return
 	}
 	got := 0
 	for _, a := range arrivals {
-		if r.Counts(a.At) && byID[a.ID].by == by && !d.froze(by, r.At, a.At) {
+		if r.Counts(a.At) && byID[a.ID].servedBy == sender && !d.wasFrozen(sender, r.At, a.At) {
 			got++
 		}
 	}
 	if got > platformtest.MaxInBackoff {
-		d.history.found(BacksOff, r.ID, "%s asked %s for %v and got %d requests", e.runner.ID, by.entry, r.Delay, got)
+		d.history.addBreach(BacksOff, r.ID, "%s asked %s for %v and got %d requests", e.runner.ID, sender.entry, r.Delay, got)
 	}
 }
 
-// checkDrain looks for requests that an entry sent an endpoint though it had passed on long before
-// that the endpoint drains.
-func (d *deployment) checkDrain(e *endpoint, arrivals []platformtest.Arrival, byID map[string]seen) {
-	passedOn := map[life]time.Time{}
+// checkDrain reports requests that an entry sent to an endpoint more than drainGraceMS after it had
+// passed on a response that announced the drain.
+func (d *deployment) checkDrain(e *endpoint, arrivals []platformtest.Arrival, byID map[string]observation) {
+	passedOn := map[incarnation]time.Time{}
 	for _, run := range e.runner.Runs() {
 		s := byID[run.ID]
-		if at, known := passedOn[s.by]; s.drains == e.runner.ID && (!known || s.ended.Before(at)) {
-			passedOn[s.by] = s.ended
+		if at, known := passedOn[s.servedBy]; s.drainingEndpoint == e.runner.ID && (!known || s.answeredAt.Before(at)) {
+			passedOn[s.servedBy] = s.answeredAt
 		}
 	}
-	delete(passedOn, life{})
+	delete(passedOn, incarnation{})
 	for _, a := range arrivals {
 		s := byID[a.ID]
-		at, known := passedOn[s.by]
-		if known && s.sent.Sub(at) > leaveMS*time.Millisecond && !d.froze(s.by, at, a.At) {
-			d.history.found(Drains, a.ID, "%s had passed on %v before that %s drains", s.by.entry, s.sent.Sub(at), e.runner.ID)
+		at, known := passedOn[s.servedBy]
+		if known && s.sentAt.Sub(at) > drainGraceMS*time.Millisecond && !d.wasFrozen(s.servedBy, at, a.At) {
+			d.history.addBreach(Drains, a.ID, "%s had passed on, %v before, a response by which %s drains", s.servedBy.entry, s.sentAt.Sub(at), e.runner.ID)
 		}
 	}
 }
 
-// froze tells whether an entry stood still at any time of an interval.
-func (d *deployment) froze(l life, from, to time.Time) bool {
+// wasFrozen reports whether an entry was frozen at any time of an interval.
+func (d *deployment) wasFrozen(l incarnation, from, to time.Time) bool {
 	for _, e := range d.entries {
 		if e.name == l.entry {
-			return e.froze(from, to)
+			return e.wasFrozen(from, to)
 		}
 	}
 	return false
--- a/internal/testing/soak/soak.go
+++ b/internal/testing/soak/soak.go
@@ -1,6 +1,6 @@
-// Package soak runs real entries as processes of their own against stand-ins of
-// the platform, lets faults strike them at random, and checks from what callers
-// and endpoints saw that the promises were kept.
+// Package soak runs real entries as separate processes against stand-ins of the
+// platform, injects random faults, and checks from the observations of callers and
+// endpoints that the promises were kept.
 package soak
 
 import (
@@ -15,39 +15,39 @@
 	"foxcross.dev/foxcross/internal/testing/standin/platformtest"
 )
 
-// Options say what is run.
+// Options configures a run.
 type Options struct {
 	Seed      uint64
-	Duration  time.Duration // in which faults strike
+	Duration  time.Duration // in which faults are injected
 	Entries   int
 	Endpoints int
 	Callers   int
-	Only      []string // names of the faults that may strike, empty for all
-	Crashing  bool     // a caller comes back with a request that crashes each endpoint that runs it
-	Slow      int      // callers that do not read their answers, or whose bodies do not end
-	// Command returns a command that runs an entry by the settings file. Its
-	// process is ended by Run.
+	Only      []string // names of the faults to inject, empty for all
+	Crashing  bool     // a caller repeats a request that crashes each endpoint that runs it
+	Slow      int      // callers that do not read their answers or do not finish their bodies
+	// Command returns a command that runs an entry with the settings file. Run ends its
+	// process.
 	Command func(settings string) *exec.Cmd
-	// Folder is where settings and logs of the entries are written.
+	// Folder receives the settings and logs of the entries.
 	Folder string
 }
 
-// Report is what a run found.
+// Report is the result of a run.
 type Report struct {
 	Requests int
 	Answers  map[int]int // by status, 0 for none
 	Faults   map[string]int
-	Fetches  int // runs whose endpoint was told to fetch memory
+	Fetches  int // runs whose endpoint was asked to fetch memory
 	Reports  int // of usage
 	Crashed  int // endpoints that crashed under a request
-	Refusals int // of endpoints that asked for a backoff
+	Refusals int // by endpoints, with a Retry-After
 	MemoryMB int // of the entry that had the most
-	// BodyBytes is the most that one entry held of bodies.
+	// BodyBytes is the most bytes of request bodies that one entry held.
 	BodyBytes int64
 	Breaches  []Breach
 }
 
-// deployment is the system under test and its surroundings.
+// deployment is the system under test and its stand-ins.
 type deployment struct {
 	options Options
 	store   *platformtest.Store
@@ -55,36 +55,36 @@
 	entries []*entry
 	history history
 
-	evacuating sync.Mutex // one evacuation at a time
-
-	mu        sync.Mutex
-	random    *rand.Rand
-	endpoints []*endpoint // that were ever started
-	version   int
-	extra     bool // the route that comes and goes is there
-	routes    int  // beside those that callers use
-	faults    map[string]int
-	crashed   int   // endpoints that crashed under a request
-	memoryMB  int   // of the entry that had the most
-	bodyBytes int64 // that one entry held, at the most
-	closed    bool  // the run is over
+	evacuationMu sync.Mutex // held during an evacuation
+
+	mu          sync.Mutex
+	random      *rand.Rand
+	endpoints   []*endpoint // all that were ever started
+	version     int
+	extraRoute  bool // the extra route is configured
+	moreRoutes  int  // in addition to those that callers use
+	faultCounts map[string]int
+	crashed     int   // endpoints that crashed under a request
+	memoryMB    int   // of the entry that had the most
+	bodyBytes   int64 // most that one entry held
+	closed      bool  // the run is over
 }
 
-// calmFor bounds the time in which everything must work again after the faults.
-const calmFor = 40 * time.Second
+// recoveryTimeout is the time after the faults in which the deployment has to recover.
+const recoveryTimeout = 40 * time.Second
 
-// Run starts the deployment, lets faults strike, ends them, and checks what was
-// seen. An error means that the run itself failed.
+// Run starts the deployment, injects faults, clears them, and checks the observations.
+// An error means that the run itself failed.
 func Run(ctx context.Context, o Options) (Report, error) {
-	if len(o.faults()) == 0 {
+	if len(o.chosenFaults()) == 0 {
 		return Report{}, fmt.Errorf("soak: there are no faults named %q", o.Only)
 	}
 	d := &deployment{
-		options: o,
-		store:   platformtest.NewStore(),
-		reports: platformtest.NewReports(o.Seed%2 == 0),
-		random:  rand.New(rand.NewPCG(o.Seed, 1)),
-		faults:  map[string]int{},
+		options:     o,
+		store:       platformtest.NewStore(),
+		reports:     platformtest.NewReports(o.Seed%2 == 0),
+		random:      rand.New(rand.NewPCG(o.Seed, 1)),
+		faultCounts: map[string]int{},
 	}
 	defer d.close()
 	for range o.Endpoints {
@@ -94,32 +94,32 @@
 	if err := d.startEntries(); err != nil {
 		return Report{}, err
 	}
-	if err := d.await(ctx); err != nil {
-		return Report{}, fmt.Errorf("soak: before the faults: %w", err)
+	if err := d.awaitRecovery(ctx); err != nil {
+		return Report{}, fmt.Errorf("soak: deployment not ready before the faults: %w", err)
 	}
 	calling, stop := context.WithCancel(ctx)
 	var callers sync.WaitGroup
 	for n := range o.Callers {
-		callers.Go(func() { d.call(calling, uint64(n)) })
+		callers.Go(func() { d.runCaller(calling, uint64(n)) })
 	}
-	callers.Go(func() { d.watchVersions(calling) })
-	callers.Go(func() { d.watchMemory(calling) })
+	callers.Go(func() { d.recordVersions(calling) })
+	callers.Go(func() { d.recordMemory(calling) })
 	for n := range o.Slow {
-		callers.Go(func() { d.callSlowly(calling, n) })
+		callers.Go(func() { d.runSlowCaller(calling, n) })
 	}
 	if o.Crashing {
-		callers.Go(func() { d.callCrashing(calling) })
+		callers.Go(func() { d.runCrashingCaller(calling) })
 	}
-	d.strike(ctx)
-	d.calm()
-	err := d.await(ctx)
+	d.injectFaults(ctx)
+	d.clearFaults()
+	err := d.awaitRecovery(ctx)
 	if err == nil {
 		err = d.awaitReport(ctx)
 	}
 	stop()
 	callers.Wait()
 	if err != nil {
-		d.history.breach(Recovers, "", err.Error())
+		d.history.recordBreach(Recovers, "", err.Error())
 	}
 	d.checkCrashing()
 	return d.report(), nil
@@ -127,7 +127,7 @@
 
 func (d *deployment) close() {
 	for _, e := range d.entries {
-		e.end()
+		e.shutDown()
 	}
 	d.store.Close()
 	d.reports.Close()
@@ -155,10 +155,9 @@
 	return nil
 }
 
-// await waits until each entry answers a request of each kind and has the newest
-// settings.
-func (d *deployment) await(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, calmFor)
+// awaitRecovery waits until each entry answers a request of each kind and uses the newest settings.
+func (d *deployment) awaitRecovery(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
 	for _, e := range d.entries {
 		if err := d.awaitEntry(ctx, e); err != nil {
@@ -172,27 +171,27 @@
 	ticker := time.NewTicker(50 * time.Millisecond)
 	defer ticker.Stop()
 	for {
-		lacking := d.lacking(ctx, e)
-		if lacking == "" {
+		missing := d.unmetCondition(ctx, e)
+		if missing == "" {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("soak: %s: %s", e.name, lacking)
+			return fmt.Errorf("soak: %s: %s", e.name, missing)
 		case <-ticker.C:
 		}
 	}
 }
 
-// lacking says what does not work yet at an entry, empty for nothing.
-func (d *deployment) lacking(ctx context.Context, e *entry) string {
+// unmetCondition describes what does not work yet at an entry. It is empty if all works.
+func (d *deployment) unmetCondition(ctx context.Context, e *entry) string {
 	d.mu.Lock()
 	want := d.version
 	d.mu.Unlock()
 	if version, ok := e.settingsVersion(ctx); !ok || version != want {
-		return fmt.Sprintf("settings %d in force, not %d%s", version, want, e.fate())
+		return fmt.Sprintf("settings %d in force, not %d%s", version, want, e.exitDescription())
 	}
-	for _, k := range kinds {
+	for _, k := range requestKinds {
 		if s := d.request(ctx, e, k); s.status != 200 {
 			return fmt.Sprintf("a request to %s got status %d", k.path, s.status)
 		}
@@ -207,19 +206,19 @@
 		d.history.addRuns(e)
 		d.history.checkWarmup(e, e.runner.Runs())
 	}
-	for _, l := range d.history.limits {
+	for _, l := range d.history.namedLimits {
 		d.history.checkLimit(l, l.runner.Runs())
 	}
-	d.checkSignals()
-	r := d.history.check(d.options.planned(), d.reports.Taken())
-	r.Faults = d.faults
+	d.checkResponseSignals()
+	r := d.history.check(d.options.plannedOnly(), d.reports.Taken())
+	r.Faults = d.faultCounts
 	r.Crashed = d.crashed
 	r.MemoryMB = d.memoryMB
 	r.BodyBytes = d.bodyBytes
 	return r
 }
 
-// logFile returns the file that takes an entry's log.
+// logFile creates the file for an entry's log.
 func logFile(folder, name string) (*os.File, error) {
 	f, err := os.Create(folder + "/" + name + ".log")
 	if err != nil {
--- a/internal/testing/soak/soak_test.go
+++ b/internal/testing/soak/soak_test.go
@@ -18,9 +18,9 @@
 	entryprogram.Main(m, func() error { return process.RunGateway("fleet") })
 }
 
-// play runs entries as processes of their own under random faults. Only promises
-// are checked, no times but those that the platform bounds.
-func play(t *testing.T, seed uint64, only []string) Report {
+// runSoak runs entries as separate processes under random faults. It checks the promises, and of
+// the times only those that the platform bounds.
+func runSoak(t *testing.T, seed uint64, only []string) Report {
 	t.Helper()
 	r, err := Run(context.Background(), Options{
 		Seed: seed, Duration: 6 * time.Second, Entries: 3, Endpoints: 4, Callers: 6, Folder: t.TempDir(), Only: only,
@@ -38,10 +38,10 @@
 	return r
 }
 
-func TestAllFaults(t *testing.T) { play(t, 1, nil) }
+func TestAllFaults(t *testing.T) { runSoak(t, 1, nil) }
 
-// TestCrashingRequest lets a caller come back with a request that crashes each endpoint that
-// runs it, while all faults strike.
+// TestCrashingRequest runs a caller that repeats a request that crashes each endpoint that runs it,
+// while all faults are injected.
 func TestCrashingRequest(t *testing.T) {
 	r, err := Run(context.Background(), Options{
 		Seed: 3, Duration: 6 * time.Second, Entries: 3, Endpoints: 4, Callers: 6, Folder: t.TempDir(), Crashing: true,
@@ -58,10 +58,10 @@
 	}
 }
 
-// TestSignalsOfEndpoints lets endpoints ask for backoffs and drain in their responses while entries
-// are killed, stopped and frozen and the store fails.
+// TestSignalsOfEndpoints makes endpoints ask for backoffs and drain in their responses while entries
+// are killed, stopped and frozen and the store does not respond.
 func TestSignalsOfEndpoints(t *testing.T) {
-	r := play(t, 7, []string{
+	r := runSoak(t, 7, []string{
 		"endpoint asks for a backoff", "endpoint drains in its responses", "kill an entry", "stop an entry", "freeze an entry", "store silent",
 	})
 	if r.Refusals == 0 || r.Faults["endpoint drains in its responses"] == 0 {
@@ -69,20 +69,20 @@
 	}
 }
 
-// TestNamedLimits lets endpoints name limits while entries are killed and frozen.
+// TestNamedLimits makes endpoints name limits while entries are killed and frozen.
 func TestNamedLimits(t *testing.T) {
 	const names = "endpoint names a limit"
-	if r := play(t, 6, []string{names, "kill an entry", "freeze an entry"}); r.Faults[names] == 0 {
+	if r := runSoak(t, 6, []string{names, "kill an entry", "freeze an entry"}); r.Faults[names] == 0 {
 		t.Error("no endpoint has named a limit")
 	}
 }
 
-func TestPlannedWork(t *testing.T) { play(t, 2, Planned()) }
+func TestPlannedWork(t *testing.T) { runSoak(t, 2, Planned()) }
 
-// TestSlowCallers plays callers that do not read their answers or do not end their bodies
-// beside the others, under evacuations.
+// TestSlowCallers adds callers that do not read their answers or do not finish their bodies, during
+// evacuations.
 func TestSlowCallers(t *testing.T) {
-	const mostBodies = entryMemoryMB << 20 / 4 // the share of its memory that an entry gives to bodies
+	const mostBodies = entryMemoryLimitMB << 20 / 4 // a quarter of an entry's memory may hold bodies
 	r, err := Run(context.Background(), Options{
 		Seed: 4, Duration: 6 * time.Second, Entries: 3, Endpoints: 4, Callers: 6, Folder: t.TempDir(), Slow: 60,
 		Only: []string{"data centre evacuated"}, Command: entryprogram.Command,
@@ -96,32 +96,32 @@
 	if r.BodyBytes == 0 || r.BodyBytes > mostBodies {
 		t.Errorf("an entry held %d bytes of bodies", r.BodyBytes)
 	}
-	if r.MemoryMB > entryMemoryMB && !entryprogram.Race {
+	if r.MemoryMB > entryMemoryLimitMB && !entryprogram.Race {
 		t.Errorf("an entry had %d MB", r.MemoryMB)
 	}
 }
 
-func TestEachPromiseIsAttacked(t *testing.T) {
-	attacked := map[Promise]bool{}
-	for _, f := range faults {
-		for _, p := range f.attacks {
-			attacked[p] = true
+func TestFaultsCoverAllPromises(t *testing.T) {
+	covered := map[Promise]bool{}
+	for _, f := range allFaults {
+		for _, p := range f.promises {
+			covered[p] = true
 		}
 	}
 	for _, p := range []Promise{OwnAnswer, InOrder, AtMostOnce, NotRun, Untouched, NothingNew, GoodSource, NeverBack, NothingLost, Recovers, OneReport, Emptied, InRegion, WarmsUp, Heeds, BacksOff, Drains} {
-		if !attacked[p] {
+		if !covered[p] {
 			t.Errorf("no fault attacks %q", p)
 		}
 	}
 }
 
-func TestNoSuchFault(t *testing.T) {
+func TestUnknownFault(t *testing.T) {
 	if _, err := Run(context.Background(), Options{Only: []string{"rain"}}); err == nil {
-		t.Error("a fault that there isn't was taken")
+		t.Error("an unknown fault was accepted")
 	}
 }
 
-// stream returns a body with the events.
+// stream returns the body of a stream with the event ids.
 func stream(ids ...string) string {
 	var b strings.Builder
 	for _, id := range ids {
@@ -130,15 +130,15 @@
 	return b.String()
 }
 
-// TestBreachesAreFound plants one breach of each promise.
-func TestBreachesAreFound(t *testing.T) {
+// TestBreachesAreReported checks histories that each break one promise.
+func TestBreachesAreReported(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	page, book, chat, home := kinds[0], kinds[1], kinds[2], kinds[4]
-	of := func(k kind, s seen) seen {
+	page, book, chat, home := requestKinds[0], requestKinds[1], requestKinds[2], requestKinds[4]
+	of := func(k requestKind, s observation) observation {
 		s.id, s.kind, s.target = "a", k, k.path+"a"
 		return s
 	}
-	ran := func(k kind) run {
+	ran := func(k requestKind) run {
 		h := http.Header{}
 		h.Set(platformtest.TeamField, "team-1")
 		return run{Run: platformtest.Run{ID: "a", Method: k.method, Target: k.path + "a", Header: h, At: now}, endpoint: "i-1"}
@@ -147,7 +147,7 @@
 	withKey.Header = http.Header{}
 	withKey.Header.Set(platformtest.TeamField, "team-1")
 	withKey.Header.Set(platformtest.KeyField, teamKey)
-	late.left = now.Add(-time.Minute)
+	late.leavingSince = now.Add(-time.Minute)
 	elsewhere, emptied := ran(home), ran(page)
 	elsewhere.dataCentre, emptied.dataCentre = "zone-2", "zone-2"
 	fetching := func(address string) run {
@@ -156,7 +156,7 @@
 		return r
 	}
 	endpointAt := func(id string, left time.Time) *endpoint {
-		return &endpoint{runner: &platformtest.Runner{ID: id}, left: left}
+		return &endpoint{runner: &platformtest.Runner{ID: id}, leavingSince: left}
 	}
 	addresses := map[string]*endpoint{
 		"own":     endpointAt("i-1", time.Time{}),
@@ -165,71 +165,71 @@
 	}
 	for name, c := range map[string]struct {
 		want Promise
-		seen seen
+		seen observation
 		runs []run
 	}{
-		"another's answer":        {OwnAnswer, of(page, seen{status: 200, seal: "seal-b", body: wholeBody, whole: true}), nil},
-		"half an answer":          {OwnAnswer, of(page, seen{status: 200, seal: "seal-a", body: "the", whole: true}), nil},
-		"a short stream":          {OwnAnswer, of(chat, seen{status: 200, seal: "seal-a", body: stream("1", "2"), whole: true}), nil},
-		"an event twice":          {InOrder, of(chat, seen{status: 200, seal: "seal-a", body: stream("1", "2", "2")}), nil},
-		"an event is missing":     {InOrder, of(chat, seen{status: 200, seal: "seal-a", body: stream("1", "3")}), nil},
-		"a booking runs twice":    {AtMostOnce, of(book, seen{}), []run{ran(book), ran(book)}},
-		"a false promise":         {NotRun, of(book, seen{status: 503}), []run{ran(book)}},
-		"another path":            {Untouched, of(book, seen{}), []run{ran(page)}},
-		"a key is passed on":      {Untouched, of(page, seen{}), []run{withKey}},
-		"after it began to leave": {NothingNew, of(page, seen{}), []run{late}},
-		"a fetch from itself":     {GoodSource, of(page, seen{}), []run{fetching("own")}},
-		"a fetch from nowhere":    {GoodSource, of(page, seen{}), []run{fetching("nowhere")}},
-		"in another region":       {InRegion, of(home, seen{}), []run{elsewhere}},
-		"where all is emptied":    {Emptied, of(page, seen{}), []run{emptied}},
-		"a fetch from one gone":   {GoodSource, of(page, seen{}), []run{fetching("left")}},
+		"another's answer":                 {OwnAnswer, of(page, observation{status: 200, seal: "seal-b", body: responseBody, complete: true}), nil},
+		"a truncated answer":               {OwnAnswer, of(page, observation{status: 200, seal: "seal-a", body: "the", complete: true}), nil},
+		"a truncated stream":               {OwnAnswer, of(chat, observation{status: 200, seal: "seal-a", body: stream("1", "2"), complete: true}), nil},
+		"an event twice":                   {InOrder, of(chat, observation{status: 200, seal: "seal-a", body: stream("1", "2", "2")}), nil},
+		"an event is missing":              {InOrder, of(chat, observation{status: 200, seal: "seal-a", body: stream("1", "3")}), nil},
+		"a booking runs twice":             {AtMostOnce, of(book, observation{}), []run{ran(book), ran(book)}},
+		"refused as not run":               {NotRun, of(book, observation{status: 503}), []run{ran(book)}},
+		"another path":                     {Untouched, of(book, observation{}), []run{ran(page)}},
+		"a key is forwarded":               {Untouched, of(page, observation{}), []run{withKey}},
+		"run after draining began":         {NothingNew, of(page, observation{}), []run{late}},
+		"a fetch from itself":              {GoodSource, of(page, observation{}), []run{fetching("own")}},
+		"a fetch from an unknown endpoint": {GoodSource, of(page, observation{}), []run{fetching("nowhere")}},
+		"in another region":                {InRegion, of(home, observation{}), []run{elsewhere}},
+		"in an evacuated data centre":      {Emptied, of(page, observation{}), []run{emptied}},
+		"a fetch from a drained endpoint":  {GoodSource, of(page, observation{}), []run{fetching("left")}},
 	} {
-		h := history{seen: []seen{c.seen}, runs: map[string][]run{"a": c.runs}, addresses: addresses}
+		h := history{observations: []observation{c.seen}, runs: map[string][]run{"a": c.runs}, addresses: addresses}
 		if c.want == Emptied {
-			h.evacuated(now.Add(-time.Minute))
+			h.beginEvacuation(now.Add(-time.Minute))
 		}
 		r := h.check(false, nil)
 		if len(r.Breaches) != 1 || r.Breaches[0].Promise != c.want {
 			t.Errorf("%s: found %v", name, r.Breaches)
 		}
 	}
-	sound := history{seen: []seen{of(page, seen{})}, runs: map[string][]run{"a": {fetching("serving")}}, addresses: addresses}
+	sound := history{observations: []observation{of(page, observation{})}, runs: map[string][]run{"a": {fetching("serving")}}, addresses: addresses}
 	if r := sound.check(false, nil); len(r.Breaches) != 0 || r.Fetches != 1 {
-		t.Errorf("a sound fetch: found %v, counted %d", r.Breaches, r.Fetches)
+		t.Errorf("a valid fetch: found %v, counted %d", r.Breaches, r.Fetches)
 	}
-	disturbed := history{seen: []seen{of(page, seen{})}, runs: map[string][]run{"a": {late}}}
-	disturbed.disturb(now.Add(-time.Second))
+	disturbed := history{observations: []observation{of(page, observation{})}, runs: map[string][]run{"a": {late}}}
+	disturbed.recordDisturbance(now.Add(-time.Second))
 	if r := disturbed.check(false, nil); len(r.Breaches) != 0 {
-		t.Errorf("found %v where entries could not learn", r.Breaches)
+		t.Errorf("found %v where a disturbance excuses the entries", r.Breaches)
 	}
 	var overrun history
-	started := &endpoint{runner: &platformtest.Runner{ID: "i-1"}, began: now}
+	started := &endpoint{runner: &platformtest.Runner{ID: "i-1"}, startedAt: now}
 	overrun.checkWarmup(started, slices.Repeat([]platformtest.Run{{At: now.Add(100 * time.Millisecond)}}, 18))
 	if r := overrun.check(false, nil); len(r.Breaches) != 1 || r.Breaches[0].Promise != WarmsUp {
-		t.Errorf("an endpoint that is overrun: found %v", r.Breaches)
+		t.Errorf("an endpoint overloaded during its warm-up: found %v", r.Breaches)
 	}
 	var overLimit history
-	limit := namedLimit{runner: started.runner, perSecond: 2, during: interval{from: now, to: now.Add(time.Minute)}}
-	overLimit.checkLimit(limit, slices.Repeat([]platformtest.Run{{At: now.Add(limitKnownWithin + time.Millisecond)}}, 18))
-	overLimit.checkLimit(limit, slices.Repeat([]platformtest.Run{{At: now.Add(limitKnownWithin - time.Millisecond)}}, 100))
+	limit := namedLimit{runner: started.runner, perSecond: 2, active: interval{from: now, to: now.Add(time.Minute)}}
+	overLimit.checkLimit(limit, slices.Repeat([]platformtest.Run{{At: now.Add(limitGracePeriod + time.Millisecond)}}, 18))
+	overLimit.checkLimit(limit, slices.Repeat([]platformtest.Run{{At: now.Add(limitGracePeriod - time.Millisecond)}}, 100))
 	if r := overLimit.check(false, nil); len(r.Breaches) != 1 || r.Breaches[0].Promise != Heeds {
 		t.Errorf("an endpoint over its limit: found %v", r.Breaches)
 	}
-	lost := history{seen: []seen{of(page, seen{})}, runs: map[string][]run{"a": {ran(page)}}}
+	lost := history{observations: []observation{of(page, observation{})}, runs: map[string][]run{"a": {ran(page)}}}
 	if r := lost.check(true, nil); len(r.Breaches) != 1 || r.Breaches[0].Promise != NothingLost {
 		t.Errorf("a lost answer: found %v", r.Breaches)
 	}
 	var h history
-	h.inForce("entry-1", 1, 5)
-	h.inForce("entry-1", 2, 4)
-	h.inForce("entry-1", 1, 4)
+	h.recordVersion("entry-1", 1, 5)
+	h.recordVersion("entry-1", 2, 4)
+	h.recordVersion("entry-1", 1, 4)
 	if r := h.check(false, nil); len(r.Breaches) != 1 || r.Breaches[0].Promise != NeverBack {
 		t.Errorf("found %v", r.Breaches)
 	}
 }
 
-// TestFalseReportsAreFound plants one breach of each thing that is checked of usage.
-func TestFalseReportsAreFound(t *testing.T) {
+// TestFalseUsageReportsAreReported checks reports of usage that each break one rule.
+func TestFalseUsageReportsAreReported(t *testing.T) {
 	now := time.Now()
 	report := func(holder string, fence uint64, window, requests int64) platformtest.Report {
 		return platformtest.Report{Holder: holder, Fence: fence, Window: window, Counts: map[string]int64{"team-1": requests}, At: now}
@@ -240,12 +240,12 @@
 		reports []platformtest.Report
 		found   int
 	}{
-		"sound":              {[]platformtest.Report{report("entry-1", 1, 7, 1), report("entry-1", 1, 7, 1), report("entry-2", 2, 8, 1)}, 0},
-		"refused":            {[]platformtest.Report{report("entry-2", 2, 7, 1), refused}, 0},
-		"two counts":         {[]platformtest.Report{report("entry-1", 1, 7, 1), report("entry-1", 1, 7, 2)}, 1},
-		"a fence of two":     {[]platformtest.Report{report("entry-1", 1, 7, 1), report("entry-2", 1, 8, 1)}, 1},
-		"a fence that falls": {[]platformtest.Report{report("entry-2", 2, 7, 1), report("entry-1", 1, 8, 1)}, 1},
-		"more than ran":      {[]platformtest.Report{report("entry-1", 1, 7, 3)}, 1},
+		"valid":                     {[]platformtest.Report{report("entry-1", 1, 7, 1), report("entry-1", 1, 7, 1), report("entry-2", 2, 8, 1)}, 0},
+		"refused":                   {[]platformtest.Report{report("entry-2", 2, 7, 1), refused}, 0},
+		"two counts for one window": {[]platformtest.Report{report("entry-1", 1, 7, 1), report("entry-1", 1, 7, 2)}, 1},
+		"two holders of one fence":  {[]platformtest.Report{report("entry-1", 1, 7, 1), report("entry-2", 1, 8, 1)}, 1},
+		"a decreasing fence":        {[]platformtest.Report{report("entry-2", 2, 7, 1), report("entry-1", 1, 8, 1)}, 1},
+		"more requests than ran":    {[]platformtest.Report{report("entry-1", 1, 7, 3)}, 1},
 	} {
 		h := history{runs: map[string][]run{"a": nil, "b": nil}}
 		if r := h.check(false, c.reports); len(r.Breaches) != c.found {
--- a/internal/testing/soak/strike.go
+++ b/internal/testing/soak/strike.go
@@ -9,16 +9,16 @@
 	"foxcross.dev/foxcross/internal/testing/standin/platformtest"
 )
 
-// paces are the longest times between two faults, one of which a run takes.
-var paces = []time.Duration{200 * time.Millisecond, 500 * time.Millisecond, 1500 * time.Millisecond}
+// maxPauses are the longest times between two faults. A run selects one of them.
+var maxPauses = []time.Duration{200 * time.Millisecond, 500 * time.Millisecond, 1500 * time.Millisecond}
 
-// faults returns the faults that the options let strike.
-func (o Options) faults() []fault {
+// chosenFaults returns the faults that the options select.
+func (o Options) chosenFaults() []fault {
 	if len(o.Only) == 0 {
-		return faults
+		return allFaults
 	}
 	var chosen []fault
-	for _, f := range faults {
+	for _, f := range allFaults {
 		if slices.Contains(o.Only, f.name) {
 			chosen = append(chosen, f)
 		}
@@ -26,36 +26,35 @@
 	return chosen
 }
 
-// planned tells whether only planned work strikes.
-func (o Options) planned() bool {
-	return !slices.ContainsFunc(o.faults(), func(f fault) bool { return !f.planned })
+// plannedOnly reports whether the options select only planned work.
+func (o Options) plannedOnly() bool {
+	return !slices.ContainsFunc(o.chosenFaults(), func(f fault) bool { return !f.planned })
 }
 
-// strike lets faults come at random until the time is over and waits for their
-// ends.
-func (d *deployment) strike(ctx context.Context) {
-	var open sync.WaitGroup
-	defer open.Wait()
+// injectFaults injects random faults for the duration of the run and waits until they are over.
+func (d *deployment) injectFaults(ctx context.Context) {
+	var running sync.WaitGroup
+	defer running.Wait()
 	end := time.Now().Add(d.options.Duration)
-	chosen := d.options.faults()
-	pace := paces[d.random.IntN(len(paces))]
+	chosen := d.options.chosenFaults()
+	maxPause := maxPauses[d.random.IntN(len(maxPauses))]
 	for time.Now().Before(end) && ctx.Err() == nil {
 		d.mu.Lock()
 		f := chosen[d.random.IntN(len(chosen))]
 		amount := d.random.Float64()
-		rest := time.Duration(d.random.Int64N(int64(pace)))
-		d.faults[f.name]++
+		pause := time.Duration(d.random.Int64N(int64(maxPause)))
+		d.faultCounts[f.name]++
 		d.mu.Unlock()
-		open.Go(func() { f.apply(d, amount) })
-		time.Sleep(rest)
+		running.Go(func() { f.inject(d, amount) })
+		time.Sleep(pause)
 	}
 }
 
-// calm ends what no fault ends by itself.
-func (d *deployment) calm() {
+// clearFaults restores the store, the endpoints and the settings after the faults.
+func (d *deployment) clearFaults() {
 	d.store.SetFault(platformtest.Sound)
 	for range d.options.Endpoints {
-		if d.pick(d.options.Endpoints) == nil {
+		if d.pickEndpoint(d.options.Endpoints) == nil {
 			d.addEndpoint()
 		}
 	}
--- a/internal/testing/soak/usage.go
+++ b/internal/testing/soak/usage.go
@@ -9,61 +9,60 @@
 	"foxcross.dev/foxcross/internal/testing/standin/platformtest"
 )
 
-// Bounds of the duties, as the entries are told.
+// Bounds of the duties in the settings of the entries.
 const (
 	usageWindowS = 1
-	alternateMS  = 1000
+	dutyLeaseMS  = 1000
 	thawMS       = 300
 	minLeaseMS   = 1000
 )
 
-// thawSlack is how long after a disturbance a call with a lower fence is excused where the
-// platform does not look at fences: the process may have stood still before it was sent.
-const thawSlack = thawMS*time.Millisecond + reportTime
+// staleReportSlack is the time after a disturbance during which a call with a lower fence is excused
+// if the platform does not check fences: the process may have been frozen before it sent the call.
+const staleReportSlack = thawMS*time.Millisecond + reportTimeout
 
-// reportTime is how long an entry waits for the answer to a report.
-const reportTime = 1500 * time.Millisecond
+// reportTimeout is the longest time that an entry waits for the answer to a report.
+const reportTimeout = 1500 * time.Millisecond
 
-// checkUsage holds the reports of usage to what may be reported: one count for a window, one
-// holder for a fence, no fence that falls, and no more requests than ran. The history is
-// locked.
+// checkUsage checks the reports of usage: one count for a window, one holder for a fence, no
+// decreasing fence, and no more requests than ran. The history is locked.
 func (h *history) checkUsage(reports []platformtest.Report) {
-	taken := map[int64]map[string]int64{}
+	accepted := map[int64]map[string]int64{}
 	holders := map[uint64]string{}
 	highest := uint64(0)
-	billed := int64(0)
+	reported := int64(0)
 	for _, r := range reports {
 		if holder, known := holders[r.Fence]; known && holder != r.Holder {
-			h.found(OneReport, "", "the fence %d is that of %s and of %s", r.Fence, holder, r.Holder)
+			h.addBreach(OneReport, "", "fence %d is held by %s and by %s", r.Fence, holder, r.Holder)
 		}
 		holders[r.Fence] = r.Holder
-		if r.Fence < highest && !r.Refused && !h.disturbedBefore(r.At, thawSlack) {
-			h.found(OneReport, "", "%s reports with fence %d after %d", r.Holder, r.Fence, highest)
+		if r.Fence < highest && !r.Refused && !h.disturbedBefore(r.At, staleReportSlack) {
+			h.addBreach(OneReport, "", "%s reports with fence %d after %d", r.Holder, r.Fence, highest)
 		}
 		highest = max(highest, r.Fence)
 		if r.Refused {
 			continue
 		}
-		before, known := taken[r.Window]
-		if known && !maps.Equal(before, r.Counts) {
-			h.found(OneReport, "", "window %d is reported as %v, then as %v", r.Window, before, r.Counts)
+		previous, known := accepted[r.Window]
+		if known && !maps.Equal(previous, r.Counts) {
+			h.addBreach(OneReport, "", "window %d is reported as %v, then as %v", r.Window, previous, r.Counts)
 		}
 		if !known {
-			taken[r.Window] = r.Counts
+			accepted[r.Window] = r.Counts
 			for _, n := range r.Counts {
-				billed += n
+				reported += n
 			}
 		}
 	}
-	if ran := int64(len(h.runs)); billed > ran {
-		h.found(OneReport, "", "%d requests are reported, and %d ran", billed, ran)
+	if ran := int64(len(h.runs)); reported > ran {
+		h.addBreach(OneReport, "", "%d requests are reported, and %d ran", reported, ran)
 	}
 }
 
-// disturbedBefore tells whether something delayed entries shortly before a time. The history
-// is locked.
+// disturbedBefore reports whether a disturbance precedes a time by less than within. The history is
+// locked.
 func (h *history) disturbedBefore(at time.Time, within time.Duration) bool {
-	for _, disturbed := range h.disturbed {
+	for _, disturbed := range h.disturbances {
 		if disturbed.Before(at) && at.Sub(disturbed) < within {
 			return true
 		}
@@ -71,9 +70,9 @@
 	return false
 }
 
-// awaitReport waits until usage is reported anew.
+// awaitReport waits for a new report of usage.
 func (d *deployment) awaitReport(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, calmFor)
+	ctx, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
 	began := time.Now()
 	ticker := time.NewTicker(50 * time.Millisecond)
@@ -84,16 +83,16 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("soak: no usage is reported")
+			return fmt.Errorf("soak: no usage was reported")
 		case <-ticker.C:
 		}
 	}
 }
 
-// reportsFail lets the platform fail to take reports in one way, and work again.
-func reportsFail(d *deployment, amount float64) {
-	ways := []platformtest.Fault{platformtest.Busy, platformtest.Many, platformtest.Reset, platformtest.Silent}
-	d.reports.SetFault(ways[int(amount*float64(len(ways)))%len(ways)])
-	time.Sleep(lasting(amount, longestOutage))
+// failReports makes the platform fail to accept reports in one way for a time.
+func failReports(d *deployment, amount float64) {
+	faults := []platformtest.Fault{platformtest.Busy, platformtest.Many, platformtest.Reset, platformtest.Silent}
+	d.reports.SetFault(faults[int(amount*float64(len(faults)))%len(faults)])
+	time.Sleep(faultDuration(amount, extraOutage))
 	d.reports.SetFault(platformtest.Sound)
 }
