--- a/internal/testing/simulation/at_most_once_test.go
+++ b/internal/testing/simulation/at_most_once_test.go
@@ -15,23 +15,23 @@
 	"foxcross.dev/coord/result"
 )
 
-// A booking whose agent is paused around the start, and one whose agent dies
-// after it: each runs at most once, and what is said of it is true.
+// TestBookingRunsAtMostOnce checks that a booking runs at most once, and that its answer is true,
+// if its agent is paused around the start or killed after it.
 func TestBookingRunsAtMostOnce(t *testing.T) {
-	deployment(t, trees.Ovenhuis, func(r *simulation.Simulation) history.Rules {
+	runSimulation(t, trees.Ovenhuis, func(r *simulation.Simulation) history.Rules {
 		services := []*simulation.Agent{
 			r.AddService("app-0", "bookings", &standin.Service{Takes: 100 * time.Millisecond}),
 			r.AddService("app-1", "bookings", &standin.Service{Takes: 100 * time.Millisecond}),
 		}
 		e := r.AddEntry("e")
-		ready()
+		awaitAgents()
 		var all sync.WaitGroup
 		unknown := 0
 		var mu sync.Mutex
 		for n := range 200 {
 			all.Go(func() {
 				time.Sleep(time.Duration(n) * 10 * time.Millisecond)
-				a := r.Call(background, e, booking(fmt.Sprint("b", n)), http.MethodPost, "/confirmations")
+				a := r.Call(background, e, bookingRequest(fmt.Sprint("b", n)), http.MethodPost, "/confirmations")
 				mu.Lock()
 				defer mu.Unlock()
 				if a.Code != result.OK {
@@ -47,22 +47,22 @@
 		r.Restart(services[1])
 		all.Wait()
 		if unknown == 0 {
-			t.Error("no booking met a fault")
+			t.Error("no booking was affected by a fault")
 		}
 		return history.Rules{}
 	})
 }
 
-// Two copies of a booking with one key through two entries, while the service
-// loses answers: one runs, the other is told of a copy.
-func TestOneKeyRunsOnce(t *testing.T) {
-	deployment(t, trees.Ovenhuis, func(r *simulation.Simulation) history.Rules {
+// TestIdempotencyKeyRunsOnce sends two copies of a booking with one key through two entries while the
+// key-value service loses answers. One copy runs, the other is refused as a duplicate.
+func TestIdempotencyKeyRunsOnce(t *testing.T) {
+	runSimulation(t, trees.Ovenhuis, func(r *simulation.Simulation) history.Rules {
 		r.AddService("app", "bookings", &standin.Service{})
 		entries := []*simulation.Entry{r.AddEntry("e0"), r.AddEntry("e1")}
-		ready()
+		awaitAgents()
 		for n := range 30 {
 			r.Store.SetFaults(standin.Faults{LoseSwaps: n % 3})
-			q := booking(fmt.Sprint("k", n))
+			q := bookingRequest(fmt.Sprint("k", n))
 			q.Key = q.ID
 			q.Copies = 2
 			codes := map[result.Code]int{}
@@ -85,30 +85,30 @@
 	})
 }
 
-// With the key-value service down, bookings with a key are refused as not run
-// and everything else is served.
-func TestServiceDownTouchesOnlyKeys(t *testing.T) {
-	deployment(t, trees.Ovenhuis, func(r *simulation.Simulation) history.Rules {
-		r.AddAgent("hall", "glaze-8b", card())
+// TestServiceOutageAffectsOnlyKeyedBookings checks that with the key-value service down bookings with
+// a key are refused as not run and all other requests are served.
+func TestServiceOutageAffectsOnlyKeyedBookings(t *testing.T) {
+	runSimulation(t, trees.Ovenhuis, func(r *simulation.Simulation) history.Rules {
+		r.AddAgent("hall", "glaze-8b", newEngine())
 		r.AddService("app", "bookings", &standin.Service{})
 		e := r.AddEntry("e")
-		ready()
+		awaitAgents()
 		r.Store.SetFaults(standin.Faults{Down: true})
-		keyed := booking("keyed")
+		keyed := bookingRequest("keyed")
 		keyed.Key = "k"
 		a := r.Call(background, e, keyed, http.MethodPost, "/confirmations")
 		if a.Code != result.ClaimUnavailable || a.Run != result.NotRun {
 			t.Errorf("with a key: %v, %v", a.Code, a.Run)
 		}
-		if a := r.Call(background, e, booking("plain"), http.MethodPost, "/confirmations"); a.Code != result.OK {
+		if a := r.Call(background, e, bookingRequest("plain"), http.MethodPost, "/confirmations"); a.Code != result.OK {
 			t.Errorf("without a key: %v", a.Code)
 		}
-		if a := r.Chat(background, e, glaze("chat", 10)); a.Code != result.OK {
+		if a := r.Chat(background, e, chatRequest("chat", 10)); a.Code != result.OK {
 			t.Errorf("chat: %v", a.Code)
 		}
 		r.Store.SetFaults(standin.Faults{})
 		time.Sleep(time.Second)
-		again := booking("again")
+		again := bookingRequest("again")
 		again.Key = "k"
 		if a := r.Call(background, e, again, http.MethodPost, "/confirmations"); a.Code != result.OK {
 			t.Errorf("the key of a booking that was not run: %v", a.Code)
--- a/internal/testing/simulation/clean_stop_test.go
+++ b/internal/testing/simulation/clean_stop_test.go
@@ -12,18 +12,18 @@
 	"foxcross.dev/foxcross/internal/testing/standin"
 )
 
-// Every agent and entry is stopped and started again under load: no answer is
-// cut off and no leaving agent gets new work.
+// TestRollingRestart stops and restarts every agent and entry under load. No answer is truncated and
+// no leaving agent gets new work.
 func TestRollingRestart(t *testing.T) {
-	deployment(t, trees.Ovenhuis, func(r *simulation.Simulation) history.Rules {
+	runSimulation(t, trees.Ovenhuis, func(r *simulation.Simulation) history.Rules {
 		for n := range 3 {
-			r.AddAgent(fmt.Sprint("hall-", n), "glaze-8b", card(), card())
+			r.AddAgent(fmt.Sprint("hall-", n), "glaze-8b", newEngine(), newEngine())
 			r.AddService(fmt.Sprint("app-", n), "bookings", &standin.Service{Takes: 20 * time.Millisecond})
 		}
 		for n := range 2 {
 			r.AddEntry(fmt.Sprint("entry-", n))
 		}
-		ready()
+		awaitAgents()
 		var all sync.WaitGroup
 		all.Go(func() {
 			for _, f := range r.Load(background, 1, 30*time.Second, ovenhuisLoad(0.3, 0.2, 0.1)) {
@@ -42,7 +42,7 @@
 		}
 		for n, e := range r.Entries() {
 			r.AddEntry(fmt.Sprint("entry-new-", n))
-			ready()
+			awaitAgents()
 			if err := r.StopEntry(background, e); err != nil {
 				t.Error(err)
 			}
@@ -52,9 +52,9 @@
 	})
 }
 
-// An agent that leaves while long answers run gets nothing new, whether it says
-// so itself or only the list does.
-func TestLeavingGetsNothingNew(t *testing.T) {
+// TestLeavingAgentGetsNoNewWork checks that an agent that leaves during long answers gets no new
+// requests, whether it announces that itself or only the member list does.
+func TestLeavingAgentGetsNoNewWork(t *testing.T) {
 	leave := map[string]func(r *simulation.Simulation, a *simulation.Agent){
 		"own frame": func(r *simulation.Simulation, a *simulation.Agent) {
 			if err := r.Stop(background, a); err != nil {
@@ -66,14 +66,14 @@
 	within := map[string]time.Duration{"own frame": 100 * time.Millisecond, "list only": 3 * time.Second}
 	for name, f := range leave {
 		t.Run(name, func(t *testing.T) {
-			deployment(t, trees.Ovenhuis, func(r *simulation.Simulation) history.Rules {
-				leaving := r.AddAgent("hall-0", "glaze-8b", card())
-				r.AddAgent("hall-1", "glaze-8b", card())
+			runSimulation(t, trees.Ovenhuis, func(r *simulation.Simulation) history.Rules {
+				leaving := r.AddAgent("hall-0", "glaze-8b", newEngine())
+				r.AddAgent("hall-1", "glaze-8b", newEngine())
 				e := r.AddEntry("e")
-				ready()
+				awaitAgents()
 				var all sync.WaitGroup
 				for n := range 4 {
-					all.Go(func() { r.Chat(background, e, glaze(fmt.Sprint("long-", n), 1000)) })
+					all.Go(func() { r.Chat(background, e, chatRequest(fmt.Sprint("long-", n), 1000)) })
 				}
 				time.Sleep(time.Second)
 				all.Go(func() { f(r, leaving) })
--- a/internal/testing/simulation/fairness_test.go
+++ b/internal/testing/simulation/fairness_test.go
@@ -15,14 +15,14 @@
 	"foxcross.dev/coord/result"
 )
 
-// Chat beyond what the engines can do for minutes: donor tags are started
-// within twice their bound all the same.
+// TestDonorTagsDoNotStarve checks that donor tags start within twice their bound although chat
+// exceeds the capacity of the engines for minutes.
 func TestDonorTagsDoNotStarve(t *testing.T) {
 	tree := bytes.Replace(trees.Alumni, []byte(`"starve_after_ms": 120000`), []byte(`"starve_after_ms": 10000`), 1)
-	deployment(t, tree, func(r *simulation.Simulation) history.Rules {
+	runSimulation(t, tree, func(r *simulation.Simulation) history.Rules {
 		r.AddAgent("zona-4", "memoria-7b", &standin.Engine{Card: standin.Card{Step: 25 * time.Millisecond}})
 		e := r.AddEntry("e")
-		ready()
+		awaitAgents()
 		var all sync.WaitGroup
 		all.Go(func() {
 			r.Load(background, 1, 2*time.Minute, []simulation.Kind{
@@ -44,13 +44,13 @@
 	})
 }
 
-// Two entries share a team's limits.
-func TestTeamLimitOverEntries(t *testing.T) {
-	deployment(t, trees.Alumni, func(r *simulation.Simulation) history.Rules {
-		r.AddAgent("zona-4", "memoria-7b", card(), card())
+// TestTeamLimitAcrossEntries checks that two entries share the limits of a team.
+func TestTeamLimitAcrossEntries(t *testing.T) {
+	runSimulation(t, trees.Alumni, func(r *simulation.Simulation) history.Rules {
+		r.AddAgent("zona-4", "memoria-7b", newEngine(), newEngine())
 		r.AddEntry("e0")
 		r.AddEntry("e1")
-		ready()
+		awaitAgents()
 		f := r.Load(background, 1, 20*time.Second, []simulation.Kind{
 			{Class: "member-chat", Teams: []string{"board"}, Rate: 60, Prompt: 100, Tokens: 5},
 		})[0]
--- a/internal/testing/simulation/faults_test.go
+++ b/internal/testing/simulation/faults_test.go
@@ -22,25 +22,25 @@
 )
 
 var (
-	seeds     = flag.Int("seeds", 0, "run so many seeds of random faults instead of the fixed ones")
+	seeds     = flag.Int("seeds", 0, "number of seeds of random faults to run instead of the fixed ones")
 	firstSeed = flag.Uint64("first-seed", 1000, "first of the seeds")
 )
 
-// fixedSeeds run in every check. A seed that once failed stays here, with its cause.
+// fixedSeeds run in every check. A seed that fails is added here, with the cause of the failure.
 var fixedSeeds = []uint64{
-	1,    // never failed
-	1083, // an agent whose fetch failed stayed behind until the next change of settings
-	5020, // an answer of which only the end was lost was continued beyond its limit
-	5047, // a process announced two versions in the wrong order
+	1,    // no known failure
+	1083, // an agent whose fetch fails keeps old settings until their next change
+	5020, // an answer that lost only its end is continued beyond its token limit
+	5047, // a process announces two versions in the wrong order
 }
 
 const (
-	chaosLength = 40 * time.Second
-	chaosAgents = 3
+	faultDuration  = 40 * time.Second
+	faultRunAgents = 3
 )
 
-// TestRandomFaults lets faults come at random, together and twice, and holds
-// the history to the promises.
+// TestRandomFaults injects random faults, also several at once, and checks the history against the
+// promises.
 func TestRandomFaults(t *testing.T) {
 	run := fixedSeeds
 	if *seeds > 0 {
@@ -51,51 +51,51 @@
 	}
 	for _, s := range run {
 		t.Run(fmt.Sprint(s), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { chaosRun(t, s) })
+			synctest.Test(t, func(t *testing.T) { runWithFaults(t, s) })
 		})
 	}
 }
 
-// chaos is one run.
-type chaos struct {
+// faultRun is a run with random faults.
+type faultRun struct {
 	*simulation.Simulation
-	t       *testing.T
-	seed    uint64
-	agents  []*simulation.Agent
-	engines []*standin.Engine
-	lasting map[string]bool // entries that were there from the start
-	stop    context.Context
-	faults  sync.WaitGroup
+	t         *testing.T
+	seed      uint64
+	agents    []*simulation.Agent
+	engines   []*standin.Engine
+	permanent map[string]bool // entries that run from the start to the end
+	deadline  context.Context
+	faults    sync.WaitGroup
 }
 
-func chaosRun(t *testing.T, seed uint64) {
-	r, err := simulation.New(trees.Ovenhuis, oneWay)
+func runWithFaults(t *testing.T, seed uint64) {
+	r, err := simulation.New(trees.Ovenhuis, linkDelay)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() {
 		r.Close()
-		time.Sleep(settle)
+		time.Sleep(timerExpiry)
 	}()
-	stop, cancel := context.WithTimeout(context.Background(), chaosLength)
+	deadline, cancel := context.WithTimeout(context.Background(), faultDuration)
 	defer cancel()
-	c := &chaos{Simulation: r, t: t, seed: seed, lasting: map[string]bool{}, stop: stop}
-	c.build()
+	c := &faultRun{Simulation: r, t: t, seed: seed, permanent: map[string]bool{}, deadline: deadline}
+	c.start()
 	time.Sleep(3 * time.Second)
-	for _, fault := range []func(){c.agentFaults, c.engineFaults, c.entryFaults, c.storeFaults, c.operators} {
+	for _, fault := range []func(){c.agentFaults, c.engineFaults, c.entryFaults, c.storeFaults, c.changeSettings} {
 		c.faults.Go(fault)
 	}
 	var load sync.WaitGroup
-	load.Go(func() { r.Load(context.Background(), seed, chaosLength, ovenhuisLoad(0.2, 0.1, 0.1)) })
-	load.Go(c.bookings)
+	load.Go(func() { r.Load(context.Background(), seed, faultDuration, ovenhuisLoad(0.2, 0.1, 0.1)) })
+	load.Go(c.sendBookings)
 	load.Wait()
 	c.faults.Wait()
 	r.Store.SetFaults(standin.Faults{})
 	time.Sleep(20 * time.Second)
-	c.checkCalm()
+	c.checkRecovered()
 	rules := history.Rules{LeaveWithin: 3 * time.Second, ForceWithin: 11 * time.Second, End: time.Now()}
 	for _, e := range r.Entries() {
-		if c.lasting[e.Name] {
+		if c.permanent[e.Name] {
 			rules.Processes = append(rules.Processes, e.Name)
 		}
 	}
@@ -104,8 +104,8 @@
 	}
 }
 
-func (c *chaos) build() {
-	for n := range chaosAgents {
+func (c *faultRun) start() {
+	for n := range faultRunAgents {
 		e := &standin.Engine{Card: standin.Card{Step: 10 * time.Millisecond}}
 		c.engines = append(c.engines, e)
 		c.agents = append(c.agents, c.AddAgent(fmt.Sprintf("hall-%d", n), "glaze-8b", e))
@@ -114,13 +114,12 @@
 		c.agents = append(c.agents, c.AddService(fmt.Sprintf("app-%d", n), "bookings", &standin.Service{Takes: 50 * time.Millisecond}))
 	}
 	for n := range 2 {
-		c.lasting[c.AddEntry(fmt.Sprintf("entry-%d", n)).Name] = true
+		c.permanent[c.AddEntry(fmt.Sprintf("entry-%d", n)).Name] = true
 	}
 }
 
-// entryFaults freezes entries, cuts them off, or kills one of two and starts
-// another.
-func (c *chaos) entryFaults() {
+// entryFaults freezes entries, cuts their connections, or replaces one of two entries.
+func (c *faultRun) entryFaults() {
 	random := rand.New(rand.NewPCG(c.seed, 6))
 	for n := 0; c.pause(random, 10*time.Second); n++ {
 		e := c.Entries()[random.IntN(2)]
@@ -137,14 +136,14 @@
 	}
 }
 
-// pause waits a random time and tells whether to go on.
-func (c *chaos) pause(random *rand.Rand, most time.Duration) bool {
-	time.Sleep(time.Duration(random.Int64N(int64(most))))
-	return c.stop.Err() == nil
+// pause waits for a random time and reports whether the run continues.
+func (c *faultRun) pause(random *rand.Rand, maxPause time.Duration) bool {
+	time.Sleep(time.Duration(random.Int64N(int64(maxPause))))
+	return c.deadline.Err() == nil
 }
 
-// agentFaults kills, cuts off, freezes and stops agents.
-func (c *chaos) agentFaults() {
+// agentFaults kills, freezes and stops agents and cuts their connections.
+func (c *faultRun) agentFaults() {
 	random := rand.New(rand.NewPCG(c.seed, 1))
 	for c.pause(random, 4*time.Second) {
 		n := random.IntN(len(c.agents))
@@ -172,7 +171,7 @@
 }
 
 // engineFaults breaks, slows and freezes engines.
-func (c *chaos) engineFaults() {
+func (c *faultRun) engineFaults() {
 	random := rand.New(rand.NewPCG(c.seed, 2))
 	for c.pause(random, 6*time.Second) {
 		e := c.engines[random.IntN(len(c.engines))]
@@ -194,8 +193,8 @@
 	}
 }
 
-// storeFaults takes the platform's service down, slows it and loses answers.
-func (c *chaos) storeFaults() {
+// storeFaults makes the platform's service fail, delay or lose answers.
+func (c *faultRun) storeFaults() {
 	random := rand.New(rand.NewPCG(c.seed, 3))
 	for c.pause(random, 4*time.Second) {
 		switch random.IntN(3) {
@@ -211,21 +210,21 @@
 	}
 }
 
-// operators change the tree through both entries at the same time.
-func (c *chaos) operators() {
+// changeSettings changes the tree through both entries at the same time.
+func (c *faultRun) changeSettings() {
 	random := rand.New(rand.NewPCG(c.seed, 4))
 	for c.pause(random, 3*time.Second) {
 		var both sync.WaitGroup
 		for _, e := range c.Entries() {
 			team := []string{"teams/gent", "teams/mons"}[random.IntN(2)]
 			weight := 1 + random.IntN(9)
-			both.Go(func() { c.change(e, team, weight) })
+			both.Go(func() { c.changeWeight(e, team, weight) })
 		}
 		both.Wait()
 	}
 }
 
-func (c *chaos) change(e *simulation.Entry, path string, weight int) {
+func (c *faultRun) changeWeight(e *simulation.Entry, path string, weight int) {
 	s := e.Store.Holder.State()
 	n, _ := s.Tree.Node(path)
 	n.Set = n.Set.Over(settings.Fields{Weight: &weight})
@@ -237,27 +236,27 @@
 	}
 }
 
-// bookings sends confirmations, each key through both entries at once.
-func (c *chaos) bookings() {
+// sendBookings sends confirmations. Those with a key go through both entries at once.
+func (c *faultRun) sendBookings() {
 	random := rand.New(rand.NewPCG(c.seed, 5))
-	var open sync.WaitGroup
+	var pending sync.WaitGroup
 	for n := 0; c.pause(random, 400*time.Millisecond); n++ {
 		q := simulation.Ask{ID: fmt.Sprintf("book-%d", n), Class: "booking-confirm", Team: "gent"}
 		if n%2 == 0 {
-			open.Go(func() { c.Call(context.Background(), c.Entries()[n/2%2], q, http.MethodPost, "/confirmations") })
+			pending.Go(func() { c.Call(context.Background(), c.Entries()[n/2%2], q, http.MethodPost, "/confirmations") })
 			continue
 		}
 		q.Key = q.ID
 		q.Copies = 2
 		for _, e := range c.Entries()[:q.Copies] {
-			open.Go(func() { c.Call(context.Background(), e, q, http.MethodPost, "/confirmations") })
+			pending.Go(func() { c.Call(context.Background(), e, q, http.MethodPost, "/confirmations") })
 		}
 	}
-	open.Wait()
+	pending.Wait()
 }
 
-// checkCalm holds the fleet to what must be true once all faults are over.
-func (c *chaos) checkCalm() {
+// checkRecovered checks that the fleet works after all faults are over.
+func (c *faultRun) checkRecovered() {
 	newest := uint64(0)
 	for _, e := range c.Recorder.Events() {
 		if a, ok := e.(history.Accepted); ok {
--- a/internal/testing/simulation/harness_test.go
+++ b/internal/testing/simulation/harness_test.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	oneWay = 500 * time.Microsecond // delay of a message between processes
-	settle = 2 * time.Minute        // virtual time in which timers of closed connections run out
+	linkDelay   = 500 * time.Microsecond // of a message between processes
+	timerExpiry = 2 * time.Minute        // virtual time in which the timers of closed connections expire
 )
 
-// background is the context of requests that nobody gives up.
+// background is the context of requests without a timeout.
 var background = context.Background()
 
-// deployment runs f on a simulation in virtual time and checks its history.
-func deployment(t *testing.T, tree []byte, f func(r *simulation.Simulation) history.Rules) {
+// runSimulation runs f on a simulation in virtual time and checks the history.
+func runSimulation(t *testing.T, tree []byte, f func(r *simulation.Simulation) history.Rules) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		r, err := simulation.New(tree, oneWay)
+		r, err := simulation.New(tree, linkDelay)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -33,36 +33,36 @@
 			t.Error(b)
 		}
 		r.Close()
-		time.Sleep(settle)
+		time.Sleep(timerExpiry)
 	})
 }
 
-// card returns an engine that makes a token in ten milliseconds.
-func card() *standin.Engine {
+// newEngine returns an engine that generates a token in ten milliseconds.
+func newEngine() *standin.Engine {
 	return &standin.Engine{Card: standin.Card{Step: 10 * time.Millisecond}}
 }
 
-// meanTokens is the mean length of an answer of a load.
-const meanTokens = 60
+// meanAnswerTokens is the mean length of the answers of a load.
+const meanAnswerTokens = 60
 
-// ovenhuisLoad is a mix as a share of what the engines can do at the strictest
-// target, about 80 requests a second.
-func ovenhuisLoad(glaze, plan, check float64) []simulation.Kind {
+// ovenhuisLoad returns a mix of three classes, each as a fraction of the capacity of the engines at
+// the strictest target, about 80 requests a second.
+func ovenhuisLoad(question, plan, check float64) []simulation.Kind {
 	const capacity = 80
 	return []simulation.Kind{
-		{Class: "glaze-question", Teams: []string{"gent", "leuven", "namur"}, Rate: capacity * glaze, Prompt: 400, Tokens: meanTokens},
-		{Class: "firing-plan", Teams: []string{"gent", "leuven", "mons"}, Rate: capacity * plan, Prompt: 1200, Tokens: meanTokens},
-		{Class: "load-check", Teams: []string{"technicians"}, Rate: capacity * check, Prompt: 800, Tokens: meanTokens},
+		{Class: "glaze-question", Teams: []string{"gent", "leuven", "namur"}, Rate: capacity * question, Prompt: 400, Tokens: meanAnswerTokens},
+		{Class: "firing-plan", Teams: []string{"gent", "leuven", "mons"}, Rate: capacity * plan, Prompt: 1200, Tokens: meanAnswerTokens},
+		{Class: "load-check", Teams: []string{"technicians"}, Rate: capacity * check, Prompt: 800, Tokens: meanAnswerTokens},
 	}
 }
 
-// ready waits until the entries know the agents.
-func ready() { time.Sleep(3 * time.Second) }
+// awaitAgents waits until the entries are connected to the agents.
+func awaitAgents() { time.Sleep(3 * time.Second) }
 
-func glaze(id string, tokens int) simulation.Ask {
+func chatRequest(id string, tokens int) simulation.Ask {
 	return simulation.Ask{ID: id, Class: "glaze-question", Team: "gent", Prompt: 100, Tokens: tokens}
 }
 
-func booking(id string) simulation.Ask {
+func bookingRequest(id string) simulation.Ask {
 	return simulation.Ask{ID: id, Class: "booking-confirm", Team: "gent"}
 }
--- a/internal/testing/simulation/load.go
+++ b/internal/testing/simulation/load.go
@@ -13,16 +13,16 @@
 	"foxcross.dev/coord/result"
 )
 
-// Kind is one class of a load.
+// Kind is the part of a load that belongs to one class.
 type Kind struct {
 	Class  string
 	Teams  []string
 	Rate   float64 // requests a second
 	Prompt int     // bytes
-	Tokens int     // mean of an answer's length
+	Tokens int     // mean length of an answer
 }
 
-// Figures are what became of the requests of a class.
+// Figures are the results of the requests of a class.
 type Figures struct {
 	Class string
 	Sent  int
@@ -30,17 +30,17 @@
 	Codes map[result.Code]int
 }
 
-// Load sends requests of all kinds for a time, through all entries, and waits
-// for the answers.
+// Load sends requests of all kinds for a time, through all entries, and waits for
+// the answers.
 func (t *Simulation) Load(ctx context.Context, seed uint64, length time.Duration, kinds []Kind) []Figures {
 	figures := make([]Figures, len(kinds))
-	var all sync.WaitGroup
+	var senders sync.WaitGroup
 	for n, k := range kinds {
 		s := sender{simulation: t, kind: k, figures: &figures[n], random: rand.New(rand.NewPCG(seed, uint64(n)))}
 		figures[n] = Figures{Class: k.Class, Codes: map[result.Code]int{}}
-		all.Go(func() { s.send(ctx, length) })
+		senders.Go(func() { s.send(ctx, length) })
 	}
-	all.Wait()
+	senders.Wait()
 	return figures
 }
 
@@ -54,7 +54,7 @@
 }
 
 func (s *sender) send(ctx context.Context, length time.Duration) {
-	var open sync.WaitGroup
+	var pending sync.WaitGroup
 	began := time.Now()
 	for n := 0; time.Since(began) < length && ctx.Err() == nil; n++ {
 		time.Sleep(time.Duration(s.random.ExpFloat64() / s.kind.Rate * float64(time.Second)))
@@ -65,15 +65,15 @@
 			Prompt: s.kind.Prompt,
 			Tokens: 1 + int(s.random.ExpFloat64()*float64(s.kind.Tokens-1)),
 		}
-		e := s.simulation.pick(s.random)
-		open.Go(func() { s.note(s.simulation.Chat(ctx, e, q)) })
+		e := s.simulation.pickEntry(s.random)
+		pending.Go(func() { s.record(s.simulation.Chat(ctx, e, q)) })
 	}
-	open.Wait()
+	pending.Wait()
 }
 
-// pick returns an entry as a balancer would: one of those that say they are ready,
-// and any if none does.
-func (t *Simulation) pick(random *rand.Rand) *Entry {
+// pickEntry returns an entry as a load balancer would: a random one that reports that it
+// is ready, or any if none does.
+func (t *Simulation) pickEntry(random *rand.Rand) *Entry {
 	all := t.Entries()
 	ready := slices.DeleteFunc(slices.Clone(all), func(e *Entry) bool { return !e.Ready() })
 	if len(ready) == 0 {
@@ -82,7 +82,7 @@
 	return ready[random.IntN(len(ready))]
 }
 
-func (s *sender) note(a caller.Answer) {
+func (s *sender) record(a caller.Answer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f := s.figures
--- a/internal/testing/simulation/outage_test.go
+++ b/internal/testing/simulation/outage_test.go
@@ -15,16 +15,17 @@
 	"foxcross.dev/coord/result"
 )
 
-// The member list is empty or does not answer: the fleet serves on.
+// TestMemberListFails checks that the fleet continues to serve if the member list is empty or does not
+// answer.
 func TestMemberListFails(t *testing.T) {
-	deployment(t, trees.Ovenhuis, func(r *simulation.Simulation) history.Rules {
-		r.AddAgent("hall", "glaze-8b", card())
+	runSimulation(t, trees.Ovenhuis, func(r *simulation.Simulation) history.Rules {
+		r.AddAgent("hall", "glaze-8b", newEngine())
 		e := r.AddEntry("e")
-		ready()
+		awaitAgents()
 		for n, f := range []standin.Faults{{ListEmpty: true}, {ListDown: true}} {
 			r.Store.SetFaults(f)
 			time.Sleep(5 * time.Minute)
-			if a := r.Chat(background, e, glaze(fmt.Sprint(n), 10)); a.Code != result.OK {
+			if a := r.Chat(background, e, chatRequest(fmt.Sprint(n), 10)); a.Code != result.OK {
 				t.Errorf("%+v: %v", f, a.Code)
 			}
 		}
@@ -32,17 +33,17 @@
 	})
 }
 
-// A quarter of the agents die at once: the work goes on elsewhere, and requests
-// do not multiply.
+// TestNoRetryStorm kills a quarter of the agents at once. Their requests continue at other agents
+// without multiplying.
 func TestNoRetryStorm(t *testing.T) {
-	deployment(t, trees.Ovenhuis, func(r *simulation.Simulation) history.Rules {
+	runSimulation(t, trees.Ovenhuis, func(r *simulation.Simulation) history.Rules {
 		var agents []*simulation.Agent
 		for n := range 8 {
-			agents = append(agents, r.AddAgent(fmt.Sprint("hall-", n), "glaze-8b", card()))
+			agents = append(agents, r.AddAgent(fmt.Sprint("hall-", n), "glaze-8b", newEngine()))
 		}
 		r.AddEntry("e0")
 		r.AddEntry("e1")
-		ready()
+		awaitAgents()
 		go func() {
 			time.Sleep(5 * time.Second)
 			r.Kill(agents[0])
@@ -68,19 +69,19 @@
 	})
 }
 
-// A data centre goes at once, with its entry, its engines and its services: the
-// other entries' callers get their whole answers, nothing runs twice, and the
-// lost entry's callers are the only ones without an answer.
+// TestDataCentreLost kills the entry, the engines and the services of a data centre at once. Callers of
+// other entries get complete answers, nothing runs twice, and only callers of the lost entry get no
+// answer.
 func TestDataCentreLost(t *testing.T) {
-	deployment(t, trees.Ovenhuis, func(r *simulation.Simulation) history.Rules {
+	runSimulation(t, trees.Ovenhuis, func(r *simulation.Simulation) history.Rules {
 		for n := range 3 {
-			r.AddAgent(fmt.Sprint("hall-", n), "glaze-8b", card(), card())
+			r.AddAgent(fmt.Sprint("hall-", n), "glaze-8b", newEngine(), newEngine())
 			r.AddService(fmt.Sprint("app-", n), "bookings", &standin.Service{Takes: 50 * time.Millisecond})
 			r.AddEntry(fmt.Sprint("entry-", n))
 		}
-		ready()
+		awaitAgents()
 		lost := r.Entries()[0]
-		kept := r.Entries()[1:]
+		surviving := r.Entries()[1:]
 		var all sync.WaitGroup
 		for n := range 120 {
 			time.Sleep(30 * time.Millisecond)
@@ -92,18 +93,18 @@
 				}
 				r.KillEntry(lost)
 			}
-			e := kept[n%2]
+			e := surviving[n%2]
 			if n < 60 && n%3 == 0 {
 				e = lost
 			}
 			all.Go(func() {
-				a := r.Chat(background, e, glaze(fmt.Sprint("chat-", n), 100))
+				a := r.Chat(background, e, chatRequest(fmt.Sprint("chat-", n), 100))
 				if e != lost && a.Code != result.OK {
 					t.Errorf("chat %d through %s: %v", n, e.Name, a.Code)
 				}
 			})
 			all.Go(func() {
-				a := r.Call(background, kept[n%2], booking(fmt.Sprint("book-", n)), http.MethodPost, "/confirmations")
+				a := r.Call(background, surviving[n%2], bookingRequest(fmt.Sprint("book-", n)), http.MethodPost, "/confirmations")
 				if a.Code != result.OK && a.Code != result.EndpointLost {
 					t.Errorf("booking %d: %v", n, a.Code)
 				}
--- a/internal/testing/simulation/settings_test.go
+++ b/internal/testing/simulation/settings_test.go
@@ -14,16 +14,16 @@
 	"foxcross.dev/coord/settings"
 )
 
-// The service goes down right after a change was accepted: the change reaches
-// every process through its peers, also one that starts meanwhile.
-func TestSettingsSpreadWithoutTheService(t *testing.T) {
-	deployment(t, trees.Ovenhuis, func(r *simulation.Simulation) history.Rules {
+// TestSettingsPropagateWithoutService stops the service right after it has accepted a change. The change
+// reaches every process through its peers, also one that starts during the outage.
+func TestSettingsPropagateWithoutService(t *testing.T) {
+	runSimulation(t, trees.Ovenhuis, func(r *simulation.Simulation) history.Rules {
 		for n := range 3 {
-			r.AddAgent(fmt.Sprint("hall-", n), "glaze-8b", card())
+			r.AddAgent(fmt.Sprint("hall-", n), "glaze-8b", newEngine())
 		}
 		first := r.AddEntry("e0")
 		r.AddEntry("e1")
-		ready()
+		awaitAgents()
 		s := first.Store.Holder.State()
 		weight := 9
 		n := settings.Node{Kind: settings.Team, Set: settings.Fields{Weight: &weight}}
@@ -54,13 +54,13 @@
 	})
 }
 
-// A change under load drops no request.
+// TestChangeUnderLoad checks that a change of settings under load drops no request.
 func TestChangeUnderLoad(t *testing.T) {
-	deployment(t, trees.Ovenhuis, func(r *simulation.Simulation) history.Rules {
-		r.AddAgent("hall", "glaze-8b", card(), card())
+	runSimulation(t, trees.Ovenhuis, func(r *simulation.Simulation) history.Rules {
+		r.AddAgent("hall", "glaze-8b", newEngine(), newEngine())
 		e := r.AddEntry("e0")
 		r.AddEntry("e1")
-		ready()
+		awaitAgents()
 		go func() {
 			for n := range 10 {
 				time.Sleep(time.Second)
@@ -85,18 +85,18 @@
 	})
 }
 
-// Of many entries a few watch the service; the others get a change through the
-// agents in seconds.
+// TestFewWatchers checks that only a few of many entries watch the service, and that the others receive
+// a change through the agents within seconds.
 func TestFewWatchers(t *testing.T) {
-	deployment(t, trees.Ovenhuis, func(r *simulation.Simulation) history.Rules {
-		r.AddAgent("hall-0", "glaze-8b", card())
-		r.AddAgent("hall-1", "glaze-8b", card())
+	runSimulation(t, trees.Ovenhuis, func(r *simulation.Simulation) history.Rules {
+		r.AddAgent("hall-0", "glaze-8b", newEngine())
+		r.AddAgent("hall-1", "glaze-8b", newEngine())
 		rules := history.Rules{ForceWithin: 2 * time.Second}
 		const entries = 12
 		for n := range entries {
 			rules.Processes = append(rules.Processes, r.AddEntry(fmt.Sprint("e", n)).Name)
 		}
-		time.Sleep(20 * time.Second) // the first watches end with the first change
+		time.Sleep(20 * time.Second) // the first watches end at the first change
 		var last uint64
 		before := r.Store.Calls()
 		const changes = 5
--- a/internal/testing/simulation/simulation.go
+++ b/internal/testing/simulation/simulation.go
@@ -1,5 +1,5 @@
-// Package simulation runs real entries and agents over the link in memory, with fake
-// engines, so that tests can run them in virtual time.
+// Package simulation runs real entries and agents over in-memory links, with stand-in
+// engines, so that tests can use virtual time.
 package simulation
 
 import (
@@ -27,8 +27,8 @@
 	"foxcross.dev/coord/settings"
 )
 
-// idMark stands on both sides of a request's id in its text.
-const idMark = "~"
+// requestIDMark delimits the id of a request in its text.
+const requestIDMark = "~"
 
 // Simulation is a deployment under test. Create it with New.
 type Simulation struct {
@@ -36,14 +36,14 @@
 	Store    standin.Store
 	Recorder history.Recorder
 	Snapshot settings.Snapshot
-	Kept     int // most agents that an entry keeps, 0 for the default
-
-	mu      sync.Mutex // guards what follows
-	ctx     context.Context
-	cancel  context.CancelFunc
-	agents  map[string]*Agent
-	entries []*Entry
-	starts  int // of agents
+	Kept     int // most agents that an entry connects to, 0 for the default
+
+	mu          sync.Mutex // guards the fields below
+	ctx         context.Context
+	cancel      context.CancelFunc
+	agents      map[string]*Agent
+	entries     []*Entry
+	agentStarts int // of agents
 }
 
 // Agent is an agent under test.
@@ -67,11 +67,11 @@
 	cancel context.CancelFunc
 }
 
-// New returns a simulation with the tree in force.
+// New returns a simulation with the settings tree in force. Messages take the delay.
 func New(tree []byte, delay time.Duration) (*Simulation, error) {
 	t := &Simulation{agents: map[string]*Agent{}}
 	t.Network.Delay = delay
-	t.Store.ListLag = listLag
+	t.Store.ListLag = memberListLag
 	t.ctx, t.cancel = context.WithCancel(context.Background())
 	parsed, err := settings.Parse(tree)
 	if err != nil {
@@ -84,7 +84,7 @@
 	return t, err
 }
 
-// Close ends everything.
+// Close stops all agents and entries.
 func (t *Simulation) Close() {
 	t.cancel()
 	for _, a := range t.Agents() {
@@ -93,11 +93,11 @@
 	}
 }
 
-// AddAgent starts an agent with engines for a model.
+// AddAgent starts an agent whose engines serve a model.
 func (t *Simulation) AddAgent(name, model string, engines ...*standin.Engine) *Agent {
 	o := agent.Options{Name: name}
 	for n, e := range engines {
-		e.OnStart = func(prompt string) { t.executed(prompt, name) }
+		e.OnStart = func(prompt string) { t.recordExecution(prompt, name) }
 		o.Locals = append(o.Locals, agent.Local{
 			Description: dispatch.Endpoint{Name: fmt.Sprintf("%s-%d", name, n), Target: model},
 			Driver:      e,
@@ -106,9 +106,9 @@
 	return t.startAgent(o, engines)
 }
 
-// AddService starts an agent with a plain service.
+// AddService starts an agent that serves a plain service.
 func (t *Simulation) AddService(name, service string, s *standin.Service) *Agent {
-	s.OnStart = func(call string) { t.executed(call, name) }
+	s.OnStart = func(call string) { t.recordExecution(call, name) }
 	return t.startAgent(agent.Options{Name: name, Locals: []agent.Local{{
 		Description: dispatch.Endpoint{Name: name + "-0", Target: settings.ServiceTarget(service)},
 		Driver:      endpoint.Driver(s),
@@ -119,8 +119,8 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	h := &versions.Holder{Carry: true}
-	t.starts++
-	t.watch(fmt.Sprintf("%s.%d", o.Name, t.starts), h)
+	t.agentStarts++
+	t.recordVersions(fmt.Sprintf("%s.%d", o.Name, t.agentStarts), h)
 	o.Versions = h
 	ctx, cancel := context.WithCancel(t.ctx)
 	a := &Agent{Agent: agent.New(o), Name: o.Name, Engines: engines, Versions: h, cancel: cancel, options: o}
@@ -132,25 +132,25 @@
 	return a
 }
 
-// watch records which versions a process works by.
-func (t *Simulation) watch(process string, h *versions.Holder) {
+// recordVersions records the settings versions that a process uses.
+func (t *Simulation) recordVersions(process string, h *versions.Holder) {
 	h.OnChange(func(s versions.State) {
 		t.Recorder.Add(history.InForce{Process: process, Version: s.Root.Version, At: time.Now()})
 	})
 }
 
-func (t *Simulation) executed(text, at string) {
-	t.Recorder.Add(history.Executed{ID: idIn(text), Endpoint: at, At: time.Now()})
+func (t *Simulation) recordExecution(text, endpoint string) {
+	t.Recorder.Add(history.Executed{ID: requestIDIn(text), Endpoint: endpoint, At: time.Now()})
 }
 
-func idIn(text string) string {
-	_, after, _ := strings.Cut(text, idMark)
-	id, _, _ := strings.Cut(after, idMark)
+func requestIDIn(text string) string {
+	_, after, _ := strings.Cut(text, requestIDMark)
+	id, _, _ := strings.Cut(after, requestIDMark)
 	return id
 }
 
-// KillEntry ends an entry at once; its callers see broken connections. The list
-// lags behind.
+// KillEntry ends an entry at once. The connections of its callers break, and the member
+// list shows it with a delay.
 func (t *Simulation) KillEntry(e *Entry) {
 	t.mu.Lock()
 	t.entries = slices.DeleteFunc(t.entries, func(o *Entry) bool { return o == e })
@@ -159,20 +159,21 @@
 	t.Store.DropMember(e.Name)
 }
 
-// listLag is how late the member list shows a change.
-const listLag = time.Second
+// memberListLag is the delay after which the member list shows a change.
+const memberListLag = time.Second
 
-// joined returns a context that also ends when the entry is killed.
-func (e *Entry) joined(ctx context.Context) (context.Context, context.CancelFunc) {
-	both, cancel := context.WithCancel(ctx)
+// withKill returns a copy of ctx that also ends when the entry is killed.
+func (e *Entry) withKill(ctx context.Context) (context.Context, context.CancelFunc) {
+	joined, cancel := context.WithCancel(ctx)
 	stop := context.AfterFunc(e.ctx, cancel)
-	return both, func() {
+	return joined, func() {
 		stop()
 		cancel()
 	}
 }
 
-// StopEntry stops an entry cleanly, as a balancer that has seen it leave would.
+// StopEntry drains and stops an entry after it has been taken off the member list and
+// gets no new requests.
 func (t *Simulation) StopEntry(ctx context.Context, e *Entry) error {
 	t.mu.Lock()
 	t.entries = slices.DeleteFunc(t.entries, func(o *Entry) bool { return o == e })
@@ -183,14 +184,14 @@
 	return err
 }
 
-// Entries returns the entries in the order they were added.
+// Entries returns the running entries in the order in which they were added.
 func (t *Simulation) Entries() []*Entry {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return slices.Clone(t.entries)
 }
 
-// Agents returns the agents that run now, by name.
+// Agents returns the agents, sorted by name.
 func (t *Simulation) Agents() []*Agent {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -206,7 +207,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	h := &versions.Holder{}
-	t.watch(name, h)
+	t.recordVersions(name, h)
 	ctx, cancel := context.WithCancel(t.ctx)
 	e := &Entry{Name: name, Store: t.Store.Settings(name, h), ctx: ctx, cancel: cancel}
 	batcher := claims.New(claims.Options{KeyValue: &t.Store, Owner: name, Entries: func() int { return e.Entries() }})
@@ -237,13 +238,13 @@
 	t.Network.Cut(a.Name)
 }
 
-// Restart starts a killed or stopped agent again.
+// Restart starts a killed or stopped agent with the same options.
 func (t *Simulation) Restart(a *Agent) *Agent {
 	o := a.options
 	return t.startAgent(o, a.Engines)
 }
 
-// Stop stops an agent cleanly and takes it off the list.
+// Stop drains and stops an agent and removes it from the member list.
 func (t *Simulation) Stop(ctx context.Context, a *Agent) error {
 	t.Recorder.Add(history.Left{Endpoint: a.Name, At: time.Now()})
 	err := a.Agent.Stop(ctx)
@@ -252,19 +253,19 @@
 	return err
 }
 
-// MarkLeaving makes only the list say that an agent leaves.
+// MarkLeaving marks an agent as leaving in the member list only.
 func (t *Simulation) MarkLeaving(a *Agent) {
 	t.Recorder.Add(history.Left{Endpoint: a.Name, At: time.Now()})
 	t.Store.SetMember(kv.Member{Name: a.Name, Role: kv.Agent, Address: a.Name, Leaving: true})
 }
 
-// Mark returns the text by which the executions of a request are known.
-func Mark(id string) string { return idMark + id + idMark }
+// Mark returns the text by which executions of a request are attributed to it.
+func Mark(id string) string { return requestIDMark + id + requestIDMark }
 
 // Chat sends a chat request and records it and its answer.
 func (t *Simulation) Chat(ctx context.Context, e *Entry, q Ask) caller.Answer {
-	class, ok := t.Snapshot.Class(q.Class)
-	if !ok {
+	class, found := t.Snapshot.Class(q.Class)
+	if !found {
 		panic("simulation: no class " + q.Class)
 	}
 	prompt := q.text()
@@ -276,17 +277,17 @@
 	c.Key = q.Team + keySuffix
 	c.Class = q.Class
 	c.Most = q.Tokens
-	ctx, done := e.joined(ctx)
-	defer done()
+	ctx, release := e.withKill(ctx)
+	defer release()
 	a := c.Chat(ctx, class.Model, prompt)
-	t.answered(q.ID, a)
+	t.recordAnswer(q.ID, a)
 	return a
 }
 
 // Call calls a plain service and records the call and its answer.
 func (t *Simulation) Call(ctx context.Context, e *Entry, q Ask, method, path string) caller.Answer {
-	class, ok := t.Snapshot.Class(q.Class)
-	if !ok {
+	class, found := t.Snapshot.Class(q.Class)
+	if !found {
 		panic("simulation: no class " + q.Class)
 	}
 	path += "/" + Mark(q.ID)
@@ -298,18 +299,18 @@
 	c.Key = q.Team + keySuffix
 	c.Class = q.Class
 	c.Idem = q.Key
-	ctx, done := e.joined(ctx)
-	defer done()
+	ctx, release := e.withKill(ctx)
+	defer release()
 	a := c.Service(ctx, class.Service, method, path)
-	t.answered(q.ID, a)
+	t.recordAnswer(q.ID, a)
 	return a
 }
 
-func (t *Simulation) answered(id string, a caller.Answer) {
+func (t *Simulation) recordAnswer(id string, a caller.Answer) {
 	t.Recorder.Add(history.Answered{ID: id, Code: a.Code, Run: a.Run, Body: a.Body, At: time.Now()})
 }
 
-// keySuffix ends the bearer keys of the example teams.
+// keySuffix is the suffix of the bearer keys of the example teams.
 const keySuffix = "-key"
 
 // Ask is a request of a simulation.
@@ -318,7 +319,7 @@
 	Class  string
 	Team   string
 	Key    string // idempotency key
-	Copies int    // how often the same key is sent, 0 for once
+	Copies int    // number of requests with the same key, 0 for one
 	Prompt int    // bytes
 	Tokens int    // of the answer
 }
--- a/internal/testing/simulation/whole_answer_test.go
+++ b/internal/testing/simulation/whole_answer_test.go
@@ -15,18 +15,18 @@
 	"foxcross.dev/coord/result"
 )
 
-// An agent that dies mid-answer: the caller gets the whole answer all the same,
-// and no token is made twice.
+// TestWholeAnswerAfterACrash kills an agent during its answers. The callers get complete answers, and
+// no token is generated twice.
 func TestWholeAnswerAfterACrash(t *testing.T) {
-	deployment(t, trees.Ovenhuis, func(r *simulation.Simulation) history.Rules {
-		engines := []*standin.Engine{card(), card()}
+	runSimulation(t, trees.Ovenhuis, func(r *simulation.Simulation) history.Rules {
+		engines := []*standin.Engine{newEngine(), newEngine()}
 		agents := []*simulation.Agent{r.AddAgent("a", "glaze-8b", engines[0]), r.AddAgent("b", "glaze-8b", engines[1])}
 		e := r.AddEntry("e")
-		ready()
+		awaitAgents()
 		var all sync.WaitGroup
 		for n := range 8 {
 			all.Go(func() {
-				if a := r.Chat(background, e, glaze(fmt.Sprint(n), 100)); a.Code != result.OK {
+				if a := r.Chat(background, e, chatRequest(fmt.Sprint(n), 100)); a.Code != result.OK {
 					t.Errorf("request %d ended with %v", n, a.Code)
 				}
 			})
@@ -41,13 +41,14 @@
 	})
 }
 
-// An engine that stands still mid-answer: the answer goes on elsewhere.
+// TestWholeAnswerAfterAStall freezes an engine during its answer. The answer continues at another
+// engine.
 func TestWholeAnswerAfterAStall(t *testing.T) {
-	deployment(t, trees.Ovenhuis, func(r *simulation.Simulation) history.Rules {
-		engines := []*standin.Engine{card(), card()}
+	runSimulation(t, trees.Ovenhuis, func(r *simulation.Simulation) history.Rules {
+		engines := []*standin.Engine{newEngine(), newEngine()}
 		r.AddAgent("a", "glaze-8b", engines...)
 		e := r.AddEntry("e")
-		ready()
+		awaitAgents()
 		var thaw func()
 		time.AfterFunc(300*time.Millisecond, func() {
 			for _, x := range engines {
@@ -56,7 +57,7 @@
 				}
 			}
 		})
-		if a := r.Chat(background, e, glaze("1", 100)); a.Code != result.OK || a.Whole > 15*time.Second {
+		if a := r.Chat(background, e, chatRequest("1", 100)); a.Code != result.OK || a.Whole > 15*time.Second {
 			t.Errorf("ended with %v after %v", a.Code, a.Whole)
 		}
 		thaw()
@@ -64,16 +65,16 @@
 	})
 }
 
-// A caller that hangs up stops its work.
-func TestHangupStopsTheWork(t *testing.T) {
-	deployment(t, trees.Ovenhuis, func(r *simulation.Simulation) history.Rules {
-		engine := card()
+// TestCallerDisconnectStopsWork checks that the request of a caller that disconnects is stopped.
+func TestCallerDisconnectStopsWork(t *testing.T) {
+	runSimulation(t, trees.Ovenhuis, func(r *simulation.Simulation) history.Rules {
+		engine := newEngine()
 		r.AddAgent("hall", "glaze-8b", engine)
 		e := r.AddEntry("e")
-		ready()
+		awaitAgents()
 		ctx, cancel := context.WithTimeout(background, 200*time.Millisecond)
 		defer cancel()
-		r.Chat(ctx, e, glaze("1", 1000))
+		r.Chat(ctx, e, chatRequest("1", 1000))
 		time.Sleep(100 * time.Millisecond)
 		if n := engine.Running(); n != 0 {
 			t.Errorf("%d requests still run", n)
