--- a/internal/testing/fleet/backoff_test.go
+++ b/internal/testing/fleet/backoff_test.go
@@ -10,33 +10,34 @@
 	"foxcross.dev/foxcross/internal/testing/standin/platformtest"
 )
 
-// busyTime is how long endpoints work on a request where they are kept busy.
-const busyTime = 240 * time.Millisecond
+// busyDuration is the delay of responses in tests that need requests in flight.
+const busyDuration = 240 * time.Millisecond
 
-// entryOf returns which entry a request of askEachAtRate was sent to.
-func entryOf(target string) string {
+// targetEntry returns the entry that a target of requestKindAtRate names.
+func targetEntry(target string) string {
 	_, rest, _ := strings.Cut(strings.TrimPrefix(target, "/"), "/")
 	entry, _, _ := strings.Cut(rest, "/")
 	return entry
 }
 
-// Guards against entries that send to an endpoint that has asked them to back off.
-func TestEndpointIsNotSentRequestsDuringItsRetryAfter(t *testing.T) {
+// TestNoRequestsDuringRetryAfter guards against entries that send requests to an endpoint that has
+// asked them to back off.
+func TestNoRequestsDuringRetryAfter(t *testing.T) {
 	for _, kind := range []string{"page", "chat", "book"} {
 		t.Run(kind, func(t *testing.T) {
 			const perSecond = 100
 			f := newFleet(t, 5, 4)
-			f.respondWithin(busyTime)
-			f.askEachAtRate(kind, perSecond, time.Second)
-			pushing := f.endpoints()[0]
-			pushing.RefuseOnce(3*time.Second, func(q *http.Request) string { return entryOf(q.URL.Path) })
-			f.askEachAtRate(kind, perSecond, 4*time.Second)
-			checkBackoffs(t, pushing)
+			f.delayResponses(busyDuration)
+			f.requestKindAtRate(kind, perSecond, time.Second)
+			refusing := f.endpoints()[0]
+			refusing.RefuseOnce(3*time.Second, func(q *http.Request) string { return targetEntry(q.URL.Path) })
+			f.requestKindAtRate(kind, perSecond, 4*time.Second)
+			checkBackoffs(t, refusing)
 		})
 	}
 }
 
-// checkBackoffs holds what each entry sent an endpoint during its Retry-After to what is allowed.
+// checkBackoffs checks that no entry sent an endpoint more requests during a Retry-After than allowed.
 func checkBackoffs(t *testing.T, r *platformtest.Runner) {
 	t.Helper()
 	refusals := r.Refusals()
@@ -44,10 +45,10 @@
 		t.Fatal("no request was refused")
 	}
 	for _, refusal := range refusals {
-		entry := entryOf(refusal.Target)
+		entry := targetEntry(refusal.Target)
 		got := 0
 		for _, a := range r.Arrivals() {
-			if entryOf(a.Target) == entry && refusal.Counts(a.At) {
+			if targetEntry(a.Target) == entry && refusal.Counts(a.At) {
 				got++
 			}
 		}
@@ -58,45 +59,46 @@
 	}
 }
 
-// respondWithin lets all endpoints work so long on each request.
-func (f *fleet) respondWithin(lasts time.Duration) {
+// delayResponses makes all endpoints delay their responses.
+func (f *fleet) delayResponses(delay time.Duration) {
 	for _, r := range f.endpoints() {
 		r.SetRest(platformtest.ByPath{
 			Prefix: []string{"/chat/"},
-			Then:   platformtest.Delayed{By: lasts, Then: platformtest.Events{To: 3}},
-			Else:   platformtest.Delayed{By: lasts, Then: platformtest.Answer{Status: http.StatusOK, Body: "the whole answer"}},
+			Then:   platformtest.Delayed{By: delay, Then: platformtest.Events{To: 3}},
+			Else:   platformtest.Delayed{By: delay, Then: platformtest.Answer{Status: http.StatusOK, Body: "the whole answer"}},
 		})
 	}
 }
 
-// askEachAtRate sends requests to the entries in turn, whose target names the entry, and returns
-// when all are answered.
-func (f *fleet) askEachAtRate(kind string, perSecond int, lasts time.Duration) {
+// requestKindAtRate sends requests of a kind to the entries in turn, and returns when all are answered.
+// The target of each request names the entry.
+func (f *fleet) requestKindAtRate(kind string, perSecond int, duration time.Duration) {
 	f.t.Helper()
-	f.inTurn(perSecond, lasts, func(e *entry, n int) {
+	f.sendInTurn(perSecond, duration, func(e *entry, n int) {
 		target := fmt.Sprintf("/%s/%d/%d", kind, n%len(f.entries), n)
-		if a := f.ask(e, target, ""); a.status != http.StatusOK {
+		if a := f.request(e, target, ""); a.status != http.StatusOK {
 			f.t.Errorf("%s: status %d, code %s", target, a.status, a.header.Get("X-Foxcross-Code"))
 		}
 	})
 }
 
-// Guards against an endpoint that no entry uses since it has refused one of them.
-func TestRefusalOfOneEntryLeavesTheEndpointToTheOthers(t *testing.T) {
+// TestBackoffAppliesToOneEntry guards against entries that stop using an endpoint because it has
+// refused a request of another entry.
+func TestBackoffAppliesToOneEntry(t *testing.T) {
 	const perSecond = 100
 	f := newFleet(t, 5, 4)
-	pushing := f.endpoints()[0]
-	pushing.RefuseOnce(time.Second, func(*http.Request) string { return "any" })
-	f.askEachAtRate("page", perSecond, time.Second)
-	if n := len(pushing.Refusals()); n != 1 {
+	refusing := f.endpoints()[0]
+	refusing.RefuseOnce(time.Second, func(*http.Request) string { return "any" })
+	f.requestKindAtRate("page", perSecond, time.Second)
+	if n := len(refusing.Refusals()); n != 1 {
 		t.Fatalf("%d requests were refused", n)
 	}
-	refused := entryOf(pushing.Refusals()[0].Target)
-	before := len(pushing.Runs())
-	f.askEachAtRate("page", perSecond, time.Second)
+	refused := targetEntry(refusing.Refusals()[0].Target)
+	before := len(refusing.Runs())
+	f.requestKindAtRate("page", perSecond, time.Second)
 	byOthers := 0
-	for _, r := range pushing.Runs()[before:] {
-		if entryOf(r.Target) != refused {
+	for _, r := range refusing.Runs()[before:] {
+		if targetEntry(r.Target) != refused {
 			byOthers++
 		}
 	}
--- a/internal/testing/fleet/doc.go
+++ b/internal/testing/fleet/doc.go
@@ -1,4 +1,4 @@
-// Package fleet tests what several entries that tell each other of their attempts do together:
-// with requests that bring down the endpoints that run them, and with endpoints that name a limit
-// of their own. All is in one process, over loopback.
+// Package fleet tests several entries that exchange events about their attempts: with requests that
+// crash the endpoints that run them, and with endpoints that name a limit, ask for a backoff or drain.
+// All run in one process, over loopback.
 package fleet
--- a/internal/testing/fleet/drain_test.go
+++ b/internal/testing/fleet/drain_test.go
@@ -7,24 +7,26 @@
 	"foxcross.dev/foxcross/internal/testing/standin/platformtest"
 )
 
-// leaveWithin is the time after the first sign of draining in which an endpoint may get requests.
-const leaveWithin = time.Second
+// drainGracePeriod is the time after the first response that announces draining in which an endpoint
+// may still get requests.
+const drainGracePeriod = time.Second
 
-// Guards against requests to an endpoint that drains by its responses and is ready by its record.
-func TestDrainingEndpointGetsNothingAfterTheGracePeriod(t *testing.T) {
+// TestDrainingEndpointGetsNoRequestsAfterGracePeriod guards against requests to an endpoint that drains
+// according to its responses although its record says that it is ready.
+func TestDrainingEndpointGetsNoRequestsAfterGracePeriod(t *testing.T) {
 	const perSecond = 100
 	f := newFleet(t, 5, 4)
-	f.respondWithin(busyTime)
+	f.delayResponses(busyDuration)
 	draining := f.endpoints()[0]
 	draining.Drain("1")
 	for _, e := range f.entries[:1] {
-		f.eventually("the entry has passed such a response on", func() bool {
-			return f.ask(e, "/page/first", "").header.Get(platformtest.DrainingField) != ""
+		f.eventually("the entry has passed on a response that announces draining", func() bool {
+			return f.request(e, "/page/first", "").header.Get(platformtest.DrainingField) != ""
 		})
 	}
-	from := time.Now().Add(leaveWithin)
-	f.askEachAtRate("page", perSecond, leaveWithin+2*time.Second)
-	if late := times(draining, from); len(late) > 0 {
-		t.Errorf("it got %d requests, the last one %v after the grace period", len(late), late[len(late)-1].Sub(from))
+	from := time.Now().Add(drainGracePeriod)
+	f.requestKindAtRate("page", perSecond, drainGracePeriod+2*time.Second)
+	if late := arrivalTimes(draining, from); len(late) > 0 {
+		t.Errorf("got %d requests after the grace period, the last one %v after it", len(late), late[len(late)-1].Sub(from))
 	}
 }
--- a/internal/testing/fleet/fleet_test.go
+++ b/internal/testing/fleet/fleet_test.go
@@ -28,16 +28,16 @@
 	host    = "studio.example"
 	service = "pool"
 	teamKey = "key-of-a-team"
-	// crashing is the path below which a request crashes the endpoint that runs it.
-	crashing = "/chat/crash"
-	// crashingOnce is the same for what may not run twice.
-	crashingOnce = "/book/crash"
+	// crashingPath is the path prefix of requests that crash the endpoint that runs them.
+	crashingPath = "/chat/crash"
+	// crashingOncePath is the same for requests that must not run twice.
+	crashingOncePath = "/book/crash"
 )
 
-// patience bounds the wait for a condition; it is long since CI may be busy.
-const patience = 20 * time.Second
+// conditionTimeout bounds the wait for a condition. It is long because CI machines may be busy.
+const conditionTimeout = 20 * time.Second
 
-// TestMain keeps the log out of the way.
+// TestMain discards the log.
 func TestMain(m *testing.M) {
 	if err := logs.Setup(io.Discard, "json", "error"); err != nil {
 		fmt.Println(err)
@@ -46,16 +46,16 @@
 	os.Exit(m.Run())
 }
 
-// fleet is a platform, entries that tell each other of their attempts, and endpoints. An
-// endpoint that crashes comes back under its id.
+// fleet is a stand-in platform with entries, which exchange events about their attempts, and
+// endpoints. An endpoint that crashes is restarted under its id.
 type fleet struct {
-	t       *testing.T
-	store   *platformtest.Store
-	entries []*entry
-	client  *http.Client
-	ids     atomic.Int64
-	crashes atomic.Int64 // of endpoints
-	over    chan struct{}
+	t            *testing.T
+	store        *platformtest.Store
+	entries      []*entry
+	client       *http.Client
+	requestCount atomic.Int64
+	crashes      atomic.Int64 // of endpoints
+	stopped      chan struct{}
 
 	mu      sync.Mutex
 	serving []*platformtest.Runner
@@ -64,19 +64,19 @@
 // entry is one gateway of the fleet.
 type entry struct {
 	gateway *gateway.Gateway
-	group   *peers.Group // nil for one that hears of no other
+	group   *peers.Group // nil for an entry that receives no events
 	address string
-	end     func()
+	stop    func()
 }
 
-// newFleet starts endpoints and entries, and waits until all know of all.
+// newFleet starts endpoints and entries, and waits until each entry lists all of them.
 func newFleet(t *testing.T, entries, endpoints int) *fleet {
 	t.Helper()
-	f := &fleet{t: t, store: platformtest.NewStore(), over: make(chan struct{}), client: &http.Client{
+	f := &fleet{t: t, store: platformtest.NewStore(), stopped: make(chan struct{}), client: &http.Client{
 		Transport: &http.Transport{DisableCompression: true, DisableKeepAlives: true},
 	}}
 	t.Cleanup(f.store.Close)
-	t.Cleanup(func() { close(f.over) })
+	t.Cleanup(func() { close(f.stopped) })
 	f.configure()
 	for n := range endpoints {
 		f.addEndpoint(fmt.Sprint("i-", n+1), 1)
@@ -112,10 +112,10 @@
 	})
 }
 
-// addEndpoint starts an endpoint, which starts again when it crashes.
+// addEndpoint starts an endpoint, which is restarted when it crashes.
 func (f *fleet) addEndpoint(id string, born int64) {
 	r := platformtest.NewRunner(id, service, platformtest.ByPath{
-		Prefix: []string{crashing, crashingOnce},
+		Prefix: []string{crashingPath, crashingOncePath},
 		Then:   platformtest.Crash{},
 		Else: platformtest.ByPath{
 			Prefix: []string{"/chat/"},
@@ -130,7 +130,7 @@
 	f.store.Enter(r, "ready")
 	go func() {
 		select {
-		case <-f.over:
+		case <-f.stopped:
 			r.Close()
 		case <-r.Ended():
 			f.crashes.Add(1)
@@ -149,25 +149,25 @@
 	return slices.Clone(f.serving)
 }
 
-// addEntry starts an entry, with others to hear of or alone.
-func (f *fleet) addEntry(hears bool) *entry {
+// addEntry starts an entry. If joinGroup is false, it exchanges no events with the others.
+func (f *fleet) addEntry(joinGroup bool) *entry {
 	f.t.Helper()
 	owner := uint64(len(f.entries) + 1)
 	factory, err := driver.Drivers.Get("fleet")
-	f.check(err)
+	f.mustSucceed(err)
 	platform := factory()
 	process := driver.Process{
 		Name: fmt.Sprintf("entry-%d", owner), DataCentre: "zone-1", Source: f.store.Address(),
 		Bounds: driver.Bounds{
 			StopGrace: 4 * time.Second, RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 500,
-			ReuseWithin: 10 * time.Second, LeaveWithin: leaveWithin,
+			ReuseWithin: 10 * time.Second, LeaveWithin: drainGracePeriod,
 		},
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	e := &entry{gateway: gateway.New(gateway.Options{
 		Process: process, Driver: platform, Owner: owner, Seed: owner, Records: platform.Records(process),
 	})}
-	if hears {
+	if joinGroup {
 		e.group = f.join(ctx, e.gateway, owner)
 	}
 	go e.gateway.Directory().Follow(ctx, platform.Store(process, func() {}))
@@ -175,17 +175,17 @@
 	f.eventually("the entry is ready", e.gateway.Ready)
 	e.address = freeAddress(f.t)
 	server, err := e.gateway.Serve(e.address)
-	f.check(err)
-	e.end = func() {
+	f.mustSucceed(err)
+	e.stop = func() {
 		cancel()
 		_ = server.Close() // the test is over
 	}
-	f.t.Cleanup(e.end)
+	f.t.Cleanup(e.stop)
 	f.entries = append(f.entries, e)
 	return e
 }
 
-// join lets an entry hear of the others and they of it.
+// join connects an entry with the others so that they exchange events.
 func (f *fleet) join(ctx context.Context, g *gateway.Gateway, owner uint64) *peers.Group {
 	f.t.Helper()
 	var seeds []string
@@ -199,14 +199,14 @@
 		Name: fmt.Sprintf("entry-%d", owner), Address: address, Owner: owner, Seeds: seeds,
 		Listener: g.Listener(), Directory: g.Directory(), DataCentre: "zone-1",
 		Fetch: func(ctx context.Context, from string, p peers.Part) {
-			_ = peers.FetchState(ctx, g.Directory(), from, p) // it is tried again
+			_ = peers.FetchState(ctx, g.Directory(), from, p) // it is retried
 		},
 	})
-	f.check(err)
+	f.mustSucceed(err)
 	mux := http.NewServeMux()
 	mux.Handle("/", peers.StateHandler(g.Directory()))
 	mux.Handle(peers.SnapshotPath, peers.SnapshotHandler(g.Snapshot))
-	server := &http.Server{Addr: address, Handler: mux, ReadHeaderTimeout: patience}
+	server := &http.Server{Addr: address, Handler: mux, ReadHeaderTimeout: conditionTimeout}
 	go func() { _ = server.ListenAndServe() }() // ends with the test
 	f.t.Cleanup(func() { _ = server.Close() })  // the test is over
 	g.Join(group)
@@ -220,79 +220,79 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = l.Close() }() // the address is free again
+	defer func() { _ = l.Close() }() // releases the address
 	return l.Addr().String()
 }
 
-func (f *fleet) check(err error) {
+func (f *fleet) mustSucceed(err error) {
 	f.t.Helper()
 	if err != nil {
 		f.t.Fatal(err)
 	}
 }
 
-// eventually waits for a condition.
-func (f *fleet) eventually(what string, holds func() bool) {
+// eventually waits until a condition holds and fails the test after conditionTimeout.
+func (f *fleet) eventually(what string, condition func() bool) {
 	f.t.Helper()
-	for end := time.Now().Add(patience); !holds(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(conditionTimeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			for _, e := range f.entries {
 				f.t.Logf("%+v", e.gateway.Dump().Contents)
 			}
-			f.t.Fatalf("it does not come to pass that %s", what)
+			f.t.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
 
-// reply is what a caller got.
-type reply struct {
-	status int // 0 for a connection that broke
+// response is the answer that a caller received.
+type response struct {
+	status int // 0 if the connection broke
 	header http.Header
 	body   string
 }
 
-// ask sends a request to an entry, on a new connection.
-func (f *fleet) ask(e *entry, target, body string) reply {
+// request sends a request to an entry, over a new connection.
+func (f *fleet) request(e *entry, target, body string) response {
 	f.t.Helper()
-	return f.askFor(context.Background(), e, target, body)
+	return f.requestWithContext(context.Background(), e, target, body)
 }
 
-// askFor is ask by a caller that leaves when ctx ends.
-func (f *fleet) askFor(ctx context.Context, e *entry, target, body string) reply {
+// requestWithContext is request by a caller that disconnects when ctx ends.
+func (f *fleet) requestWithContext(ctx context.Context, e *entry, target, body string) response {
 	f.t.Helper()
 	q, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+e.address+target, bytes.NewBufferString(body))
-	f.check(err)
+	f.mustSucceed(err)
 	q.Host = host
-	q.Header.Set(platformtest.RequestIDField, fmt.Sprintf("id-%d", f.ids.Add(1)))
+	q.Header.Set(platformtest.RequestIDField, fmt.Sprintf("id-%d", f.requestCount.Add(1)))
 	q.Header.Set(platformtest.DeadlineField, "15000")
 	q.Header.Set(platformtest.KeyField, teamKey)
 	a, err := f.client.Do(q)
 	if err != nil {
-		return reply{}
+		return response{}
 	}
-	defer func() { _ = a.Body.Close() }() // it was read
+	defer func() { _ = a.Body.Close() }() // it has been read
 	data, err := io.ReadAll(a.Body)
 	if err != nil {
-		return reply{}
+		return response{}
 	}
-	return reply{status: a.StatusCode, header: a.Header, body: string(data)}
+	return response{status: a.StatusCode, header: a.Header, body: string(data)}
 }
 
-// isRefused tells whether a request was kept from endpoints: not run, with the time to come
-// back.
-func (r reply) isRefused() bool {
+// isQuarantined reports whether a request was refused because its content is quarantined: not run, with
+// a Retry-After.
+func (r response) isQuarantined() bool {
 	return r.status == http.StatusServiceUnavailable && r.header.Get("X-Foxcross-Code") == "1307" &&
 		r.header.Get("X-Foxcross-Run") == "not run" && r.header.Get("Retry-After") != ""
 }
 
-// askUntilHeld sends a request to an entry until it is refused.
-func (f *fleet) askUntilHeld(e *entry, target string) {
+// requestUntilQuarantined repeats a request at an entry until it is refused as quarantined.
+func (f *fleet) requestUntilQuarantined(e *entry, target string) {
 	f.t.Helper()
-	f.eventually(target+" is refused", func() bool { return f.ask(e, target, "crashes what runs it").isRefused() })
+	f.eventually(target+" is refused", func() bool { return f.request(e, target, "crashes what runs it").isQuarantined() })
 }
 
-// eventuallyHeld waits until an entry holds so many contents.
-func (f *fleet) eventuallyHeld(e *entry, contents int) {
+// awaitQuarantined waits until an entry has a number of quarantined contents.
+func (f *fleet) awaitQuarantined(e *entry, contents int) {
 	f.t.Helper()
-	f.eventually(fmt.Sprint(contents, " contents are held"), func() bool { return e.gateway.Dump().Held == contents })
+	f.eventually(fmt.Sprint(contents, " contents are quarantined"), func() bool { return e.gateway.Dump().Held == contents })
 }
--- a/internal/testing/fleet/hearing_test.go
+++ b/internal/testing/fleet/hearing_test.go
@@ -12,160 +12,161 @@
 	"foxcross.dev/foxcross/internal/testing/standin/platformtest"
 )
 
-// TestOthersHear holds that a content which one entry knows of is refused at all, and that
-// no more than three endpoints crash under it.
-func TestOthersHear(t *testing.T) {
+// TestOtherEntriesLearnQuarantine checks that a content that one entry has quarantined is refused at all
+// entries, and that three endpoints crash under it.
+func TestOtherEntriesLearnQuarantine(t *testing.T) {
 	f := newFleet(t, 4, 4)
-	for _, target := range []string{crashing, crashingOnce} {
+	for _, target := range []string{crashingPath, crashingOncePath} {
 		before := f.crashes.Load()
-		f.askUntilHeld(f.entries[0], target)
+		f.requestUntilQuarantined(f.entries[0], target)
 		if n := f.crashes.Load() - before; n != 3 {
-			t.Errorf("%s: %d endpoints have crashed until it was known", target, n)
+			t.Errorf("%s: %d endpoints have crashed before the quarantine", target, n)
 		}
 	}
 	for _, e := range f.entries {
-		f.eventuallyHeld(e, 2)
+		f.awaitQuarantined(e, 2)
 	}
 	before := f.crashes.Load()
 	for _, e := range f.entries {
-		if a := f.ask(e, crashing, "crashes what runs it"); !a.isRefused() {
+		if a := f.request(e, crashingPath, "crashes what runs it"); !a.isQuarantined() {
 			t.Errorf("answered %d %v", a.status, a.header)
 		}
 	}
 	if n := f.crashes.Load() - before; n != 0 {
-		t.Errorf("%d endpoints have crashed under what all know of", n)
+		t.Errorf("%d endpoints have crashed under a quarantined content", n)
 	}
-	if a := f.ask(f.entries[0], crashing, "another body"); a.isRefused() {
+	if a := f.request(f.entries[0], crashingPath, "another body"); a.isQuarantined() {
 		t.Error("another content is refused")
 	}
 }
 
-// TestEntryThatStarts holds that an entry which starts knows what the others do by the snapshot
-// of one of them. It hears of no other one, since it could be told again by them.
-func TestEntryThatStarts(t *testing.T) {
+// TestNewEntryRestoresQuarantine checks that a new entry restores the quarantine from the snapshot of
+// another entry. It does not join the group, whose members could send it the same events.
+func TestNewEntryRestoresQuarantine(t *testing.T) {
 	f := newFleet(t, 2, 4)
-	f.askUntilHeld(f.entries[0], crashing)
+	f.requestUntilQuarantined(f.entries[0], crashingPath)
 	e := f.addEntry(false)
 	data, err := f.entries[0].gateway.Snapshot()
-	f.check(err)
-	f.check(e.gateway.Restore(data))
-	f.isKnownAt(e)
+	f.mustSucceed(err)
+	f.mustSucceed(e.gateway.Restore(data))
+	f.checkQuarantinedAt(e)
 }
 
-// TestEntryThatHearsNoOther holds that an entry which is cut off from the others, and in
-// touch with the store, sends a content once and then knows of it.
-func TestEntryThatHearsNoOther(t *testing.T) {
+// TestIsolatedEntryLearnsFromStore checks that an entry that reaches the store but no other entry
+// forwards a quarantined content at most once.
+func TestIsolatedEntryLearnsFromStore(t *testing.T) {
 	f := newFleet(t, 2, 4)
-	f.askUntilHeld(f.entries[0], crashing)
-	f.eventuallyRecorded(1)
+	f.requestUntilQuarantined(f.entries[0], crashingPath)
+	f.awaitRecorded(1)
 	alone := f.addEntry(false)
 	before := f.crashes.Load()
-	f.askUntilHeld(alone, crashing)
+	f.requestUntilQuarantined(alone, crashingPath)
 	if n := f.crashes.Load() - before; n != 1 {
-		t.Errorf("%d endpoints have crashed under what the store knows of", n)
+		t.Errorf("%d endpoints have crashed under a content that the store records", n)
 	}
 }
 
-// TestLossOfAllEntries holds that what is held outlasts all entries.
-func TestLossOfAllEntries(t *testing.T) {
+// TestQuarantineOutlastsAllEntries checks that the quarantine survives the loss of all entries.
+func TestQuarantineOutlastsAllEntries(t *testing.T) {
 	f := newFleet(t, 2, 4)
-	f.askUntilHeld(f.entries[0], crashing)
-	f.eventuallyRecorded(1)
+	f.requestUntilQuarantined(f.entries[0], crashingPath)
+	f.awaitRecorded(1)
 	for _, e := range f.entries {
-		e.end()
+		e.stop()
 	}
 	f.entries = nil
 	first, second := f.addEntry(true), f.addEntry(true)
 	for _, e := range f.entries {
-		f.eventually("they have met", func() bool { return e.gateway.Dump().Entries == 2 })
+		f.eventually("the entries have joined", func() bool { return e.gateway.Dump().Entries == 2 })
 	}
 	first.gateway.LearnHeld(context.Background())
-	f.isKnownAt(first)
-	f.isKnownAt(second)
+	f.checkQuarantinedAt(first)
+	f.checkQuarantinedAt(second)
 }
 
-// TestTrial holds that one request tries a content whose hold is over, however many ask for
-// it, at however many entries.
+// TestTrial checks that exactly one of many concurrent requests, at several entries, runs a content
+// whose quarantine has expired.
 func TestTrial(t *testing.T) {
 	f := newFleet(t, 3, 4)
-	f.holdOver(crashing)
-	f.askAtOnce(crashing)
+	f.expireQuarantine(crashingPath)
+	f.requestConcurrently(crashingPath)
 	if n := f.crashes.Load(); n != 1 {
-		t.Errorf("%d endpoints have crashed at the trial", n)
+		t.Errorf("%d endpoints have crashed in the trial", n)
 	}
 	for _, e := range f.entries {
-		f.eventually("it is held for longer", func() bool {
+		f.eventually("the quarantine is extended", func() bool {
 			d := e.gateway.Dump()
 			return len(d.Contents) == 1 && d.Contents[0].ForMS > 200_000
 		})
 	}
-	f.eventuallyRecorded(1)
+	f.awaitRecorded(1)
 }
 
-// TestTrialThatSucceeds holds that a content is cleared at all entries by a trial that
-// succeeds.
+// TestTrialThatSucceeds checks that a successful trial clears a content at all entries.
 func TestTrialThatSucceeds(t *testing.T) {
 	f := newFleet(t, 3, 4)
-	f.holdOver("/chat/mended")
-	f.askAtOnce("/chat/mended")
+	f.expireQuarantine("/chat/mended")
+	f.requestConcurrently("/chat/mended")
 	for _, e := range f.entries {
-		f.eventuallyHeld(e, 0)
+		f.awaitQuarantined(e, 0)
 	}
-	f.eventuallyRecorded(0)
+	f.awaitRecorded(0)
 }
 
-// TestTrialBesideAnotherThatSucceeded lets a content through, by another entry, while a trial of it
-// is under way here. Of two entries that tried at once the second wrote its record after the first
-// had dropped its own; nobody took it out, so that whoever started later held what was cleared. Seen once, as
-// TestTrialThatSucceeds under load.
-func TestTrialBesideAnotherThatSucceeded(t *testing.T) {
+// TestConcurrentSuccessClearsTrialRecord clears a content by an event of another entry while a trial of
+// it runs here. It guards against a stale record in the store: of two entries that run a trial at the
+// same time the second writes its record after the first has deleted its own. If nobody deletes that
+// record, entries that start later quarantine a cleared content. The same fault makes
+// TestTrialThatSucceeds fail under load.
+func TestConcurrentSuccessClearsTrialRecord(t *testing.T) {
 	f := newFleet(t, 1, 1)
-	f.holdOver("/chat/mended")
+	f.expireQuarantine("/chat/mended")
 	hold := make(chan struct{})
 	f.endpoints()[0].Next(platformtest.Events{To: 3, Hold: hold})
-	answered := make(chan reply, 1)
-	go func() { answered <- f.ask(f.entries[0], "/chat/mended", "crashes what runs it") }()
-	f.eventuallyRecorded(1)
-	f.eventually("it runs", func() bool { return len(f.endpoints()[0].Runs()) == 1 })
+	answered := make(chan response, 1)
+	go func() { answered <- f.request(f.entries[0], "/chat/mended", "crashes what runs it") }()
+	f.awaitRecorded(1)
+	f.eventually("the trial runs", func() bool { return len(f.endpoints()[0].Runs()) == 1 })
 	k := quarantine.KeyOf("studio-1", "POST", host+"/chat/mended", []byte("crashes what runs it"))
 	cleared := peers.Event{Kind: peers.ContentCleared, Runs: []quarantine.RunReport{{Content: k[:]}}}
 	f.entries[0].gateway.Listener().TakeEvents(99, []peers.Event{cleared})
-	f.eventuallyHeld(f.entries[0], 0)
+	f.awaitQuarantined(f.entries[0], 0)
 	close(hold)
 	if a := <-answered; a.status != http.StatusOK {
 		t.Errorf("answered %d", a.status)
 	}
-	f.eventuallyRecorded(0)
+	f.awaitRecorded(0)
 }
 
-// TestTrialThatReachesNoEndpoint holds that a trial which tells nothing is given back: the
-// content is tried again once an endpoint can be reached.
+// TestTrialThatReachesNoEndpoint checks that a trial without a result is released: the content is
+// tried again once an endpoint can be reached.
 func TestTrialThatReachesNoEndpoint(t *testing.T) {
 	f := newFleet(t, 2, 1)
-	f.holdOver("/chat/mended")
+	f.expireQuarantine("/chat/mended")
 	f.store.Put("servers/i-1", map[string]any{
 		"backend": service, "address": freeAddress(t), "zone": "zone-1", "slots": 8, "state": "ready",
 	})
 	for _, e := range f.entries {
 		f.eventually("the address has changed", func() bool { return e.gateway.Directory().Endpoints().List[0].Born == 0 })
 	}
-	if a := f.ask(f.entries[0], "/chat/mended", "crashes what runs it"); a.status != http.StatusServiceUnavailable {
+	if a := f.request(f.entries[0], "/chat/mended", "crashes what runs it"); a.status != http.StatusServiceUnavailable {
 		t.Errorf("answered %d", a.status)
 	}
 	f.store.Enter(f.endpoints()[0], "ready")
 	for _, e := range f.entries {
-		f.eventually("it is served", func() bool {
-			return f.ask(e, "/chat/mended", "crashes what runs it").status == http.StatusOK
+		f.eventually("the content is served", func() bool {
+			return f.request(e, "/chat/mended", "crashes what runs it").status == http.StatusOK
 		})
 	}
 }
 
-// TestTrialGoesOnToTheNextEndpoint holds that a trial whose first endpoint can't be reached is
-// not over: nobody else may try meanwhile, and its caller would be refused for nothing.
-func TestTrialGoesOnToTheNextEndpoint(t *testing.T) {
+// TestTrialContinuesAtNextEndpoint checks that a trial whose first endpoint can't be reached continues
+// at another one. Otherwise its caller would be refused without need, since no other request may try
+// the content in the meantime.
+func TestTrialContinuesAtNextEndpoint(t *testing.T) {
 	const unreachable = 3
 	f := newFleet(t, 1, unreachable+1)
-	f.holdOver("/chat/mended")
+	f.expireQuarantine("/chat/mended")
 	for n := range unreachable {
 		f.store.Put(fmt.Sprint("servers/i-", n+1), map[string]any{
 			"backend": service, "address": freeAddress(t), "zone": "zone-1", "slots": 8, "state": "ready",
@@ -181,19 +182,19 @@
 		}
 		return changed == unreachable
 	})
-	if a := f.ask(e, "/chat/mended", "crashes what runs it"); a.status != http.StatusOK {
+	if a := f.request(e, "/chat/mended", "crashes what runs it"); a.status != http.StatusOK {
 		t.Errorf("answered %d", a.status)
 	}
 }
 
-// TestNoTrialWithoutTheStore holds that a content stays held while nobody can agree on who
-// tries it.
+// TestNoTrialWithoutTheStore checks that a content stays quarantined while the entries cannot agree
+// which of them runs the trial.
 func TestNoTrialWithoutTheStore(t *testing.T) {
 	f := newFleet(t, 2, 2)
-	f.holdOver(crashing)
+	f.expireQuarantine(crashingPath)
 	f.store.SetFault(platformtest.Busy)
 	for _, e := range f.entries {
-		if a := f.ask(e, crashing, "crashes what runs it"); !a.isRefused() {
+		if a := f.request(e, crashingPath, "crashes what runs it"); !a.isQuarantined() {
 			t.Errorf("answered %d %v", a.status, a.header)
 		}
 	}
@@ -202,54 +203,54 @@
 	}
 }
 
-// TestRelease holds that an operator lets a content through at all entries.
+// TestRelease checks that an operator can release a content at all entries.
 func TestRelease(t *testing.T) {
 	f := newFleet(t, 2, 4)
-	f.askUntilHeld(f.entries[0], crashing)
-	f.eventuallyHeld(f.entries[1], 1)
-	f.eventuallyRecorded(1)
+	f.requestUntilQuarantined(f.entries[0], crashingPath)
+	f.awaitQuarantined(f.entries[1], 1)
+	f.awaitRecorded(1)
 	content := f.entries[1].gateway.Dump().Contents[0].Content
 	if !f.entries[1].gateway.ReleaseContent(content) {
-		t.Error("nothing was held")
+		t.Error("the content was not quarantined")
 	}
 	for _, e := range f.entries {
-		f.eventuallyHeld(e, 0)
+		f.awaitQuarantined(e, 0)
 	}
-	f.eventuallyRecorded(0)
+	f.awaitRecorded(0)
 }
 
-// askAtOnce lets many ask for a content at all entries in the same moment.
-func (f *fleet) askAtOnce(target string) {
-	const asking = 12
-	var all sync.WaitGroup
-	for n := range asking {
-		all.Go(func() { f.ask(f.entries[n%len(f.entries)], target, "crashes what runs it") })
+// requestConcurrently sends many requests for a content at once, at all entries.
+func (f *fleet) requestConcurrently(target string) {
+	const requests = 12
+	var pending sync.WaitGroup
+	for n := range requests {
+		pending.Go(func() { f.request(f.entries[n%len(f.entries)], target, "crashes what runs it") })
 	}
-	all.Wait()
+	pending.Wait()
 }
 
-// holdOver lets all entries believe that a content was held, and is not any more.
-func (f *fleet) holdOver(target string) {
+// expireQuarantine sends all entries the event of a quarantine that has expired.
+func (f *fleet) expireQuarantine(target string) {
 	f.t.Helper()
 	k := quarantine.KeyOf("studio-1", "POST", host+target, []byte("crashes what runs it"))
-	told := peers.Event{Kind: peers.ContentHeld, Holds: []quarantine.HoldReport{{Content: k[:], Crashes: 3, ForMS: 0}}}
+	event := peers.Event{Kind: peers.ContentHeld, Holds: []quarantine.HoldReport{{Content: k[:], Crashes: 3, ForMS: 0}}}
 	for _, e := range f.entries {
-		e.gateway.Listener().TakeEvents(99, []peers.Event{told})
+		e.gateway.Listener().TakeEvents(99, []peers.Event{event})
 	}
 }
 
-// isKnownAt waits until an entry holds a content, and expects that it refuses it.
-func (f *fleet) isKnownAt(e *entry) {
+// checkQuarantinedAt waits until an entry has quarantined a content, and checks that it refuses it.
+func (f *fleet) checkQuarantinedAt(e *entry) {
 	f.t.Helper()
-	f.eventuallyHeld(e, 1)
+	f.awaitQuarantined(e, 1)
 	before := f.crashes.Load()
-	if a := f.ask(e, crashing, "crashes what runs it"); !a.isRefused() || f.crashes.Load() != before {
+	if a := f.request(e, crashingPath, "crashes what runs it"); !a.isQuarantined() || f.crashes.Load() != before {
 		f.t.Errorf("answered %d, %d endpoints crashed", a.status, f.crashes.Load()-before)
 	}
 }
 
-// eventuallyRecorded waits until the store has so many records of held contents.
-func (f *fleet) eventuallyRecorded(contents int) {
+// awaitRecorded waits until the store has a number of records of quarantined contents.
+func (f *fleet) awaitRecorded(contents int) {
 	f.t.Helper()
-	f.eventually("the held contents are recorded", func() bool { return len(f.store.Keys("foxcross/quarantine/")) == contents })
+	f.eventually("the quarantined contents are recorded", func() bool { return len(f.store.Keys("foxcross/quarantine/")) == contents })
 }
--- a/internal/testing/fleet/limits_test.go
+++ b/internal/testing/fleet/limits_test.go
@@ -11,12 +11,13 @@
 	"foxcross.dev/foxcross/internal/testing/standin/platformtest"
 )
 
-// toldBefore is how long after an entry has passed such an answer on its requests count.
-const toldBefore = 500 * time.Millisecond
+// limitGracePeriod is the time after an entry has passed on an answer that names a limit until its
+// requests count.
+const limitGracePeriod = 500 * time.Millisecond
 
-// TestEndpointIsNotSentMoreThanItNames guards against entries that go on sending to an endpoint
-// as if its answers named no limit.
-func TestEndpointIsNotSentMoreThanItNames(t *testing.T) {
+// TestNamedLimitIsKept guards against entries that ignore the limit that an endpoint names in its
+// answers.
+func TestNamedLimitIsKept(t *testing.T) {
 	const (
 		limit     = 2.0
 		perSecond = 60
@@ -26,44 +27,44 @@
 	limited := f.endpoints()[0]
 	limited.NameLimit(strconv.FormatFloat(limit, 'f', -1, 64))
 	for _, e := range f.entries {
-		f.eventually("the entry has passed such an answer on", func() bool {
-			return f.ask(e, "/page/first", "").header.Get(platformtest.LimitField) != ""
+		f.eventually("the entry has passed on an answer that names a limit", func() bool {
+			return f.request(e, "/page/first", "").header.Get(platformtest.LimitField) != ""
 		})
 	}
-	from := time.Now().Add(toldBefore)
-	f.askAtRate(perSecond, lasts)
-	most := platformtest.MostWithin(times(limited, from), platformtest.LimitWindow)
+	from := time.Now().Add(limitGracePeriod)
+	f.requestPagesAtRate(perSecond, lasts)
+	most := platformtest.MostWithin(arrivalTimes(limited, from), platformtest.LimitWindow)
 	t.Logf("at most %d requests in %v", most, platformtest.LimitWindow)
 	if allowed := platformtest.Borne(limit); float64(most) > allowed {
-		t.Errorf("an endpoint that names a limit of %g a second got %d requests in %v, of %.0f", limit, most, platformtest.LimitWindow, allowed)
+		t.Errorf("an endpoint that names a limit of %g a second got %d requests in %v, allowed are %.0f", limit, most, platformtest.LimitWindow, allowed)
 	}
 }
 
-// askAtRate sends requests to the entries in turn, and returns when all are answered.
-func (f *fleet) askAtRate(perSecond int, lasts time.Duration) {
+// requestPagesAtRate sends requests for pages to the entries in turn, and returns when all are answered.
+func (f *fleet) requestPagesAtRate(perSecond int, duration time.Duration) {
 	f.t.Helper()
-	f.inTurn(perSecond, lasts, func(e *entry, n int) {
-		if a := f.ask(e, fmt.Sprint("/page/", n), ""); a.status != http.StatusOK {
+	f.sendInTurn(perSecond, duration, func(e *entry, n int) {
+		if a := f.request(e, fmt.Sprint("/page/", n), ""); a.status != http.StatusOK {
 			f.t.Errorf("request %d: status %d, code %s", n, a.status, a.header.Get("X-Foxcross-Code"))
 		}
 	})
 }
 
-// inTurn does something with the entries in turn, so many times a second, and returns when all is
-// done.
-func (f *fleet) inTurn(perSecond int, lasts time.Duration, do func(e *entry, n int)) {
-	var doing sync.WaitGroup
+// sendInTurn calls send with the entries in turn, perSecond times a second, and returns when all calls
+// have returned.
+func (f *fleet) sendInTurn(perSecond int, duration time.Duration, send func(e *entry, n int)) {
+	var pending sync.WaitGroup
 	ticker := time.NewTicker(time.Second / time.Duration(perSecond))
 	defer ticker.Stop()
-	for n := range int(lasts.Seconds() * float64(perSecond)) {
+	for n := range int(duration.Seconds() * float64(perSecond)) {
 		<-ticker.C
-		doing.Go(func() { do(f.entries[n%len(f.entries)], n) })
+		pending.Go(func() { send(f.entries[n%len(f.entries)], n) })
 	}
-	doing.Wait()
+	pending.Wait()
 }
 
-// times returns when an endpoint got requests, from a moment on.
-func times(r *platformtest.Runner, from time.Time) []time.Time {
+// arrivalTimes returns the times of the runs at an endpoint since from.
+func arrivalTimes(r *platformtest.Runner, from time.Time) []time.Time {
 	var all []time.Time
 	for _, run := range r.Runs() {
 		if !run.At.Before(from) {
--- a/internal/testing/fleet/together_test.go
+++ b/internal/testing/fleet/together_test.go
@@ -10,94 +10,94 @@
 	"foxcross.dev/foxcross/internal/testing/standin/platformtest"
 )
 
-// longRun is longer than entries take to tell each other of a crash: what began after a crash is
-// told from what began before by when it was heard of.
-const longRun = 200 * time.Millisecond
+// longRunDuration is longer than the delivery of a crash event. Runs that begin after a crash are
+// distinguished from earlier ones by the time at which their events arrive.
+const longRunDuration = 200 * time.Millisecond
 
-// TestManyAtOnce lets many ask for a content that crashes what runs it in the same moment, at all
-// entries, so that all endpoints crash together. When they ask again, one of them tries it.
-func TestManyAtOnce(t *testing.T) {
+// TestConcurrentCrashes sends concurrent requests for a content that crashes its endpoints, at all
+// entries, so that all endpoints crash at once. Of the requests that follow only one runs the content.
+func TestConcurrentCrashes(t *testing.T) {
 	f := newFleet(t, 4, 8)
-	f.askAtOnce(crashing)
-	f.allHold(crashing)
+	f.requestConcurrently(crashingPath)
+	f.awaitAllQuarantined(crashingPath)
 	before := f.crashes.Load()
-	f.askAtOnce(crashing)
+	f.requestConcurrently(crashingPath)
 	if n := f.crashes.Load() - before; n > 1 {
-		t.Errorf("%d endpoints have crashed when it was asked for again", n)
+		t.Errorf("%d endpoints have crashed when the content was requested again", n)
 	}
 }
 
-// TestManyAtOnceWithoutTheStore holds that each entry tries by itself what may only have met one
-// misfortune, while nobody can agree on who does: it would be refused for as long as the store is
-// away.
-func TestManyAtOnceWithoutTheStore(t *testing.T) {
+// TestConcurrentCrashesWithoutStore checks that each entry runs its own trial of a content whose only
+// crashes were concurrent, which may have another cause, while the entries cannot agree on one trial.
+// Otherwise the content would be refused for as long as the store is unavailable.
+func TestConcurrentCrashesWithoutStore(t *testing.T) {
 	f := newFleet(t, 2, 4)
-	f.crashTogether("/book/unlucky")
-	f.allHold("/book/unlucky")
+	f.crashConcurrently("/book/unlucky")
+	f.awaitAllQuarantined("/book/unlucky")
 	f.store.SetFault(platformtest.Busy)
-	if a := f.ask(f.entries[0], "/book/unlucky", "crashes what runs it"); a.status != http.StatusOK {
+	if a := f.request(f.entries[0], "/book/unlucky", "crashes what runs it"); a.status != http.StatusOK {
 		t.Errorf("answered %d %v", a.status, a.header)
 	}
-	f.eventuallyHeld(f.entries[0], 0)
-	f.eventuallyHeld(f.entries[1], 0)
+	f.awaitQuarantined(f.entries[0], 0)
+	f.awaitQuarantined(f.entries[1], 0)
 }
 
-// TestManyAtOnceOfWhatRunsElsewhere holds that a popular content is not held at all since
-// endpoints that ran it crashed together, if a run of it elsewhere succeeds.
-func TestManyAtOnceOfWhatRunsElsewhere(t *testing.T) {
+// TestConcurrentCrashesOfContentThatRunsElsewhere checks that a popular content is not quarantined
+// because endpoints that ran it crashed at once, if a run at another endpoint succeeds.
+func TestConcurrentCrashesOfContentThatRunsElsewhere(t *testing.T) {
 	f := newFleet(t, 2, 4)
-	f.crashTogether("/book/popular")
+	f.crashConcurrently("/book/popular")
 	for _, e := range f.entries {
-		f.eventually("the crashes are known", func() bool {
+		f.eventually("the crashes are attributed", func() bool {
 			d := e.gateway.Dump()
 			return len(d.Contents) == 1 && len(d.Contents[0].Endpoints) >= 3
 		})
 	}
-	if a := f.ask(f.entries[0], "/book/popular", "crashes what runs it"); a.status != http.StatusOK {
+	if a := f.request(f.entries[0], "/book/popular", "crashes what runs it"); a.status != http.StatusOK {
 		t.Errorf("answered %d %v", a.status, a.header)
 	}
 	for _, e := range f.entries {
-		f.eventually("it is cleared", func() bool { return e.gateway.Dump().Suspect == 0 })
+		f.eventually("the content is cleared", func() bool { return e.gateway.Dump().Suspect == 0 })
 	}
 }
 
-// allHold waits until all entries hold one content.
-func (f *fleet) allHold(target string) {
+// awaitAllQuarantined waits until all entries have quarantined one content.
+func (f *fleet) awaitAllQuarantined(target string) {
 	f.t.Helper()
 	for _, e := range f.entries {
-		f.eventually(target+" is held", func() bool {
+		f.eventually(target+" is quarantined", func() bool {
 			d := e.gateway.Dump()
 			return len(d.Contents) == 1 && d.Contents[0].Held
 		})
 	}
 }
 
-// crashTogether lets a content run at three endpoints at least, which crash at once, as does a
-// retry of a run.
-func (f *fleet) crashTogether(target string) {
+// crashConcurrently runs a content at three endpoints at least, which crash at once, as do the endpoints
+// of the retries.
+func (f *fleet) crashConcurrently(target string) {
 	f.t.Helper()
-	const enough, most = 3, 16
+	const minEndpoints, maxRequests = 3, 16
 	var all sync.WaitGroup
 	crash := make(chan struct{})
 	running := f.endpoints()
-	platformtest.InTurn(running, slices.Repeat([]platformtest.Act{platformtest.Crash{After: crash}}, most)...)
-	for n := range most {
-		if endpointsInUse(running) >= enough {
+	platformtest.InTurn(running, slices.Repeat([]platformtest.Act{platformtest.Crash{After: crash}}, maxRequests)...)
+	for n := range maxRequests {
+		if usedEndpointCount(running) >= minEndpoints {
 			break
 		}
-		all.Go(func() { f.ask(f.entries[n%len(f.entries)], target, "crashes what runs it") })
-		f.eventually("it runs", func() bool { return runsAt(running) == n+1 })
+		all.Go(func() { f.request(f.entries[n%len(f.entries)], target, "crashes what runs it") })
+		f.eventually("the request runs", func() bool { return runCount(running) == n+1 })
 	}
-	begun := time.Now()
-	f.eventually("they have run for longer than it takes to tell of it", func() bool { return time.Since(begun) > longRun })
+	startedAt := time.Now()
+	f.eventually("the runs are longer than the delivery of an event", func() bool { return time.Since(startedAt) > longRunDuration })
 	close(crash)
 	all.Wait()
-	platformtest.InTurn(running) // those that no run reached
+	platformtest.InTurn(running) // clears the acts of endpoints that no run reached
 	f.eventually("the endpoints are back", func() bool { return len(f.endpoints()) == len(running) })
 }
 
-// runsAt returns how many runs have begun at endpoints.
-func runsAt(all []*platformtest.Runner) int {
+// runCount returns the number of runs that have begun at the endpoints.
+func runCount(all []*platformtest.Runner) int {
 	n := 0
 	for _, r := range all {
 		n += len(r.Runs())
@@ -105,8 +105,8 @@
 	return n
 }
 
-// endpointsInUse returns at how many endpoints runs have begun.
-func endpointsInUse(all []*platformtest.Runner) int {
+// usedEndpointCount returns the number of endpoints at which runs have begun.
+func usedEndpointCount(all []*platformtest.Runner) int {
 	n := 0
 	for _, r := range all {
 		n += min(len(r.Runs()), 1)
