--- a/internal/testing/standin/card.go
+++ b/internal/testing/standin/card.go
@@ -11,57 +11,57 @@
 	"foxcross.dev/foxcross/internal/workers"
 )
 
-// Card is an accelerator that batches: every token takes longer the more
-// requests run. The zero value is a fast card without faults.
+// Card is an accelerator that batches: the more requests run, the longer a token
+// takes. The zero value is a fast card without faults.
 type Card struct {
 	Step    time.Duration // between tokens with one request, 0 for 5 ms
-	Batch   int           // requests at which a step takes twice as long, 0 for 16
+	Batch   int           // number of requests at which a step takes twice as long, 0 for 16
 	Prefill float64       // prompt bytes a second, 0 for a million
-	Most    int           // requests in the batch, the others wait by priority; 0 for no bound
-	Lag     time.Duration // age of the load that is reported
+	Most    int           // requests in the batch, further ones queue by priority; 0 for no bound
+	Lag     time.Duration // age of the reported load
 
-	// OnStart, if set, is called with the prompt of each request that is begun.
+	// OnStart, if set, is called with the prompt of each request that starts.
 	OnStart func(prompt string)
 
 	mu      sync.Mutex
 	running int
 	slow    float64 // factor, 0 for none
-	broken  bool    // answers break off and new requests fail
+	broken  bool    // running answers are truncated and new requests fail
 	frozen  chan struct{}
 	cached  affinity.Table
 	started int
 	tokens  int
-	waiting []*place
+	waiting []*queuedRequest
 	loads   []loadSample
 }
 
-// place is a request that waits for room in the batch.
-type place struct {
+// queuedRequest is a request that waits for a place in the batch.
+type queuedRequest struct {
 	priority int // lower is served first
-	room     chan struct{}
+	admitted chan struct{}
 }
 
-// loadSample is how much ran from a time on.
+// loadSample is the number of running requests since a time.
 type loadSample struct {
 	at      time.Time
 	running int
 }
 
-// Slow makes every step take so many times as long.
+// Slow multiplies the time of every step by a factor.
 func (c *Card) Slow(factor float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.slow = factor
 }
 
-// Break makes the card fail, or work again.
+// Break makes the card fail, or work again if broken is false.
 func (c *Card) Break(broken bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.broken = broken
 }
 
-// Freeze makes the card stand still until the returned function is called.
+// Freeze suspends the card until the returned function is called.
 func (c *Card) Freeze() (thaw func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -77,29 +77,29 @@
 	}
 }
 
-// Started returns how many requests were begun.
+// Started returns the number of requests that have started.
 func (c *Card) Started() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.started
 }
 
-// Tokens returns how many tokens were made.
+// Tokens returns the number of generated tokens.
 func (c *Card) Tokens() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.tokens
 }
 
-// Running returns how many requests run.
+// Running returns the number of running requests.
 func (c *Card) Running() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.running
 }
 
-// begin takes a request in, after a wait if the batch is full. It fails if the
-// card is broken or ctx is done.
+// begin adds a request to the batch and waits if the batch is full. It returns false
+// if the card is broken or ctx is done.
 func (c *Card) begin(ctx context.Context, prompt []string, priority int) bool {
 	c.mu.Lock()
 	if c.broken {
@@ -107,16 +107,16 @@
 		return false
 	}
 	if c.Most > 0 && c.running >= c.Most {
-		p := &place{priority: priority, room: make(chan struct{})}
+		p := &queuedRequest{priority: priority, admitted: make(chan struct{})}
 		c.waiting = append(c.waiting, p)
-		slices.SortStableFunc(c.waiting, func(a, b *place) int { return a.priority - b.priority })
+		slices.SortStableFunc(c.waiting, func(a, b *queuedRequest) int { return a.priority - b.priority })
 		c.mu.Unlock()
-		if !c.wait(ctx, p) {
+		if !c.awaitAdmission(ctx, p) {
 			return false
 		}
 		c.mu.Lock()
 	} else {
-		c.change(1)
+		c.changeRunning(1)
 	}
 	defer c.mu.Unlock()
 	c.started++
@@ -126,56 +126,56 @@
 	return true
 }
 
-// wait waits for room; whoever ends gives its room to the first that waits.
-func (c *Card) wait(ctx context.Context, p *place) bool {
+// awaitAdmission waits until a request that ends passes its place on.
+func (c *Card) awaitAdmission(ctx context.Context, p *queuedRequest) bool {
 	select {
-	case <-p.room:
+	case <-p.admitted:
 		return true
 	case <-ctx.Done():
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	before := len(c.waiting)
-	c.waiting = slices.DeleteFunc(c.waiting, func(o *place) bool { return o == p })
+	c.waiting = slices.DeleteFunc(c.waiting, func(o *queuedRequest) bool { return o == p })
 	if len(c.waiting) == before {
-		c.handOn() // the room came at the same time
+		c.admitNext() // admitted at the same time
 	}
 	return false
 }
 
-func (c *Card) end() {
+func (c *Card) finish() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.handOn()
+	c.admitNext()
 }
 
-// handOn gives the room of a request to the next, if one waits. The lock is
-// held.
-func (c *Card) handOn() {
+// admitNext passes the place of a request to the first queued one, if any. The lock
+// is held.
+func (c *Card) admitNext() {
 	if len(c.waiting) == 0 {
-		c.change(-1)
+		c.changeRunning(-1)
 		return
 	}
-	close(c.waiting[0].room)
+	close(c.waiting[0].admitted)
 	c.waiting = c.waiting[1:]
 }
 
-// keptLoads bounds the samples that a lagged report needs.
-const keptLoads = 1024
+// maxLoadSamples bounds the samples for a delayed load report.
+const maxLoadSamples = 1024
 
-// change notes how much runs. The lock is held.
-func (c *Card) change(by int) {
+// changeRunning changes the number of running requests. The lock is held.
+func (c *Card) changeRunning(by int) {
 	c.running += by
 	if c.Lag <= 0 {
 		return
 	}
 	c.loads = append(c.loads, loadSample{time.Now(), c.running})
-	if len(c.loads) > keptLoads {
+	if len(c.loads) > maxLoadSamples {
 		c.loads = c.loads[1:]
 	}
 }
 
-// Load returns how much ran so long ago as the lag says.
+// Load returns the number of requests that were running Lag ago.
 func (c *Card) Load() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -193,13 +193,13 @@
 	return load
 }
 
-// cardHolder is the card's name in its own table of prompts.
-const cardHolder = "card"
+// cacheHolder is the card's name in its own table of cached prompts.
+const cacheHolder = "card"
 
-// cachedShare is the part of the prefill time that a cached beginning takes.
-const cachedShare = 0.1
+// cachedPrefillShare is the fraction of the prefill time that a cached prefix takes.
+const cachedPrefillShare = 0.1
 
-// prefill is the time for a prompt; a beginning seen lately takes a tenth.
+// prefill returns the prefill time of a prompt. A recently used prefix takes a tenth.
 func (c *Card) prefill(prompt []string) time.Duration {
 	text := strings.Join(prompt, "\x00")
 	chain := affinity.Chain([]byte(text))
@@ -209,13 +209,13 @@
 	if rate <= 0 {
 		rate = 1e6
 	}
-	cached := float64(c.cached.Longest(chain)[cardHolder]) * affinity.BlockTokens * bytesPerToken
-	c.cached.Put(chain, cardHolder)
-	bytes := float64(len(text)) - (1-cachedShare)*cached
+	cached := float64(c.cached.Longest(chain)[cacheHolder]) * affinity.BlockTokens * bytesPerToken
+	c.cached.Put(chain, cacheHolder)
+	bytes := float64(len(text)) - (1-cachedPrefillShare)*cached
 	return c.slowed(time.Duration(bytes / rate * float64(time.Second)))
 }
 
-// bytesPerToken is what package affinity takes a token for.
+// bytesPerToken is the size of a token in package affinity.
 const bytesPerToken = 4
 
 func (c *Card) slowed(d time.Duration) time.Duration {
@@ -225,7 +225,7 @@
 	return d
 }
 
-// step is the time of one token with what runs now.
+// step returns the time of one token at the present batch size.
 func (c *Card) step() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -246,13 +246,13 @@
 	return c.broken
 }
 
-func (c *Card) count() {
+func (c *Card) countToken() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.tokens++
 }
 
-// sleep waits, longer while the card is frozen.
+// sleep waits for d and until the card is no longer frozen.
 func (c *Card) sleep(ctx context.Context, d time.Duration) {
 	if !workers.Sleep(ctx, d) {
 		return
@@ -269,18 +269,18 @@
 	}
 }
 
-// outcome is how the making of an answer ended.
+// outcome is the result of generating an answer.
 type outcome uint8
 
 const (
-	whole outcome = iota
+	completed outcome = iota
 	cancelled
-	broke
+	failed
 )
 
-// generate makes the tokens from a place on and passes each to put, until put
+// generate generates the tokens from index from on and passes each to emit, until emit
 // fails, ctx is done or the card breaks.
-func (c *Card) generate(ctx context.Context, prompt, tokens []string, from int, put func(string) error) outcome {
+func (c *Card) generate(ctx context.Context, prompt, tokens []string, from int, emit func(string) error) outcome {
 	c.sleep(ctx, c.prefill(prompt))
 	for n := from; n < len(tokens); n++ {
 		c.sleep(ctx, c.step())
@@ -288,17 +288,17 @@
 			return cancelled
 		}
 		if c.isBroken() {
-			return broke
+			return failed
 		}
-		c.count()
-		if err := put(tokens[n]); err != nil {
+		c.countToken()
+		if err := emit(tokens[n]); err != nil {
 			return cancelled
 		}
 	}
-	return whole
+	return completed
 }
 
-func size(texts []string) int {
+func totalLength(texts []string) int {
 	sum := 0
 	for _, t := range texts {
 		sum += len(t)
--- a/internal/testing/standin/engine.go
+++ b/internal/testing/standin/engine.go
@@ -44,12 +44,12 @@
 const (
 	minAnswer   = 8
 	answerRange = 32
-	otherWord   = 7919 // a prime, to make neighbouring words differ
+	wordStep    = 7919 // a prime, so that neighbouring words differ
 )
 
-// Answer returns the tokens of the whole answer to a list of messages: most, or
-// for 0 a number that follows from the messages. It depends on nothing else, so
-// every engine gives the same answer.
+// Answer returns the tokens of the whole answer to a list of messages: most tokens, or
+// for 0 a number derived from the messages. It depends on nothing else, so every
+// engine gives the same answer.
 func Answer(messages []string, most int) []string {
 	h := fnv.New64a()
 	for _, m := range messages {
@@ -62,28 +62,28 @@
 	}
 	tokens := make([]string, count)
 	for n := range tokens {
-		tokens[n] = fmt.Sprintf("w%x-%d ", (seed+uint64(n)*otherWord)%4096, n)
+		tokens[n] = fmt.Sprintf("w%x-%d ", (seed+uint64(n)*wordStep)%4096, n)
 	}
 	return tokens
 }
 
-// split returns the prompt, the whole answer, and how many of its tokens were
-// sent before.
-func (q engineRequest) split() (prompt, tokens []string, done int) {
-	sent := ""
+// splitPrompt returns the prompt, the whole answer, and the number of its tokens that
+// were sent before.
+func (q engineRequest) splitPrompt() (prompt, tokens []string, sentTokens int) {
+	sentText := ""
 	for n, m := range q.Messages {
 		if q.Continue && n == len(q.Messages)-1 {
-			sent = m.Content
+			sentText = m.Content
 			continue
 		}
 		prompt = append(prompt, m.Content)
 	}
-	done = strings.Count(sent, " ")
+	sentTokens = strings.Count(sentText, " ")
 	most := q.Most
 	if most > 0 {
-		most += done
+		most += sentTokens
 	}
-	return prompt, Answer(prompt, most), done
+	return prompt, Answer(prompt, most), sentTokens
 }
 
 // AnswerText returns the whole answer as one text.
@@ -91,7 +91,7 @@
 	return strings.Join(Answer(messages, most), "")
 }
 
-// Prompt returns a prompt of about so many bytes that begins with the text.
+// Prompt returns a prompt of about size bytes that begins with the text.
 func Prompt(text string, size int) string {
 	const filler = " lorem"
 	return text + strings.Repeat(filler, max(0, size-len(text))/len(filler))
@@ -103,32 +103,32 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	prompt, tokens, done := q.split()
+	prompt, tokens, done := q.splitPrompt()
 	if !e.begin(r.Context(), prompt, q.Priority) {
 		http.Error(w, "engine is broken", http.StatusInternalServerError)
 		return
 	}
-	defer e.end()
+	defer e.finish()
 	control := http.NewResponseController(w)
 	w.Header().Set("Content-Type", "text/event-stream")
 	ended := e.generate(r.Context(), prompt, tokens, done, func(token string) error {
-		event(w, fmt.Sprintf(`{"choices":[{"index":0,"delta":{"content":%q},"finish_reason":null}]}`, token))
+		writeEvent(w, fmt.Sprintf(`{"choices":[{"index":0,"delta":{"content":%q},"finish_reason":null}]}`, token))
 		return control.Flush()
 	})
 	switch ended {
-	case broke:
+	case failed:
 		panic(http.ErrAbortHandler)
 	case cancelled:
 		return
-	case whole:
+	case completed:
 	}
-	event(w, `{"choices":[{"index":0,"delta":{},"finish_reason":"stop"}]}`)
-	event(w, fmt.Sprintf(`{"choices":[],"usage":{"prompt_tokens":%d,"completion_tokens":%d}}`,
-		size(prompt)/4, len(tokens)-done))
-	event(w, "[DONE]")
+	writeEvent(w, `{"choices":[{"index":0,"delta":{},"finish_reason":"stop"}]}`)
+	writeEvent(w, fmt.Sprintf(`{"choices":[],"usage":{"prompt_tokens":%d,"completion_tokens":%d}}`,
+		totalLength(prompt)/4, len(tokens)-done))
+	writeEvent(w, "[DONE]")
 }
 
-func event(w http.ResponseWriter, data string) {
+func writeEvent(w http.ResponseWriter, data string) {
 	_, _ = fmt.Fprintf(w, "data: %s\n\n", data) // the caller may be gone
 }
 
@@ -139,7 +139,7 @@
 // Crashed implements endpoint.Examiner.
 func (e *Engine) Crashed(context.Context) bool { return e.isBroken() }
 
-// Run makes the engine a driver, for tests without a network.
+// Run implements endpoint.Driver for tests without a network.
 func (e *Engine) Run(ctx context.Context, c endpoint.Call, k endpoint.Sink) message.End {
 	var q engineRequest
 	if err := json.Unmarshal(c.Start.Body, &q); err != nil {
@@ -155,12 +155,12 @@
 			q.Most -= c.Start.SentTokens
 		}
 	}
-	prompt, tokens, done := q.split()
+	prompt, tokens, done := q.splitPrompt()
 	if !e.begin(ctx, prompt, c.Terms.Tier) {
 		return message.End{Code: result.EndpointFailed, Run: result.Ran, Reason: "engine is broken"}
 	}
-	defer e.end()
-	if e.generate(ctx, prompt, tokens, done, func(token string) error { return k.Text(token, 1) }) != whole {
+	defer e.finish()
+	if e.generate(ctx, prompt, tokens, done, func(token string) error { return k.Text(token, 1) }) != completed {
 		return message.End{Code: result.EndpointFailed, Run: result.Ran, Reason: "the answer broke off"}
 	}
 	return message.End{Code: result.OK, Run: result.Ran, FinishReason: "stop", AnswerTokens: len(tokens) - done}
--- a/internal/testing/standin/platformtest/act.go
+++ b/internal/testing/standin/platformtest/act.go
@@ -5,70 +5,70 @@
 	"time"
 )
 
-// Act is what a runner does with a request.
+// Act is the reaction of a runner to a request.
 type Act interface{ act() }
 
 // The acts of a runner.
 type (
-	// Answer is a whole answer with a length.
+	// Answer sends a complete answer with a length.
 	Answer struct {
 		Status int
 		Body   string
 	}
-	// Refuse says that the request is not run, and when to come back: each value in a Retry-After
-	// field of its own.
+	// Refuse answers that the request is not run, with one Retry-After field for each value of
+	// RetryAfter.
 	Refuse struct {
 		Status     int
 		RetryAfter []string
 	}
-	// Fail is a failure without the word that the request has not run.
+	// Fail answers with a failure that does not say that the request has not run.
 	Fail struct {
 		Status     int
 		RetryAfter []string
 	}
-	// Delayed does something after a time.
+	// Delayed performs Then after a time.
 	Delayed struct {
 		By   time.Duration
 		Then Act
 	}
 	// Break runs the request and resets the connection without an answer.
 	Break struct{}
-	// Crash runs the request and ends the runner with all its connections, once After is
-	// closed, nil for at once. Begun is what it gives before of an answer without a length, empty
-	// for no answer: its connections are closed as if it had ended.
+	// Crash runs the request and ends the runner with all its connections when After is
+	// closed, or at once if After is nil. Begun is the part of an answer without a length that it
+	// sends before, empty for none. The close of the connection looks like the end of that answer.
 	Crash struct {
 		After chan struct{}
 		Begun string
 	}
-	// Cut breaks the answer off within its body.
+	// Cut truncates the answer within its body.
 	Cut struct{}
-	// Unframed gives an answer that ends with its connection, reset if Broken.
+	// Unframed sends an answer that ends when its connection is closed, by a reset if Broken.
 	Unframed struct {
 		Body   string
 		Broken bool
 	}
 	// Surplus sends an answer to another request before the right one.
 	Surplus struct{}
-	// Twice sends the right answer and another one behind it.
+	// Twice sends the right answer and a second one after it.
 	Twice struct{}
 	// Garbage sends bytes that are no answer.
 	Garbage struct{}
-	// Unsealed answers without the runner's mark.
+	// Unsealed answers without the runner's seal.
 	Unsealed struct{}
 	// Hang runs the request and never answers.
 	Hang struct{}
-	// Early answers before it reads the body, and reads on.
+	// Early answers before it reads the body, and then reads the body.
 	Early struct{ Status int }
-	// Events is a stream of events with ids from After+1 to To. With Broken it
-	// stops within the event after To.
+	// Events streams events up to the id To, from the one after the caller's last event. If
+	// Broken, it stops within the event after To.
 	Events struct {
 		To     int
 		Broken bool
-		Hold   chan struct{} // closed to let the events after the first go, nil for at once
+		Hold   chan struct{} // holds back the events after the first until it is closed, nil for no hold
 		Pause  time.Duration // before each event
-		Token  time.Duration // that a token of a prompt takes to compute, before the first event
+		Token  time.Duration // prefill time of a token of the prompt, before the first event
 	}
-	// ByPath does one thing with requests below a prefix and another with the rest.
+	// ByPath performs Then for requests whose path has one of the prefixes, and Else for others.
 	ByPath struct {
 		Prefix []string
 		Then   Act
--- a/internal/testing/standin/platformtest/backoff.go
+++ b/internal/testing/standin/platformtest/backoff.go
@@ -8,9 +8,10 @@
 
 const (
 	retryAfterField = "Retry-After"
-	// BackoffGrace is the time after a 503 with Retry-After from which requests count.
+	// BackoffGrace is the time after a 503 with Retry-After in which requests do not count.
 	BackoffGrace = 500 * time.Millisecond
-	// MaxInBackoff is how many requests an entry may send from then to the end of the time.
+	// MaxInBackoff is the number of requests that an entry may send between BackoffGrace and the
+	// end of the Retry-After.
 	MaxInBackoff = 2
 )
 
@@ -27,24 +28,24 @@
 	Delay time.Duration
 }
 
-// Counts tells whether an arrival lies within the time in which few may come.
+// Counts reports whether an arrival counts towards MaxInBackoff.
 func (f Refusal) Counts(at time.Time) bool {
 	passed := at.Sub(f.At)
 	return passed >= BackoffGrace && passed < f.Delay
 }
 
-// backoffs are the refusals of a runner that asks for a backoff.
+// backoffs holds the refusals of a runner that asks for a backoff.
 type backoffs struct {
-	delay   time.Duration
-	until   time.Time                  // zero for no end
-	key     func(*http.Request) string // whose requests are refused once; nil refuses all
-	refused map[string]bool            // by key
-	all     []Refusal
+	delay       time.Duration
+	refuseUntil time.Time                  // zero for no end
+	key         func(*http.Request) string // requests of the same key are refused once; nil refuses all
+	refused     map[string]bool            // by key
+	refusals    []Refusal
 }
 
-// refuse returns the refusal of a request, if it is to be refused.
+// refuse returns the refusal of a request, or false if the request is not refused.
 func (b *backoffs) refuse(q *http.Request, now time.Time) (Refuse, bool) {
-	if b.delay <= 0 || !b.until.IsZero() && now.After(b.until) {
+	if b.delay <= 0 || !b.refuseUntil.IsZero() && now.After(b.refuseUntil) {
 		return Refuse{}, false
 	}
 	if b.key != nil {
@@ -54,35 +55,35 @@
 		}
 		b.refused[k] = true
 	}
-	b.all = append(b.all, Refusal{Arrival{ID: q.Header.Get(RequestIDField), Target: q.RequestURI, At: now}, b.delay})
+	b.refusals = append(b.refusals, Refusal{Arrival{ID: q.Header.Get(RequestIDField), Target: q.RequestURI, At: now}, b.delay})
 	value := strconv.FormatFloat(b.delay.Seconds(), 'f', -1, 64)
 	return Refuse{Status: http.StatusServiceUnavailable, RetryAfter: []string{value}}, true
 }
 
-// RefuseOnce refuses the next request of each key, with the time as its Retry-After.
+// RefuseOnce refuses the next request of each key, with delay as its Retry-After.
 func (r *Runner) RefuseOnce(delay time.Duration, key func(*http.Request) string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.backoffs.delay, r.backoffs.key, r.backoffs.refused = delay, key, map[string]bool{}
-	r.backoffs.until = time.Time{}
+	r.backoffs.refuseUntil = time.Time{}
 }
 
-// RefuseFor refuses all requests for a time, with another one as their Retry-After.
-func (r *Runner) RefuseFor(lasts, delay time.Duration) {
+// RefuseFor refuses all requests for a duration, with delay as their Retry-After.
+func (r *Runner) RefuseFor(duration, delay time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.backoffs.delay, r.backoffs.key = delay, nil
-	r.backoffs.until = time.Now().Add(lasts)
+	r.backoffs.refuseUntil = time.Now().Add(duration)
 }
 
 // Refusals returns the requests that were refused with a Retry-After.
 func (r *Runner) Refusals() []Refusal {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append([]Refusal(nil), r.backoffs.all...)
+	return append([]Refusal(nil), r.backoffs.refusals...)
 }
 
-// Arrivals returns the requests that reached the runner, run or refused.
+// Arrivals returns the requests that reached the runner, whether run or refused.
 func (r *Runner) Arrivals() []Arrival {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/testing/standin/platformtest/limits.go
+++ b/internal/testing/standin/platformtest/limits.go
@@ -3,17 +3,17 @@
 import "time"
 
 const (
-	// LimitWindow is the time in which the requests of a runner are counted that names a limit.
+	// LimitWindow is the time over which requests to a runner that names a limit are counted.
 	LimitWindow  = 4 * time.Second
 	limitOverrun = 1.5
 	limitSlack   = 5
 )
 
-// Borne returns how many requests a runner bears in LimitWindow that names a limit, in requests a
-// second: so many times what the limit allows, and some more.
+// Borne returns the number of requests that a runner may get in LimitWindow if it names a limit, in
+// requests a second: limitOverrun times the limit plus limitSlack.
 func Borne(limit float64) float64 { return limitOverrun*limit*LimitWindow.Seconds() + limitSlack }
 
-// MostWithin returns the most times, in order, within any window.
+// MostWithin returns the largest number of times within any window. The times are sorted.
 func MostWithin(times []time.Time, window time.Duration) int {
 	most, first := 0, 0
 	for n, at := range times {
--- a/internal/testing/standin/platformtest/prompt.go
+++ b/internal/testing/standin/platformtest/prompt.go
@@ -9,60 +9,60 @@
 	"time"
 )
 
-// memory is what an engine keeps of prompts: all parts that it ever computed. The zero
+// promptCache holds the parts of prompts that an engine has computed, without eviction. The zero
 // value is empty.
-type memory struct {
-	mu   sync.Mutex
-	kept map[string]int // tokens, by the id of a part
+type promptCache struct {
+	mu     sync.Mutex
+	tokens map[string]int // by the id of a part
 }
 
-// take records a prompt and returns how many of its tokens have to be computed: none of
-// the parts that are kept, and only the last part where the rest is fetched.
-func (m *memory) take(h http.Header) int {
+// add adds a prompt and returns the number of its tokens that have to be computed: none of the
+// cached parts, and only the last part if the others are fetched.
+func (m *promptCache) add(h http.Header) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.kept == nil {
-		m.kept = map[string]int{}
+	if m.tokens == nil {
+		m.tokens = map[string]int{}
 	}
 	parts := strings.Split(h.Get(PartsField), ",")
 	tokens := 0
 	for n, part := range parts {
 		id, count, _ := strings.Cut(part, ":")
 		fetched := h.Get(FetchField) != "" && n < len(parts)-1
-		_, kept := m.kept[id]
+		_, cached := m.tokens[id]
 		size, err := strconv.Atoi(count)
-		if err == nil && !kept && !fetched {
+		if err == nil && !cached && !fetched {
 			tokens += size
 		}
-		m.kept[id] = size
+		m.tokens[id] = size
 	}
 	return tokens
 }
 
-// list returns the parts as a runner lists them.
-func (m *memory) list() string {
+// listJSON returns the cached parts in the format of KeptPath.
+func (m *promptCache) listJSON() string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var rows []string
-	for id, tokens := range m.kept {
+	for id, tokens := range m.tokens {
 		rows = append(rows, fmt.Sprintf(`["",%q,%d,"m"]`, id, tokens))
 	}
 	return `{"epoch":1,"nextToken":1,"held":[` + strings.Join(rows, ",") + `]}`
 }
 
-// prefill waits as long as the tokens of a prompt take that the engine lacks.
+// prefill waits for the time that the tokens of a prompt that are not cached take.
 func (r *Runner) prefill(h http.Header, perToken time.Duration) {
 	if perToken > 0 && h.Get(PartsField) != "" {
-		time.Sleep(time.Duration(r.memory.take(h)) * perToken)
+		time.Sleep(time.Duration(r.cache.add(h)) * perToken)
 	}
 }
 
-// Keep lets the runner keep a part of prompts.
+// Keep adds a part of a prompt to the runner's cache.
 func (r *Runner) Keep(id string, tokens int) {
-	r.memory.mu.Lock()
-	defer r.memory.mu.Unlock()
-	if r.memory.kept == nil {
-		r.memory.kept = map[string]int{}
+	r.cache.mu.Lock()
+	defer r.cache.mu.Unlock()
+	if r.cache.tokens == nil {
+		r.cache.tokens = map[string]int{}
 	}
-	r.memory.kept[id] = tokens
+	r.cache.tokens[id] = tokens
 }
--- a/internal/testing/standin/platformtest/reports.go
+++ b/internal/testing/standin/platformtest/reports.go
@@ -11,15 +11,15 @@
 	"time"
 )
 
-// Reports takes the reports of usage, as the platform does. Create it with NewReports.
+// Reports is a server that accepts reports of usage, as the platform does. Create it with NewReports.
 type Reports struct {
-	server *httptest.Server
-	fences bool
+	server      *httptest.Server
+	checksFence bool
 
-	mu    sync.Mutex
-	fence uint64 // the highest that was seen
-	taken []Report
-	fault Fault
+	mu           sync.Mutex
+	highestFence uint64 // highest received
+	received     []Report
+	fault        Fault
 }
 
 // Report is one report of usage that reached the platform.
@@ -29,40 +29,40 @@
 	Window  int64
 	Counts  map[string]int64
 	At      time.Time
-	Refused bool // a higher fence had been seen
+	Refused bool // a higher fence had been received
 }
 
-// NewReports starts what takes reports on a free port of the loopback address. One that
-// fences refuses calls with a lower fence than it has seen.
-func NewReports(fences bool) *Reports {
-	p := &Reports{fences: fences}
+// NewReports starts a server for reports on a free port of the loopback address. If checksFence is
+// set, it refuses calls with a lower fence than the highest received.
+func NewReports(checksFence bool) *Reports {
+	p := &Reports{checksFence: checksFence}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /usage", p.serve)
 	p.server = httptest.NewServer(mux)
 	return p
 }
 
-// Address returns where reports are taken.
+// Address returns the address of the server.
 func (p *Reports) Address() string { return p.server.Listener.Addr().String() }
 
-// Close ends it.
+// Close stops the server.
 func (p *Reports) Close() {
 	p.server.CloseClientConnections()
 	p.server.Close()
 }
 
-// SetFault makes it fail, or sound again.
+// SetFault makes the server fail, or work again for Sound.
 func (p *Reports) SetFault(f Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.fault = f
 }
 
-// Taken returns what has come, in order.
+// Taken returns the reports that were received, in order.
 func (p *Reports) Taken() []Report {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return slices.Clone(p.taken)
+	return slices.Clone(p.received)
 }
 
 func (p *Reports) serve(w http.ResponseWriter, r *http.Request) {
@@ -71,7 +71,7 @@
 		Counts map[string]int64 `json:"counts"`
 	}
 	fence, err := strconv.ParseUint(r.Header.Get("X-Fencing-Token"), 10, 64)
-	data, unread := io.ReadAll(r.Body) // whole: only then is it noticed that a caller has left
+	data, unread := io.ReadAll(r.Body) // the end of a caller's connection is noticed only after the whole body
 	if err != nil || unread != nil || json.Unmarshal(data, &body) != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
@@ -87,24 +87,24 @@
 		w.WriteHeader(http.StatusTooManyRequests)
 		return
 	case Silent:
-		<-r.Context().Done() // it may be carried out all the same
+		<-r.Context().Done() // the report is recorded all the same
 	}
-	x := p.take(Report{Holder: r.Header.Get("X-Duty-Holder"), Fence: fence, Window: body.Window, Counts: body.Counts})
+	x := p.record(Report{Holder: r.Header.Get("X-Duty-Holder"), Fence: fence, Window: body.Window, Counts: body.Counts})
 	switch {
 	case fault == Reset:
-		abort(w) // carried out, and the answer is lost
+		abort(w) // the report is recorded and its answer is lost
 	case x.Refused:
 		w.WriteHeader(http.StatusConflict)
 	}
 }
 
-// take carries out a report.
-func (p *Reports) take(x Report) Report {
+// record records a report.
+func (p *Reports) record(x Report) Report {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	x.At = time.Now()
-	x.Refused = p.fences && x.Fence < p.fence
-	p.fence = max(p.fence, x.Fence)
-	p.taken = append(p.taken, x)
+	x.Refused = p.checksFence && x.Fence < p.highestFence
+	p.highestFence = max(p.highestFence, x.Fence)
+	p.received = append(p.received, x)
 	return x
 }
--- a/internal/testing/standin/platformtest/runner.go
+++ b/internal/testing/standin/platformtest/runner.go
@@ -27,114 +27,114 @@
 	DrainingField  = "Server-Leaving"
 	LastEventField = "Last-Event-Id"
 	FetchField     = "Kv-Fetch"
-	TokensField    = "X-Token-Usage" // of the prompt and, at the most, of the answer
+	TokensField    = "X-Token-Usage" // of the prompt and, at most, of the answer
 	PartsField     = "X-Prefix-Hash" // of the prompt, ID:TOKENS
 )
 
-// KeptPath is where a runner lists the parts of prompts that it keeps.
+// KeptPath is the path at which a runner lists the parts of prompts that it has cached.
 const KeptPath = "/foxcross/kv-list"
 
-// Run is one request that a runner has begun to work on.
+// Run is a request that a runner has started.
 type Run struct {
 	ID     string
 	Method string
-	Target string // as it stood in the request line
+	Target string // as in the request line
 	Host   string
 	Header http.Header
 	Body   []byte
-	At     time.Time // when it began
+	At     time.Time // start
 }
 
-// Runner is an endpoint. Create it with NewRunner.
+// Runner is a stand-in for an endpoint. Create it with NewRunner.
 type Runner struct {
 	ID      string
 	Service string
-	Engine  bool  // its entry names a model; set before it is entered
-	Born    int64 // when it started, ms since 1970, 0 for not told; set before it is entered
+	Engine  bool  // its record names a model; set before the record is written
+	Born    int64 // start in ms since 1970, 0 to omit it; set before the record is written
 
-	// DataCentre is where it is, empty for "zone-1", and WarmupLeftMS how much longer it warms
-	// up; both are set before it is entered.
+	// DataCentre is empty for "zone-1". WarmupLeftMS is the remaining time of its warm-up. Both
+	// are set before the record is written.
 	DataCentre   string
 	WarmupLeftMS int
 
 	listener net.Listener
 
-	mu       sync.Mutex
-	script   []Act   // for the next requests, then rest
-	shared   *Script // before all others, nil for none
-	rest     Act
-	limit    []string // that its answers name, each in a field of its own
-	drains   []string // how its answers say that it drains, each in a field of its own
-	backoffs backoffs
-	runs     []Run
-	arrivals []Arrival
-	conns    map[net.Conn]bool
-	memory   memory
-	dialed   int
-	left     chan string // ids of requests whose caller closed the connection
-	ended    sync.Once
-	end      chan struct{} // closed when the runner has ended
+	mu              sync.Mutex
+	nextActs        []Act   // for the next requests, before defaultAct
+	sharedScript    *Script // before nextActs, nil for none
+	defaultAct      Act
+	limitValues     []string // in its answers, each in a field of its own
+	drainingValues  []string // in its answers, each in a field of its own
+	backoffs        backoffs
+	runs            []Run
+	arrivals        []Arrival
+	conns           map[net.Conn]bool
+	cache           promptCache
+	connectionCount int
+	abandoned       chan string // ids of requests whose caller closed the connection
+	endOnce         sync.Once
+	ended           chan struct{} // closed when the runner has ended
 }
 
 // NewRunner starts a runner on a free port of the loopback address.
-func NewRunner(id, service string, rest Act) *Runner {
+func NewRunner(id, service string, defaultAct Act) *Runner {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		panic("platformtest: " + err.Error())
 	}
-	r := &Runner{ID: id, Service: service, listener: l, rest: rest, conns: map[net.Conn]bool{}, left: make(chan string, 1024), end: make(chan struct{})}
+	r := &Runner{ID: id, Service: service, listener: l, defaultAct: defaultAct, conns: map[net.Conn]bool{}, abandoned: make(chan string, 1024), ended: make(chan struct{})}
 	go r.accept()
 	return r
 }
 
-// Next sets what becomes of the next requests.
+// Next appends acts for the next requests.
 func (r *Runner) Next(acts ...Act) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.script = append(r.script, acts...)
+	r.nextActs = append(r.nextActs, acts...)
 }
 
-// NameLimit sets what the next answers name as the limit, each value in a field of its own; no
-// value for none.
+// NameLimit sets the limit that the next answers name, each value in a field of its own. Without
+// a value they name none.
 func (r *Runner) NameLimit(values ...string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.limit = values
+	r.limitValues = values
 }
 
-// SetRest sets what becomes of requests for which nothing else is set.
+// SetRest sets the act for requests for which no other act is set.
 func (r *Runner) SetRest(a Act) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.rest = a
+	r.defaultAct = a
 }
 
-// Drain sets how the next answers say that the runner drains, each value in a field of its own;
-// no value for not at all.
+// Drain sets the values by which the next answers announce that the runner drains, each in a field
+// of its own. Without a value they do not announce it.
 func (r *Runner) Drain(values ...string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.drains = values
+	r.drainingValues = values
 }
 
-// Runs returns the requests that were begun.
+// Runs returns the requests that were started.
 func (r *Runner) Runs() []Run {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]Run(nil), r.runs...)
 }
 
-// Dialed returns how many connections have come.
+// Dialed returns the number of accepted connections.
 func (r *Runner) Dialed() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.dialed
+	return r.connectionCount
 }
 
-// Left brings the ids of requests whose caller closed the connection.
-func (r *Runner) Left() <-chan string { return r.left }
+// Left returns a channel of the ids of requests whose caller closed the connection.
+func (r *Runner) Left() <-chan string { return r.abandoned }
 
-// Entry is how the runner stands in the store.
+// Entry returns the runner's record for the store.
 func (r *Runner) Entry(state string) map[string]any {
 	entry := map[string]any{
 		"backend": r.Service, "address": r.Address(), "zone": cmp.Or(r.DataCentre, "zone-1"),
@@ -149,15 +149,15 @@
 	return entry
 }
 
-// Address returns where the runner listens.
+// Address returns the address on which the runner listens.
 func (r *Runner) Address() string { return r.listener.Addr().String() }
 
-// Ended is closed when the runner has ended.
-func (r *Runner) Ended() <-chan struct{} { return r.end }
+// Ended returns a channel that is closed when the runner has ended.
+func (r *Runner) Ended() <-chan struct{} { return r.ended }
 
 // Close ends the runner and its connections.
 func (r *Runner) Close() {
-	defer r.ended.Do(func() { close(r.end) })
+	defer r.endOnce.Do(func() { close(r.ended) })
 	_ = r.listener.Close() // the stand-in is over
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -174,7 +174,7 @@
 		}
 		r.mu.Lock()
 		r.conns[c] = true
-		r.dialed++
+		r.connectionCount++
 		r.mu.Unlock()
 		go r.serve(c)
 	}
@@ -193,22 +193,22 @@
 		if err != nil {
 			return
 		}
-		if !r.answer(c, reader, q) {
+		if !r.serveRequest(c, reader, q) {
 			return
 		}
 	}
 }
 
-// take notes a run and returns what becomes of it.
-func (r *Runner) take(q *http.Request, body []byte) Act {
+// recordArrival records a request and returns the act for it.
+func (r *Runner) recordArrival(q *http.Request, body []byte) Act {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	a := r.rest
-	if shared, ok := r.shared.next(); ok {
+	a := r.defaultAct
+	if shared, ok := r.sharedScript.next(); ok {
 		a = shared
-	} else if len(r.script) > 0 {
-		a = r.script[0]
-		r.script = r.script[1:]
+	} else if len(r.nextActs) > 0 {
+		a = r.nextActs[0]
+		r.nextActs = r.nextActs[1:]
 	}
 	if b, ok := a.(ByPath); ok {
 		a = b.choose(q.URL.Path)
@@ -227,20 +227,20 @@
 	return a
 }
 
-// peek returns the next act without taking it.
-func (r *Runner) peek() Act {
+// peekAct returns the next act without removing it.
+func (r *Runner) peekAct() Act {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.script) > 0 {
-		return r.script[0]
+	if len(r.nextActs) > 0 {
+		return r.nextActs[0]
 	}
-	return r.rest
+	return r.defaultAct
 }
 
-// answer returns false when the connection is to be closed.
-func (r *Runner) answer(c net.Conn, reader *bufio.Reader, q *http.Request) bool {
+// serveRequest serves a request and returns false if the connection is to be closed.
+func (r *Runner) serveRequest(c net.Conn, reader *bufio.Reader, q *http.Request) bool {
 	if q.URL.Path == KeptPath {
-		body := r.memory.list()
+		body := r.cache.listJSON()
 		write(c, "HTTP/1.1 200 OK\r\n%s\r\n%s", length(body), body)
 		return true
 	}
@@ -250,8 +250,8 @@
 		write(c, "HTTP/1.1 421 Misdirected Request\r\n%s: %s\r\nContent-Length: 0\r\n\r\n", InstanceField, r.ID)
 		return true
 	}
-	if e, early := r.peek().(Early); early {
-		r.take(q, nil)
+	if e, early := r.peekAct().(Early); early {
+		r.recordArrival(q, nil)
 		write(c, "%s", r.head(e.Status, id, "Content-Length: 0\r\n"))
 		_, _ = io.Copy(io.Discard, q.Body) // the caller may be gone
 		return true
@@ -260,7 +260,7 @@
 	if err != nil {
 		return false
 	}
-	act := r.take(q, body)
+	act := r.recordArrival(q, body)
 	if d, delayed := act.(Delayed); delayed {
 		time.Sleep(d.By)
 		act = d.Then
@@ -270,10 +270,10 @@
 		write(c, "%s%s", r.head(a.Status, id, length(a.Body)), a.Body)
 		return true
 	case Refuse:
-		write(c, "HTTP/1.1 %d %s\r\n%s: 1\r\n%s%sContent-Length: 0\r\n\r\n", a.Status, http.StatusText(a.Status), NotRunField, r.signalFields(), fieldLines(retryAfterField, a.RetryAfter))
+		write(c, "HTTP/1.1 %d %s\r\n%s: 1\r\n%s%sContent-Length: 0\r\n\r\n", a.Status, http.StatusText(a.Status), NotRunField, r.signalFields(), headerLines(retryAfterField, a.RetryAfter))
 		return true
 	case Fail:
-		write(c, "%s", r.head(a.Status, id, fieldLines(retryAfterField, a.RetryAfter)+"Content-Length: 0\r\n"))
+		write(c, "%s", r.head(a.Status, id, headerLines(retryAfterField, a.RetryAfter)+"Content-Length: 0\r\n"))
 		return true
 	case Break:
 		return reset(c)
@@ -292,7 +292,7 @@
 	case Unframed:
 		write(c, "%s%s", r.head(http.StatusOK, id, "Connection: close\r\n"), a.Body)
 		if a.Broken {
-			time.Sleep(settle) // the bytes are to arrive before the reset
+			time.Sleep(resetDelay) // the bytes arrive before the reset
 			return reset(c)
 		}
 		return false
@@ -318,17 +318,17 @@
 	}
 }
 
-// settle lets bytes arrive before a reset drops them.
-const settle = 50 * time.Millisecond
+// resetDelay is the time in which bytes arrive before a reset, which would drop them.
+const resetDelay = 50 * time.Millisecond
 
-// awaitClose returns when the caller closes the connection.
+// awaitClose waits until the caller closes the connection.
 func (r *Runner) awaitClose(reader *bufio.Reader, id string) {
 	if _, err := reader.Peek(1); err != nil {
-		r.left <- id
+		r.abandoned <- id
 	}
 }
 
-// stream sends the events after the one that the caller has seen.
+// stream sends the events after the last one that the caller has received.
 func (r *Runner) stream(c net.Conn, reader *bufio.Reader, q *http.Request, a Events) bool {
 	id := q.Header.Get(RequestIDField)
 	from := 1
@@ -346,7 +346,7 @@
 	}
 	if a.Broken {
 		chunk(c, fmt.Sprintf("id: %d\nda", a.To+1))
-		time.Sleep(settle)
+		time.Sleep(resetDelay)
 		return reset(c)
 	}
 	write(c, "0\r\n\r\n")
@@ -358,19 +358,19 @@
 		status, http.StatusText(status), RequestIDField, id, SealField, id, r.signalFields(), more)
 }
 
-// signalFields are the lines of an answer's head that say something of the runner.
+// signalFields returns the header lines that name the limit and announce the draining of the runner.
 func (r *Runner) signalFields() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	lines := fieldLines(LimitField, r.limit) + fieldLines(DrainingField, r.drains)
-	if len(r.drains) > 0 {
-		lines += fieldLines(InstanceField, []string{r.ID})
+	lines := headerLines(LimitField, r.limitValues) + headerLines(DrainingField, r.drainingValues)
+	if len(r.drainingValues) > 0 {
+		lines += headerLines(InstanceField, []string{r.ID})
 	}
 	return lines
 }
 
-// fieldLines are the lines of a field, one for each value.
-func fieldLines(name string, values []string) string {
+// headerLines returns the header lines of a field, one for each value.
+func headerLines(name string, values []string) string {
 	var lines strings.Builder
 	for _, v := range values {
 		fmt.Fprintf(&lines, "%s: %s\r\n", name, v)
@@ -386,10 +386,11 @@
 	_, _ = fmt.Fprintf(c, format, values...) // the caller may be gone
 }
 
-// reset closes a connection the hard way.
+// reset makes the close of a connection send a reset. It returns false, so that the connection is
+// closed.
 func reset(c net.Conn) bool {
 	if t, ok := c.(*net.TCPConn); ok {
-		_ = t.SetLinger(0) // the reset is the point
+		_ = t.SetLinger(0) // a close then sends a reset
 	}
 	return false
 }
--- a/internal/testing/standin/platformtest/script.go
+++ b/internal/testing/standin/platformtest/script.go
@@ -2,24 +2,24 @@
 
 import "sync"
 
-// Script is what several runners do with the next requests, whichever of them a
-// request comes to. The zero value is empty.
+// Script is a sequence of acts that several runners share: the next request at any
+// of them gets the next act. The zero value is empty.
 type Script struct {
 	mu   sync.Mutex
 	acts []Act
 }
 
-// InTurn lets the runners share a script of acts for the next requests.
+// InTurn makes the runners share a script of acts for the next requests.
 func InTurn(runners []*Runner, acts ...Act) {
 	s := &Script{acts: acts}
 	for _, r := range runners {
 		r.mu.Lock()
-		r.shared = s
+		r.sharedScript = s
 		r.mu.Unlock()
 	}
 }
 
-// next takes the next act; false where none is left.
+// next removes and returns the next act. It returns false if none is left.
 func (s *Script) next() (Act, bool) {
 	if s == nil {
 		return nil, false
--- a/internal/testing/standin/platformtest/store.go
+++ b/internal/testing/standin/platformtest/store.go
@@ -1,6 +1,6 @@
-// Package platformtest stands in for the parts of the users' platform: its store,
-// its endpoints with their faults, and an operator. It speaks the platform's
-// published protocol and exists for tests and local runs.
+// Package platformtest holds stand-ins for the users' platform: its store, its
+// endpoints with their faults, and an operator. They implement the platform's
+// published protocol, for tests and local runs.
 package platformtest
 
 import (
@@ -20,37 +20,37 @@
 type Store struct {
 	server *httptest.Server
 
-	mu       sync.Mutex
-	revision uint64
-	items    map[string]Item
-	history  []Item
-	oldest   uint64 // changes up to this revision are forgotten
-	fault    Fault
-	changed  chan struct{}
-	leases   map[int]*time.Timer // by name; each ends its lease
-	ttls     map[int]time.Duration
-	last     int // name of the last lease
+	mu             sync.Mutex
+	revision       uint64
+	items          map[string]Item
+	history        []Item
+	oldestRevision uint64 // changes up to this revision were dropped
+	fault          Fault
+	changed        chan struct{}
+	leases         map[int]*time.Timer // by lease id; each ends its lease
+	ttls           map[int]time.Duration
+	lastLease      int // id of the last lease
 }
 
-// Item is one entry of the store, or the news that it is gone.
+// Item is an entry of the store, or the event of its removal.
 type Item struct {
 	Key      string `json:"privateKey"`
 	Value    []byte `json:"value,omitempty"`
 	Revision uint64 `json:"revision"`
 	Gone     bool   `json:"gone,omitempty"`
-	Lease    int    `json:"lease,omitempty"` // with which it goes
+	Lease    int    `json:"lease,omitempty"` // whose end removes the entry
 }
 
-// Fault is what a store that is down does with calls.
+// Fault is the way in which a server answers calls.
 type Fault int
 
 // The faults of a store.
 const (
-	Sound  Fault = iota
-	Busy         // answers 503
-	Many         // answers 429
-	Reset        // closes the connection
-	Silent       // says nothing
+	Sound  Fault = iota // works
+	Busy                // answers 503
+	Many                // answers 429
+	Reset               // closes the connection
+	Silent              // does not answer
 )
 
 // NewStore starts a store on a free port of the loopback address.
@@ -60,13 +60,13 @@
 		leases: map[int]*time.Timer{}, ttls: map[int]time.Duration{},
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /foxcross/kv-key", s.guard(s.serveKey))
-	mux.HandleFunc("GET /foxcross/kv-range", s.guard(s.serveRange))
-	mux.HandleFunc("GET /foxcross/kv-watch", s.guard(s.serveWatch))
-	mux.HandleFunc("POST /foxcross/kv-txn", s.guard(s.serveTxn))
-	mux.HandleFunc("POST /foxcross/kv-lease", s.guard(s.serveLease))
-	mux.HandleFunc("POST /foxcross/kv-keep/{lease}", s.guard(s.serveRenewal))
-	mux.HandleFunc("DELETE /foxcross/kv-lease-end/{lease}", s.guard(s.serveLeaseEnd))
+	mux.HandleFunc("GET /foxcross/kv-key", s.withFault(s.serveKey))
+	mux.HandleFunc("GET /foxcross/kv-range", s.withFault(s.serveRange))
+	mux.HandleFunc("GET /foxcross/kv-watch", s.withFault(s.serveWatch))
+	mux.HandleFunc("POST /foxcross/kv-txn", s.withFault(s.serveTxn))
+	mux.HandleFunc("POST /foxcross/kv-lease", s.withFault(s.serveLease))
+	mux.HandleFunc("POST /foxcross/kv-keep/{lease}", s.withFault(s.serveRenewal))
+	mux.HandleFunc("DELETE /foxcross/kv-lease-end/{lease}", s.withFault(s.serveLeaseEnd))
 	s.server = httptest.NewServer(mux)
 	return s
 }
@@ -74,7 +74,7 @@
 // Address returns the store's address.
 func (s *Store) Address() string { return s.server.Listener.Addr().String() }
 
-// Close ends the store.
+// Close stops the store.
 func (s *Store) Close() {
 	s.server.CloseClientConnections()
 	s.server.Close()
@@ -89,7 +89,7 @@
 	s.change(Item{Key: key, Value: data})
 }
 
-// Remove takes an entry out.
+// Remove removes an entry.
 func (s *Store) Remove(key string) { s.change(Item{Key: key, Gone: true}) }
 
 func (s *Store) change(i Item) {
@@ -99,7 +99,7 @@
 	s.changeAt(s.revision, i)
 }
 
-// changeAt makes a change at a revision. The store is locked.
+// changeAt applies a change at a revision. The store is locked.
 func (s *Store) changeAt(revision uint64, i Item) {
 	i.Revision = revision
 	if i.Gone {
@@ -112,17 +112,17 @@
 	s.changed = make(chan struct{})
 }
 
-// Forget drops the history and cuts the watches.
+// Forget drops the history, so that watches of older revisions fail.
 func (s *Store) Forget() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.oldest = s.revision
+	s.oldestRevision = s.revision
 	s.history = nil
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// SetFault makes the store fail, or sound again.
+// SetFault makes the store fail, or work again for Sound.
 func (s *Store) SetFault(f Fault) {
 	s.mu.Lock()
 	s.fault = f
@@ -132,8 +132,8 @@
 	}
 }
 
-// guard lets calls through to a sound store.
-func (s *Store) guard(h http.HandlerFunc) http.HandlerFunc {
+// withFault serves calls with h, or as the injected fault requires.
+func (s *Store) withFault(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
 		f := s.fault
@@ -148,7 +148,7 @@
 		case Reset:
 			abort(w)
 		case Silent:
-			_, _ = io.Copy(io.Discard, r.Body) // only then is it noticed that a caller has left
+			_, _ = io.Copy(io.Discard, r.Body) // the end of a caller's connection is noticed only after the whole body
 			<-r.Context().Done()
 		}
 	}
@@ -161,9 +161,9 @@
 		return
 	}
 	if t, ok := c.(*net.TCPConn); ok {
-		_ = t.SetLinger(0) // the reset is the point
+		_ = t.SetLinger(0) // a close then sends a reset
 	}
-	_ = c.Close() // it is reset
+	_ = c.Close() // sends the reset
 }
 
 func (s *Store) serveKey(w http.ResponseWriter, r *http.Request) {
@@ -202,10 +202,10 @@
 	wait, _ := strconv.Atoi(r.FormValue("waitMs"))                 // 0 where it is missing
 	timer := time.NewTimer(time.Duration(wait) * time.Millisecond)
 	defer timer.Stop()
-	over := false
+	expired := false
 	for {
 		s.mu.Lock()
-		if after < s.oldest {
+		if after < s.oldestRevision {
 			s.mu.Unlock()
 			w.WriteHeader(http.StatusGone)
 			return
@@ -214,7 +214,7 @@
 		changed := s.changed
 		at := s.revision
 		s.mu.Unlock()
-		if len(events) > 0 || over {
+		if len(events) > 0 || expired {
 			reply(w, struct {
 				Events []Item `json:"events"`
 				At     uint64 `json:"at"`
@@ -224,7 +224,7 @@
 		select {
 		case <-changed:
 		case <-timer.C:
-			over = true
+			expired = true
 		case <-r.Context().Done():
 			return
 		}
@@ -247,24 +247,24 @@
 	_ = json.NewEncoder(w).Encode(body) // the caller may be gone
 }
 
-// Keys of the platform.
+// Keys and key prefixes of the platform.
 const (
-	configKey     = "op/config"
-	evacuateBelow = "op/evacuate/"
-	entriesBelow  = "servers/"
+	configKey        = "op/config"
+	evacuationPrefix = "op/evacuate/"
+	endpointPrefix   = "servers/"
 )
 
-// Configure writes the operator's configuration, whole.
+// Configure replaces the operator's configuration.
 func (s *Store) Configure(configuration any) { s.Put(configKey, configuration) }
 
-// Evacuate asks that nothing more be sent to a zone.
-func (s *Store) Evacuate(zone string) { s.Put(evacuateBelow+zone, struct{}{}) }
+// Evacuate asks that no more requests be sent to a zone.
+func (s *Store) Evacuate(zone string) { s.Put(evacuationPrefix+zone, struct{}{}) }
 
-// GiveBack takes that back.
-func (s *Store) GiveBack(zone string) { s.Remove(evacuateBelow + zone) }
+// GiveBack ends the evacuation of a zone.
+func (s *Store) GiveBack(zone string) { s.Remove(evacuationPrefix + zone) }
 
-// Enter lets a runner stand in the store in a state.
-func (s *Store) Enter(r *Runner, state string) { s.Put(entriesBelow+r.ID, r.Entry(state)) }
+// Enter writes a runner's record with a state to the store.
+func (s *Store) Enter(r *Runner, state string) { s.Put(endpointPrefix+r.ID, r.Entry(state)) }
 
-// Lose takes a runner's entry out of the store.
-func (s *Store) Lose(r *Runner) { s.Remove(entriesBelow + r.ID) }
+// Lose removes a runner's record from the store.
+func (s *Store) Lose(r *Runner) { s.Remove(endpointPrefix + r.ID) }
--- a/internal/testing/standin/platformtest/txn.go
+++ b/internal/testing/standin/platformtest/txn.go
@@ -8,25 +8,25 @@
 	"time"
 )
 
-// txn is a writing call.
+// txn is a transaction.
 type txn struct {
 	Conditions []Item   `json:"expectedRev"`
 	Put        []Item   `json:"put"`
 	Remove     []string `json:"remove"`
 }
 
-// maxTxn is how many entries a writing call may have.
-const maxTxn = 32
+// maxTxnItems is the largest number of conditions and changes of a transaction.
+const maxTxnItems = 32
 
 func (s *Store) serveTxn(w http.ResponseWriter, r *http.Request) {
 	var t txn
-	if err := json.NewDecoder(r.Body).Decode(&t); err != nil || len(t.Conditions)+len(t.Put)+len(t.Remove) > maxTxn {
+	if err := json.NewDecoder(r.Body).Decode(&t); err != nil || len(t.Conditions)+len(t.Put)+len(t.Remove) > maxTxnItems {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if status := s.refuse(t); status != 0 {
+	if status := s.refusalStatus(t); status != 0 {
 		w.WriteHeader(status)
 		return
 	}
@@ -42,15 +42,15 @@
 	}{s.revision})
 }
 
-// refuse returns the status of a call that is not carried out, else 0. The store is locked.
-func (s *Store) refuse(t txn) int {
+// refusalStatus returns the status of a transaction that is refused, or 0. The store is locked.
+func (s *Store) refusalStatus(t txn) int {
 	for _, c := range t.Conditions {
 		if s.items[c.Key].Revision != c.Revision {
 			return http.StatusPreconditionFailed
 		}
 	}
 	for _, i := range t.Put {
-		if strings.HasPrefix(i.Key, entriesBelow) || strings.HasPrefix(i.Key, "op/") {
+		if strings.HasPrefix(i.Key, endpointPrefix) || strings.HasPrefix(i.Key, "op/") {
 			return http.StatusForbidden
 		}
 		if i.Lease != 0 && s.leases[i.Lease] == nil {
@@ -61,23 +61,23 @@
 }
 
 func (s *Store) serveLease(w http.ResponseWriter, r *http.Request) {
-	var ask struct {
+	var request struct {
 		MS int64 `json:"ttl_ms"`
 	}
-	if err := json.NewDecoder(r.Body).Decode(&ask); err != nil || ask.MS <= 0 {
+	if err := json.NewDecoder(r.Body).Decode(&request); err != nil || request.MS <= 0 {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.last++
-	name := s.last
-	s.ttls[name] = time.Duration(ask.MS) * time.Millisecond
+	s.lastLease++
+	name := s.lastLease
+	s.ttls[name] = time.Duration(request.MS) * time.Millisecond
 	s.leases[name] = time.AfterFunc(s.ttls[name], func() { s.endLease(name) })
 	reply(w, struct {
 		Lease int   `json:"lease"`
 		MS    int64 `json:"ttl_ms"`
-	}{name, ask.MS})
+	}{name, request.MS})
 }
 
 func (s *Store) serveRenewal(w http.ResponseWriter, r *http.Request) {
@@ -99,7 +99,7 @@
 	reply(w, struct{}{})
 }
 
-// endLease ends a lease and takes out what goes with it.
+// endLease ends a lease and removes the entries attached to it.
 func (s *Store) endLease(name int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,7 +116,7 @@
 	}
 }
 
-// Keys returns the keys that begin with a prefix.
+// Keys returns the keys that have a prefix.
 func (s *Store) Keys(prefix string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testing/standin/service.go
+++ b/internal/testing/standin/service.go
@@ -13,8 +13,8 @@
 	"foxcross.dev/foxcross/internal/relay/endpoint"
 )
 
-// Service is a plain service that records what it executes. The zero value is
-// ready.
+// Service is a plain service that records the calls that it executes. The zero value is
+// ready for use.
 type Service struct {
 	Takes time.Duration // per call
 
@@ -25,7 +25,7 @@
 	executions map[string]int // by method, path and body
 }
 
-// ServeHTTP executes a call and echoes it.
+// ServeHTTP executes a call and returns its text.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -36,7 +36,7 @@
 	_, _ = io.WriteString(w, answer) // the caller may be gone
 }
 
-// execute records a call, takes its time and returns the answer.
+// execute records a call, waits for the time it takes and returns the answer.
 func (s *Service) execute(method, uri, path string, body []byte) string {
 	call := fmt.Sprintf("%s %s %s", method, uri, body)
 	s.mu.Lock()
@@ -52,8 +52,8 @@
 	return "done: " + call
 }
 
-// Run makes the service a driver, for tests without a network. Like most
-// services it finishes what it has begun.
+// Run implements endpoint.Driver for tests without a network. Like most services it
+// completes a call whose caller has disconnected.
 func (s *Service) Run(_ context.Context, c endpoint.Call, k endpoint.Sink) message.End {
 	answer := s.execute(c.Start.Method, c.Start.Path, c.Start.Path, c.Start.Body)
 	if err := k.Head(http.StatusOK, nil); err != nil {
@@ -65,7 +65,7 @@
 	return message.End{Code: result.OK, Run: result.Ran}
 }
 
-// Executions returns how often each call was executed.
+// Executions returns the number of executions of each call.
 func (s *Service) Executions() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testing/standin/standin_test.go
+++ b/internal/testing/standin/standin_test.go
@@ -19,19 +19,19 @@
 	"foxcross.dev/foxcross/internal/testing/standin"
 )
 
-// sink takes an answer and notes when it began.
-type sink struct{ first time.Time }
+// firstTextSink discards an answer and records when its first text arrived.
+type firstTextSink struct{ first time.Time }
 
-func (s *sink) Head(int, []message.Field) error { return nil }
-func (s *sink) Data([]byte, int) error          { return nil }
-func (s *sink) Text(string, int) error {
+func (s *firstTextSink) Head(int, []message.Field) error { return nil }
+func (s *firstTextSink) Data([]byte, int) error          { return nil }
+func (s *firstTextSink) Text(string, int) error {
 	if s.first.IsZero() {
 		s.first = time.Now()
 	}
 	return nil
 }
 
-func call(content string, tokens, tier int) endpoint.Call {
+func chatCall(content string, tokens, tier int) endpoint.Call {
 	body, _ := json.Marshal(map[string]any{ // a plain map always has a JSON form
 		"max_tokens": tokens,
 		"messages":   []map[string]string{{"role": "user", "content": content}},
@@ -39,16 +39,17 @@
 	return endpoint.Call{Terms: message.Terms{Tier: tier}, Start: message.Start{Body: body}}
 }
 
-// A full batch lets the lower number in first, and the load is reported late.
+// TestEnginePriorityAndLag checks that a full batch admits the lower tier number first, and that the
+// load is reported with a delay.
 func TestEnginePriorityAndLag(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &standin.Engine{Card: standin.Card{Step: 10 * time.Millisecond, Most: 1, Lag: time.Second}}
 		var all sync.WaitGroup
-		sinks := make([]sink, 3)
+		sinks := make([]firstTextSink, 3)
 		for n, tier := range []int{0, 2, 0} {
 			all.Go(func() {
 				time.Sleep(time.Duration(n) * time.Millisecond)
-				if end := e.Run(context.Background(), call("x", 200, tier), &sinks[n]); end.Code != result.OK {
+				if end := e.Run(context.Background(), chatCall("x", 200, tier), &sinks[n]); end.Code != result.OK {
 					t.Errorf("request %d: %v", n, end)
 				}
 			})
@@ -68,15 +69,15 @@
 	})
 }
 
-// More running requests make every token slower.
-func TestEngineBatches(t *testing.T) {
+// TestEngineSlowsWithBatchSize checks that a token takes longer if more requests run.
+func TestEngineSlowsWithBatchSize(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		took := func(requests int) time.Duration {
 			e := &standin.Engine{Card: standin.Card{Step: 10 * time.Millisecond, Batch: 4}}
 			began := time.Now()
 			var all sync.WaitGroup
 			for range requests {
-				all.Go(func() { e.Run(context.Background(), call("x", 50, 0), &sink{}) })
+				all.Go(func() { e.Run(context.Background(), chatCall("x", 50, 0), &firstTextSink{}) })
 			}
 			all.Wait()
 			return time.Since(began)
@@ -87,7 +88,7 @@
 	})
 }
 
-// The platform's driver against the stand-in: what each outcome looks like.
+// TestStoreOverHTTP checks the results of the platform's driver for each outcome at the stand-in.
 func TestStoreOverHTTP(t *testing.T) {
 	var store standin.Store
 	server := httptest.NewServer(store.Handler())
@@ -135,7 +136,7 @@
 		t.Errorf("watch: %q", w.Data)
 	}
 	server.Close()
-	if p, err = httpkv.New(server.URL); err != nil { // a fresh one has no connection left over
+	if p, err = httpkv.New(server.URL); err != nil { // a new client has no open connection
 		t.Fatal(err)
 	}
 	if _, err := p.Swap(ctx, "a/b", []byte("5"), 0); !errors.Is(err, storeerr.ErrUnavailable) {
@@ -143,14 +144,14 @@
 	}
 }
 
-// A prompt whose beginning was seen takes a tenth of the prefill for it.
-func TestEngineCachesBeginnings(t *testing.T) {
+// TestEngineCachesPromptPrefixes checks that a cached prefix takes a tenth of its prefill time.
+func TestEngineCachesPromptPrefixes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &standin.Engine{Card: standin.Card{Prefill: 100e3}}
 		first := func(end string) time.Duration {
 			began := time.Now()
-			var s sink
-			e.Run(context.Background(), call(standin.Prompt("records", 24<<10)+end, 5, 0), &s)
+			var s firstTextSink
+			e.Run(context.Background(), chatCall(standin.Prompt("records", 24<<10)+end, 5, 0), &s)
 			return s.first.Sub(began)
 		}
 		if cold, warm := first("a"), first("b"); cold < 200*time.Millisecond || warm > cold/5 {
@@ -159,8 +160,8 @@
 	})
 }
 
-// The member list shows a change late.
-func TestListLags(t *testing.T) {
+// TestMemberListLag checks that the member list shows a change with a delay.
+func TestMemberListLag(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := standin.Store{ListLag: time.Second}
 		store.SetMembers([]kv.Member{{Name: "a"}})
--- a/internal/testing/standin/store.go
+++ b/internal/testing/standin/store.go
@@ -1,6 +1,6 @@
-// Package standin holds small stand-ins for what lies outside foxcross: the
-// platform's key-value service and member list, a model engine, a plain
-// service. They exist for examples and tests and can be made to fail.
+// Package standin holds small stand-ins for the systems around foxcross: the
+// platform's key-value service and member list, a model engine and a plain
+// service. They are for examples and tests and can be made to fail.
 package standin
 
 import (
@@ -14,42 +14,42 @@
 	"foxcross.dev/foxcross/internal/storeerr"
 )
 
-// MaxValue is the largest value in bytes that the store takes.
+// MaxValue is the largest value that the store accepts, in bytes.
 const MaxValue = 1 << 20
 
-// Faults are what can go wrong with the store.
+// Faults are the faults of the store that can be injected.
 type Faults struct {
 	Down      bool
 	Delay     time.Duration
-	LoseSwaps int  // so many swaps take effect but are not answered
+	LoseSwaps int  // number of swaps that take effect but are not answered
 	ListDown  bool // the member list does not answer
-	ListEmpty bool // the member list is empty by mistake
+	ListEmpty bool // the member list is wrongly empty
 }
 
-// Calls counts calls by kind; a waiting watch counts as one.
+// Calls counts calls by kind. A watch counts as one call, however long it waits.
 type Calls struct {
 	Gets, Swaps, Watches int
 }
 
 // Store is a key-value service in memory. The zero value is empty.
 type Store struct {
-	ListLag time.Duration // how late the member list shows a change
+	ListLag time.Duration // delay after which the member list shows a change
 
-	changes atomic.Int64 // of settings, that Settings has given ids to
+	changeCount atomic.Int64 // settings changes with an id from Settings
 
-	mu       sync.Mutex
-	values   map[string]kv.Value
-	revision uint64
-	waiters  map[string][]chan struct{}
-	faults   Faults
-	calls    Calls
-	newest   []kv.Member // as last set
-	members  []kv.Member // as shown
-	lists    int         // set so far
-	shown    int         // number of the list that is visible
+	mu        sync.Mutex
+	values    map[string]kv.Value
+	revision  uint64
+	waiters   map[string][]chan struct{}
+	faults    Faults
+	calls     Calls
+	newest    []kv.Member // as last set
+	members   []kv.Member // as visible
+	listCount int         // number of lists that were set
+	shown     int         // number of the visible list
 }
 
-// SetFaults changes what goes wrong from now on.
+// SetFaults replaces the injected faults.
 func (s *Store) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -57,44 +57,44 @@
 	s.wakeAll()
 }
 
-// Calls returns how often the store was called.
+// Calls returns the number of calls to the store.
 func (s *Store) Calls() Calls {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// SetMembers replaces the member list, after its lag.
+// SetMembers replaces the member list, after ListLag.
 func (s *Store) SetMembers(m []kv.Member) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.list(slices.Clone(m))
+	s.scheduleList(slices.Clone(m))
 }
 
-// SetMember adds a member or replaces the one of its name, after the list's lag.
+// SetMember adds a member or replaces the one of the same name, after ListLag.
 func (s *Store) SetMember(m kv.Member) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.list(append(s.without(m.Name), m))
+	s.scheduleList(append(s.without(m.Name), m))
 }
 
-// DropMember takes a member off the list, after its lag.
+// DropMember removes a member from the list, after ListLag.
 func (s *Store) DropMember(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.list(s.without(name))
+	s.scheduleList(s.without(name))
 }
 
-// without returns a copy of the newest list that lacks a member. The store is
-// locked.
+// without returns a copy of the newest list without a member. The store is locked.
 func (s *Store) without(name string) []kv.Member {
 	return slices.DeleteFunc(slices.Clone(s.newest), func(m kv.Member) bool { return m.Name == name })
 }
 
-// list makes a list the newest one. The store is locked.
-func (s *Store) list(next []kv.Member) {
-	s.lists++
-	number := s.lists
+// scheduleList sets the newest list and makes it visible after ListLag. The store is
+// locked.
+func (s *Store) scheduleList(next []kv.Member) {
+	s.listCount++
+	number := s.listCount
 	s.newest = next
 	if s.ListLag <= 0 {
 		s.members = next
@@ -103,7 +103,7 @@
 	time.AfterFunc(s.ListLag, func() { s.showMembers(number, next) })
 }
 
-// showMembers makes a list visible, unless a later one is.
+// showMembers makes a list visible unless a later one is visible.
 func (s *Store) showMembers(number int, m []kv.Member) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,8 +113,8 @@
 	}
 }
 
-// Members returns the list. It is a service of its own: the store's faults do
-// not touch it.
+// Members returns the member list. It is a separate service, which Down and Delay do
+// not affect.
 func (s *Store) Members(context.Context) ([]kv.Member, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -128,8 +128,8 @@
 	}
 }
 
-// enter counts a call and lets the faults act.
-func (s *Store) enter(ctx context.Context, count func(*Calls)) error {
+// applyFaults counts a call and applies the injected delay and outage.
+func (s *Store) applyFaults(ctx context.Context, count func(*Calls)) error {
 	s.mu.Lock()
 	count(&s.calls)
 	f := s.faults
@@ -151,7 +151,7 @@
 
 // Get returns a value.
 func (s *Store) Get(ctx context.Context, key string) (kv.Value, error) {
-	if err := s.enter(ctx, func(c *Calls) { c.Gets++ }); err != nil {
+	if err := s.applyFaults(ctx, func(c *Calls) { c.Gets++ }); err != nil {
 		return kv.Value{}, err
 	}
 	s.mu.Lock()
@@ -163,9 +163,9 @@
 	return v, nil
 }
 
-// Swap stores data if the revision is the present one.
+// Swap stores data if revision is the present revision of the key.
 func (s *Store) Swap(ctx context.Context, key string, data []byte, revision uint64) (uint64, error) {
-	if err := s.enter(ctx, func(c *Calls) { c.Swaps++ }); err != nil {
+	if err := s.applyFaults(ctx, func(c *Calls) { c.Swaps++ }); err != nil {
 		return 0, err
 	}
 	if len(data) > MaxValue {
@@ -189,9 +189,9 @@
 	return s.revision, nil
 }
 
-// Watch waits for a later revision.
+// Watch waits for a value with a revision after the given one.
 func (s *Store) Watch(ctx context.Context, key string, after uint64) (kv.Value, error) {
-	if err := s.enter(ctx, func(c *Calls) { c.Watches++ }); err != nil {
+	if err := s.applyFaults(ctx, func(c *Calls) { c.Watches++ }); err != nil {
 		return kv.Value{}, err
 	}
 	for {
--- a/internal/testing/standin/storehttp.go
+++ b/internal/testing/standin/storehttp.go
@@ -21,8 +21,8 @@
 	errTooLarge = errors.New("standin: the value is too large")
 )
 
-// maxWatch is how long a watch waits over HTTP before it is asked again.
-const maxWatch = 30 * time.Second
+// maxWatchWait is the time after which a watch over HTTP reads the value again.
+const maxWatchWait = 30 * time.Second
 
 // Handler serves the store over HTTP, as package httpkv describes it.
 func (s *Store) Handler() http.Handler {
@@ -33,9 +33,9 @@
 	return mux
 }
 
-func keyOf(r *http.Request) string { return strings.TrimPrefix(r.URL.Path, httpkv.ValuePath) }
+func requestKey(r *http.Request) string { return strings.TrimPrefix(r.URL.Path, httpkv.ValuePath) }
 
-func number(text string) uint64 {
+func parseRevision(text string) uint64 {
 	n, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
 		return 0
@@ -47,15 +47,15 @@
 	var v kv.Value
 	var err error
 	if after := r.URL.Query().Get("after"); after != "" {
-		timer := time.AfterFunc(maxWatch, func() {
+		timer := time.AfterFunc(maxWatchWait, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			s.wake(keyOf(r))
+			s.wake(requestKey(r))
 		})
-		v, err = s.Watch(r.Context(), keyOf(r), number(after))
+		v, err = s.Watch(r.Context(), requestKey(r), parseRevision(after))
 		timer.Stop()
 	} else {
-		v, err = s.Get(r.Context(), keyOf(r))
+		v, err = s.Get(r.Context(), requestKey(r))
 	}
 	if err != nil {
 		writeStoreError(w, err)
@@ -71,7 +71,7 @@
 		http.Error(w, errTooLarge.Error(), http.StatusRequestEntityTooLarge)
 		return
 	}
-	revision, err := s.Swap(r.Context(), keyOf(r), data, number(r.Header.Get(httpkv.RevisionField)))
+	revision, err := s.Swap(r.Context(), requestKey(r), data, parseRevision(r.Header.Get(httpkv.RevisionField)))
 	if err != nil {
 		writeStoreError(w, err)
 		return
@@ -93,7 +93,7 @@
 	_ = json.NewEncoder(w).Encode(v) // the caller may be gone
 }
 
-// writeStoreError answers an error; a lost answer is a broken connection.
+// writeStoreError writes the response for an error. A lost answer breaks the connection.
 func writeStoreError(w http.ResponseWriter, err error) {
 	switch {
 	case errors.Is(err, errLost):
