--- a/internal/testing/history/check.go
+++ b/internal/testing/history/check.go
@@ -9,48 +9,48 @@
 	"foxcross.dev/coord/result"
 )
 
-// Check returns the broken promises of a history, in a fixed order.
+// Check returns the breaches of promises in a history, in a deterministic order.
 func Check(events []Event, r Rules) []Breach {
 	c := checker{
 		rules:     r,
 		requests:  map[string]*request{},
-		left:      map[string][]span{},
+		leaving:   map[string][]span{},
 		processes: map[string][]InForce{},
 	}
 	for _, e := range events {
-		c.take(e)
+		c.addEvent(e)
 	}
 	c.checkRequests()
 	c.checkSettings()
 	return c.breaches
 }
 
-// request is all that happened to one request.
+// request holds the events of one request.
 type request struct {
 	submitted  Submitted
 	executions []Executed
 	answers    []Answered
 }
 
-// span is a time in which an endpoint takes no new work; it may be open.
+// span is a time in which an endpoint accepts no new work. A zero end means that it is open.
 type span struct {
 	from, to time.Time
 }
 
-func (s span) holds(at time.Time) bool {
+func (s span) contains(at time.Time) bool {
 	return at.After(s.from) && (s.to.IsZero() || at.Before(s.to))
 }
 
 type checker struct {
 	rules     Rules
 	requests  map[string]*request
-	left      map[string][]span
+	leaving   map[string][]span
 	processes map[string][]InForce
 	accepted  []Accepted
 	breaches  []Breach
 }
 
-func (c *checker) broken(p Promise, format string, args ...any) {
+func (c *checker) addBreach(p Promise, format string, args ...any) {
 	c.breaches = append(c.breaches, Breach{p, fmt.Sprintf(format, args...)})
 }
 
@@ -61,7 +61,7 @@
 	return c.requests[id]
 }
 
-func (c *checker) take(e Event) {
+func (c *checker) addEvent(e Event) {
 	switch e := e.(type) {
 	case Submitted:
 		c.requestOf(e.ID).submitted = e
@@ -73,12 +73,12 @@
 		q.answers = append(q.answers, e)
 	case Displaced:
 		if e.Tier <= e.ByTier {
-			c.broken(TierOrder, "tier %d made room for tier %d", e.Tier, e.ByTier)
+			c.addBreach(TierOrder, "tier %d was displaced by tier %d", e.Tier, e.ByTier)
 		}
 	case Left:
-		c.left[e.Endpoint] = append(c.left[e.Endpoint], span{from: e.At})
+		c.leaving[e.Endpoint] = append(c.leaving[e.Endpoint], span{from: e.At})
 	case Joined:
-		c.join(e)
+		c.endLeaving(e)
 	case Accepted:
 		c.accepted = append(c.accepted, e)
 	case InForce:
@@ -97,20 +97,20 @@
 
 func (c *checker) checkAnswers(id string, q *request) {
 	if len(q.answers) != max(1, q.submitted.Copies) {
-		c.broken(OneAnswer, "request %s has %d", id, len(q.answers))
+		c.addBreach(OneAnswer, "request %s has %d", id, len(q.answers))
 	}
 	for _, a := range q.answers {
-		if len(q.executions) > 0 && q.allNotRun() {
-			c.broken(NotRunIsTrue, "request %s ran at %s, its answer was %s", id, q.executions[0].Endpoint, a.Code)
+		if len(q.executions) > 0 && q.allReportedNotRun() {
+			c.addBreach(NotRunIsTrue, "request %s ran at %s, its answer was %s", id, q.executions[0].Endpoint, a.Code)
 		}
 		if a.Code == result.OK && a.Body != q.submitted.Want {
-			c.broken(WholeAnswer, "request %s got %q, its answer is %q", id, a.Body, q.submitted.Want)
+			c.addBreach(WholeAnswer, "request %s got %q, want %q", id, a.Body, q.submitted.Want)
 		}
 	}
 }
 
-// allNotRun tells whether every copy was said to be not run.
-func (q *request) allNotRun() bool {
+// allReportedNotRun reports whether the answers to all copies say that the request was not run.
+func (q *request) allReportedNotRun() bool {
 	for _, a := range q.answers {
 		if a.Run != result.NotRun {
 			return false
@@ -121,20 +121,20 @@
 
 func (c *checker) checkExecutions(id string, q *request) {
 	if !q.submitted.Repeatable && len(q.executions) > 1 {
-		c.broken(AtMostOnce, "request %s ran %d times", id, len(q.executions))
+		c.addBreach(AtMostOnce, "request %s ran %d times", id, len(q.executions))
 	}
 	for _, x := range q.executions {
-		for _, s := range c.left[x.Endpoint] {
-			if s.holds(x.At.Add(-c.rules.LeaveWithin)) && s.holds(x.At) {
-				c.broken(LeavingIsLeft, "request %s was sent to %s %v after it left", id, x.Endpoint, x.At.Sub(s.from))
+		for _, s := range c.leaving[x.Endpoint] {
+			if s.contains(x.At.Add(-c.rules.LeaveWithin)) && s.contains(x.At) {
+				c.addBreach(LeavingIsLeft, "request %s was sent to %s %v after it announced that it leaves", id, x.Endpoint, x.At.Sub(s.from))
 			}
 		}
 	}
 }
 
-// join closes the open span of an endpoint.
-func (c *checker) join(e Joined) {
-	spans := c.left[e.Endpoint]
+// endLeaving closes the open span of an endpoint.
+func (c *checker) endLeaving(e Joined) {
+	spans := c.leaving[e.Endpoint]
 	if last := len(spans) - 1; last >= 0 && spans[last].to.IsZero() {
 		spans[last].to = e.At
 	}
@@ -152,7 +152,7 @@
 		started = q.answers[0].At
 	}
 	if wait := started.Sub(q.submitted.At); wait > bound {
-		c.broken(NoStarvation, "request %s of class %s waited %v, its bound is %v", id, q.submitted.Class, wait, bound)
+		c.addBreach(NoStarvation, "request %s of class %s waited %v, its bound is %v", id, q.submitted.Class, wait, bound)
 	}
 }
 
@@ -170,7 +170,7 @@
 func (c *checker) checkOrder(process string, seen []InForce) {
 	for n := 1; n < len(seen); n++ {
 		if seen[n].Version < seen[n-1].Version {
-			c.broken(NeverReverts, "%s went from version %d to %d", process, seen[n-1].Version, seen[n].Version)
+			c.addBreach(NeverReverts, "%s went from version %d to %d", process, seen[n-1].Version, seen[n].Version)
 		}
 	}
 }
@@ -185,5 +185,5 @@
 			return
 		}
 	}
-	c.broken(InForceSoon, "%s did not work by version %d in time", process, a.Version)
+	c.addBreach(InForceSoon, "%s did not use version %d in time", process, a.Version)
 }
--- a/internal/testing/history/history.go
+++ b/internal/testing/history/history.go
@@ -1,5 +1,5 @@
-// Package history records what happened to requests in a run and names every
-// promise that was broken.
+// Package history records the events of requests and settings in a run and finds
+// every promise that was broken.
 package history
 
 import (
@@ -11,29 +11,29 @@
 	"foxcross.dev/coord/result"
 )
 
-// Event is something that happened.
+// Event is an event of a run.
 type Event interface{ event() }
 
-// Submitted is a request that a caller sent.
+// Submitted records that a caller sent a request.
 type Submitted struct {
 	ID         string
 	Class      string
 	Tier       int
 	Repeatable bool
 	Want       string // the whole answer
-	Copies     int    // how often it was sent with one idempotency key, 0 for once
+	Copies     int    // number of requests with one idempotency key, 0 for one
 	At         time.Time
 }
 
-// Executed is a request that an endpoint began to work on.
+// Executed records that an endpoint started to execute a request.
 type Executed struct {
 	ID       string
 	Endpoint string
 	At       time.Time
 }
 
-// Answered is the final answer that a caller got. Run is what the answer said
-// about execution.
+// Answered records the final answer that a caller received. Run is the state of
+// execution according to the answer.
 type Answered struct {
 	ID   string
 	Code result.Code
@@ -42,32 +42,32 @@
 	At   time.Time
 }
 
-// Displaced is work or a waiting offer that lost its place to another.
+// Displaced records that work or a queued offer was displaced by another.
 type Displaced struct {
-	Tier   int // of what was displaced
-	ByTier int // of what took its place
+	Tier   int // of the displaced work or offer
+	ByTier int // of the one that displaced it
 	At     time.Time
 }
 
-// Left is an endpoint that said it takes no new work.
+// Left records that an endpoint announced that it accepts no new work.
 type Left struct {
 	Endpoint string
 	At       time.Time
 }
 
-// Joined is an endpoint that takes work, again or for the first time.
+// Joined records that an endpoint accepts work, for the first time or again.
 type Joined struct {
 	Endpoint string
 	At       time.Time
 }
 
-// Accepted is a settings version that an operator was told is accepted.
+// Accepted records that a settings version was acknowledged to an operator.
 type Accepted struct {
 	Version uint64
 	At      time.Time
 }
 
-// InForce is a settings version that a process works by from now on.
+// InForce records that a process uses a settings version from now on.
 type InForce struct {
 	Process string
 	Version uint64
@@ -83,12 +83,12 @@
 func (Accepted) event()  {}
 func (InForce) event()   {}
 
-// Rules are the bounds that a history is held to.
+// Rules are the bounds that a history is checked against.
 type Rules struct {
-	LeaveWithin time.Duration            // new work may reach a leaving endpoint for so long
-	ForceWithin time.Duration            // an accepted version is in force at all Processes
-	Processes   []string                 // those that lived through the whole history
-	StartWithin map[string]time.Duration // by class, from submission to execution
+	LeaveWithin time.Duration            // time in which new work may still reach a leaving endpoint
+	ForceWithin time.Duration            // time until an accepted version is in force at all Processes
+	Processes   []string                 // those that run during the whole history
+	StartWithin map[string]time.Duration // longest time from submission to execution, by class
 	End         time.Time                // of the history
 }
 
@@ -105,14 +105,14 @@
 	r.events = append(r.events, e)
 }
 
-// Events returns what was recorded.
+// Events returns a copy of the recorded events.
 func (r *Recorder) Events() []Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.events)
 }
 
-// Promise is what a history can break.
+// Promise is a promise that a history can break.
 type Promise string
 
 // The promises.
--- a/internal/testing/history/history_test.go
+++ b/internal/testing/history/history_test.go
@@ -22,8 +22,8 @@
 	End:         at(100),
 }
 
-// whole is a history that keeps every promise.
-func whole() []history.Event {
+// validHistory returns a history that keeps every promise.
+func validHistory() []history.Event {
 	return []history.Event{
 		history.Submitted{ID: "1", Class: "chat", Repeatable: true, Want: "hello", At: at(0)},
 		history.Executed{ID: "1", Endpoint: "a", At: at(1)},
@@ -42,22 +42,22 @@
 }
 
 var _ = Describe("Check", func() {
-	It("finds nothing in a history that keeps every promise", func() {
-		Expect(history.Check(whole(), rules)).To(BeEmpty())
+	It("finds no breach in a history that keeps every promise", func() {
+		Expect(history.Check(validHistory(), rules)).To(BeEmpty())
 	})
 
-	DescribeTable("names a planted breach",
+	DescribeTable("finds the promise that a history breaks",
 		func(p history.Promise, planted ...history.Event) {
-			breaches := history.Check(append(whole(), planted...), rules)
+			breaches := history.Check(append(validHistory(), planted...), rules)
 			Expect(breaches).To(HaveLen(1))
 			Expect(breaches[0].Promise).To(Equal(p))
 		},
-		Entry("a duplicate start", history.AtMostOnce, history.Executed{ID: "3", Endpoint: "b", At: at(43)}),
-		Entry("a false not run", history.NotRunIsTrue, history.Executed{ID: "2", Endpoint: "b", At: at(9)}),
-		Entry("a crossed answer", history.WholeAnswer,
+		Entry("a duplicate execution", history.AtMostOnce, history.Executed{ID: "3", Endpoint: "b", At: at(43)}),
+		Entry("executed but reported as not run", history.NotRunIsTrue, history.Executed{ID: "2", Endpoint: "b", At: at(9)}),
+		Entry("the answer to another request", history.WholeAnswer,
 			history.Submitted{ID: "4", Repeatable: true, Want: "mine", At: at(60)},
 			history.Answered{ID: "4", Code: result.OK, Run: result.Ran, Body: "yours", At: at(61)}),
-		Entry("a cut answer", history.WholeAnswer,
+		Entry("a truncated answer", history.WholeAnswer,
 			history.Submitted{ID: "4", Repeatable: true, Want: "the whole", At: at(60)},
 			history.Answered{ID: "4", Code: result.OK, Run: result.Ran, Body: "the", At: at(61)}),
 		Entry("a second answer", history.OneAnswer, history.Answered{ID: "3", Code: result.Cancelled, Run: result.Unknown, At: at(45)}),
