--- a/internal/testing/deployment/deployment.go
+++ b/internal/testing/deployment/deployment.go
@@ -1,5 +1,5 @@
-// Package deployment starts whole deployments on loopback, with stand-ins, free
-// ports and throw-away certificates. Examples and tests use it.
+// Package deployment starts complete deployments on loopback, with stand-ins, free
+// ports and temporary certificates, for examples and tests.
 package deployment
 
 import (
@@ -26,10 +26,10 @@
 )
 
 const (
-	loopback   = "127.0.0.1:0"
-	listEvery  = 100 * time.Millisecond
-	readyPolls = 10 * time.Millisecond
-	certLife   = 24 * time.Hour
+	loopback           = "127.0.0.1:0"
+	memberListInterval = 100 * time.Millisecond
+	readyPollInterval  = 10 * time.Millisecond
+	certLifetime       = 24 * time.Hour
 )
 
 // Deployment is a running deployment. Create it with New.
@@ -45,7 +45,7 @@
 	servers   []*http.Server
 }
 
-// Agent is a running agent and its connection.
+// Agent is a running agent and its listener.
 type Agent struct {
 	*agent.Agent
 	Versions *versions.Holder
@@ -69,7 +69,7 @@
 
 // New returns an empty deployment.
 func New() (*Deployment, error) {
-	authority, err := keys.NewAuthority(time.Now(), certLife)
+	authority, err := keys.NewAuthority(time.Now(), certLifetime)
 	if err != nil {
 		return nil, err
 	}
@@ -78,13 +78,13 @@
 	return d, nil
 }
 
-// Close ends everything at once.
+// Close stops all processes at once.
 func (d *Deployment) Close() {
 	d.cancel()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, s := range d.servers {
-		_ = s.Close() // it is ended, however it is
+		_ = s.Close() // the server ends in any case
 	}
 	for _, e := range d.entries {
 		e.kill()
@@ -112,11 +112,11 @@
 		return nil, "", fmt.Errorf("deployment: %w", err)
 	}
 	s := &http.Server{Handler: h, ReadHeaderTimeout: time.Minute, MaxHeaderBytes: entry.MaxHeader}
-	go func() { _ = s.Serve(l) }() // ends with Close
+	go func() { _ = s.Serve(l) }() // returns after Close
 	return s, "http://" + l.Addr().String(), nil
 }
 
-// Local describes an endpoint beside an agent.
+// Local describes an endpoint of an agent.
 type Local struct {
 	Target  string
 	Handler http.Handler
@@ -156,7 +156,7 @@
 }
 
 func (d *Deployment) startAgent(o agent.Options) (*Agent, error) {
-	pair, err := d.authority.Issue(o.Name, time.Now(), certLife)
+	pair, err := d.authority.Issue(o.Name, time.Now(), certLifetime)
 	if err != nil {
 		return nil, err
 	}
@@ -172,7 +172,7 @@
 	o.Versions = holder
 	ctx, cancel := context.WithCancel(d.ctx)
 	a := &Agent{Agent: agent.New(o), Versions: holder, name: o.Name, listener: l, cancel: cancel}
-	go func() { _ = a.Serve(ctx, l) }() // ends with kill
+	go func() { _ = a.Serve(ctx, l) }() // returns after kill
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.agents[o.Name] = a
@@ -182,17 +182,17 @@
 
 func (a *Agent) kill() {
 	a.cancel()
-	_ = a.listener.Close() // it is ended, however it is
+	_ = a.listener.Close() // the listener ends in any case
 }
 
-// KillAgent ends an agent at once. The list still names it.
+// KillAgent ends an agent at once. It stays on the member list.
 func (d *Deployment) KillAgent(name string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.agents[name].kill()
 }
 
-// StopAgent stops an agent cleanly and takes it off the list.
+// StopAgent drains and stops an agent and removes it from the member list.
 func (d *Deployment) StopAgent(ctx context.Context, name string) error {
 	d.mu.Lock()
 	a := d.agents[name]
@@ -208,7 +208,7 @@
 
 // AddEntry starts an entry.
 func (d *Deployment) AddEntry(name, dataCentre string) (*Entry, error) {
-	pair, err := d.authority.Issue(name, time.Now(), certLife)
+	pair, err := d.authority.Issue(name, time.Now(), certLifetime)
 	if err != nil {
 		return nil, err
 	}
@@ -232,7 +232,7 @@
 		Members:    &d.Store,
 		Settings:   holder,
 		Seed:       uint64(len(d.entries) + 1),
-		ListEvery:  listEvery,
+		ListEvery:  memberListInterval,
 		Claims:     batcher,
 	})
 	e.Store.Watches = e.Watches
@@ -253,11 +253,11 @@
 
 func (e *Entry) kill() {
 	e.cancel()
-	_ = e.server.Close() // it is ended, however it is
-	_ = e.dialer.Close() // it is ended, however it is
+	_ = e.server.Close() // the server ends in any case
+	_ = e.dialer.Close() // the dialer ends in any case
 }
 
-// KillEntry ends an entry at once.
+// KillEntry ends an entry at once and removes it from the member list.
 func (d *Deployment) KillEntry(name string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -266,7 +266,7 @@
 	d.Store.DropMember(name)
 }
 
-// StopEntry stops an entry cleanly and takes it off the list.
+// StopEntry drains and stops an entry and removes it from the member list.
 func (d *Deployment) StopEntry(ctx context.Context, name string) error {
 	d.mu.Lock()
 	e := d.entries[name]
@@ -276,7 +276,7 @@
 	return err
 }
 
-// Put puts a whole tree in force.
+// Put replaces the settings tree.
 func (d *Deployment) Put(ctx context.Context, data []byte) error {
 	tree, err := settings.Parse(data)
 	if err != nil {
@@ -293,18 +293,18 @@
 
 // WaitReady waits until every entry is ready and connected to every agent.
 func (d *Deployment) WaitReady(ctx context.Context) error {
-	for !d.ready() {
+	for !d.allReady() {
 		select {
 		case <-ctx.Done():
 			return fmt.Errorf("deployment: not ready: %w", ctx.Err())
-		case <-time.After(readyPolls):
+		case <-time.After(readyPollInterval):
 		}
 	}
 	return nil
 }
 
-// reporting returns how many agents have told the entry their loads.
-func (e *Entry) reporting() int {
+// reportingAgents returns the number of agents that have reported their loads to the entry.
+func (e *Entry) reportingAgents() int {
 	n := 0
 	for _, p := range e.Dump().Binding.Agents {
 		if len(p.Loads) > 0 {
@@ -314,11 +314,11 @@
 	return n
 }
 
-func (d *Deployment) ready() bool {
+func (d *Deployment) allReady() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, e := range d.entries {
-		if !e.Ready() || e.reporting() < len(d.agents) {
+		if !e.Ready() || e.reportingAgents() < len(d.agents) {
 			return false
 		}
 	}
--- a/internal/testing/deployment/deployment_test.go
+++ b/internal/testing/deployment/deployment_test.go
@@ -29,7 +29,7 @@
 	RunSpecs(t, "deployment")
 }
 
-// The whole path over real sockets: HTTP, QUIC with mutual TLS, HTTP.
+// The specifications cover the path of a request over real sockets: HTTP, QUIC with mutual TLS, HTTP.
 var _ = Describe("Deployment", Ordered, func() {
 	var (
 		f      *deployment.Deployment
@@ -120,14 +120,14 @@
 		Entry("bad JSON", "/v1/chat/completions", "{", bearer("gent-key"), result.BadRequest),
 		Entry("no messages", "/v1/chat/completions", `{"model":"glaze-8b"}`, bearer("gent-key"), result.BadRequest),
 		Entry("unknown model", "/v1/chat/completions", `{"model":"x","messages":[{}]}`, bearer("gent-key"), result.UnknownModel),
-		Entry("unknown class", "/v1/chat/completions", `{"model":"glaze-8b","messages":[{}]}`, with(bearer("gent-key"), "X-Foxcross-Class", "x"), result.UnknownClass),
+		Entry("unknown class", "/v1/chat/completions", `{"model":"glaze-8b","messages":[{}]}`, withHeader(bearer("gent-key"), "X-Foxcross-Class", "x"), result.UnknownClass),
 		Entry("huge body", "/v1/chat/completions", strings.Repeat("x", 9<<20), bearer("gent-key"), result.BodyTooLarge),
 		Entry("unknown service", "/services/x/y", "", bearer("gent-key"), result.UnknownService),
-		Entry("long idempotency key", "/services/bookings/confirmations", "", with(bearer("gent-key"), "Idempotency-Key", strings.Repeat("k", 300)), result.BadKey),
+		Entry("long idempotency key", "/services/bookings/confirmations", "", withHeader(bearer("gent-key"), "Idempotency-Key", strings.Repeat("k", 300)), result.BadKey),
 		Entry("unknown path", "/nothing", "", nil, result.NotFound),
 	)
 
-	It("goes on elsewhere when an agent dies mid-answer", func() {
+	It("continues at another agent when an agent is killed during an answer", func() {
 		slow := &standin.Engine{Card: standin.Card{Step: 20 * time.Millisecond}}
 		begun := make(chan struct{})
 		slow.OnStart = func(string) { close(begun) }
@@ -164,7 +164,7 @@
 
 func bearer(key string) map[string]string { return map[string]string{"Authorization": "Bearer " + key} }
 
-func with(header map[string]string, name, value string) map[string]string {
+func withHeader(header map[string]string, name, value string) map[string]string {
 	header[name] = value
 	return header
 }
