--- a/internal/testing/growth/cost.go
+++ b/internal/testing/growth/cost.go
@@ -20,7 +20,7 @@
 	"foxcross.dev/foxcross/platform"
 )
 
-// Kind is what settings grow by.
+// Kind is the kind of settings whose number grows.
 type Kind string
 
 // The kinds. A team has one key.
@@ -29,26 +29,26 @@
 	Teams  Kind = "teams"
 )
 
-// Cost is what one version of the settings costs an entry; times are of a whole core.
+// Cost is the cost of one version of the settings at an entry. Times are those of a whole core.
 type Cost struct {
-	StoreBytes int           // of the version as the store sends it
-	PlainBytes int           // of the version between entries, uncompressed
-	PeerBytes  int           // of the version, or its changes, between entries
+	StoreBytes int           // of the version in the store's encoding
+	PlainBytes int           // of the version as sent between entries, uncompressed
+	PeerBytes  int           // of the version, or its changes, as sent between entries
 	Read       time.Duration // to read the store's answer and put it in force
-	Encode     time.Duration // to make the answer to another entry
+	Encode     time.Duration // to encode the answer to another entry
 	Take       time.Duration // to read another entry's answer and put it in force
 	Heap       int           // bytes of memory that the version holds
 }
 
-// repeats is how often each time is measured; the median counts.
-const repeats = 3
+// repetitions is the number of measurements of each time, of which the median is used.
+const repetitions = 3
 
-// Measure measures a version of so many routes or teams that follows one with fewer;
-// with none before, entries send each other all of it.
+// Measure measures a version with now routes or teams that follows one with before. If
+// before is 0, entries send each other the whole version.
 func Measure(k Kind, before, now int) (Cost, error) {
 	var all []Cost
-	for range repeats {
-		c, err := measure(k, before, now)
+	for range repetitions {
+		c, err := measureOnce(k, before, now)
 		if err != nil {
 			return Cost{}, err
 		}
@@ -65,14 +65,14 @@
 	return c, nil
 }
 
-func measure(k Kind, before, now int) (Cost, error) {
+func measureOnce(k Kind, before, now int) (Cost, error) {
 	store := platformtest.NewStore()
 	defer store.Close()
 	source, other := newDirectory(), newDirectory()
 	if before > 0 {
 		store.Configure(configuration(k, 1, before))
 		for _, d := range []*directory.Directory{source, other} {
-			if err := read(d, store); err != nil {
+			if err := readFromStore(d, store); err != nil {
 				return Cost{}, err
 			}
 		}
@@ -84,44 +84,44 @@
 	}
 	store.Configure(next)
 	c := Cost{StoreBytes: base64.StdEncoding.EncodedLen(len(text))}
-	held := heapBytes()
-	c.Read, err = timed(func() error { return read(source, store) })
+	heapBefore := heapBytes()
+	c.Read, err = measureTime(func() error { return readFromStore(source, store) })
 	if err != nil {
 		return Cost{}, err
 	}
-	c.Heap = heapBytes() - held
+	c.Heap = heapBytes() - heapBefore
 	if c.PlainBytes, c.PeerBytes, c.Encode, err = encode(source, before); err != nil {
 		return Cost{}, err
 	}
 	server := httptest.NewServer(peers.StateHandler(source))
 	defer server.Close()
 	address := strings.TrimPrefix(server.URL, "http://")
-	if err := peers.FetchState(context.Background(), newDirectory(), address, peers.SettingsPart); err != nil { // the answer is kept from now on
+	if err := peers.FetchState(context.Background(), newDirectory(), address, peers.SettingsPart); err != nil { // the answer is cached from now on
 		return Cost{}, err
 	}
-	c.Take, err = timed(func() error {
+	c.Take, err = measureTime(func() error {
 		return peers.FetchState(context.Background(), other, address, peers.SettingsPart)
 	})
 	return c, err
 }
 
-// encode returns the size of an answer with all settings, and size and time of one to
-// an entry that has the version before.
-func encode(d *directory.Directory, before int) (plain, zipped int, took time.Duration, err error) {
+// encode returns the size of an answer with all settings, and the size and time of one to
+// an entry that has the previous version.
+func encode(d *directory.Directory, before int) (plain, compressed int, took time.Duration, err error) {
 	since := 0
 	if before > 0 {
 		since = 1
 	}
-	plain = answer(d, "/state?version=0&revision=1", "identity").Len()
-	took, err = timed(func() error {
-		zipped = answer(d, fmt.Sprint("/state?part=settings&version=", since), "gzip").Len()
+	plain = respond(d, "/state?version=0&revision=1", "identity").Len()
+	took, err = measureTime(func() error {
+		compressed = respond(d, fmt.Sprint("/state?part=settings&version=", since), "gzip").Len()
 		return nil
 	})
-	return plain, zipped, took, err
+	return plain, compressed, took, err
 }
 
-// answer asks a fresh handler, which has kept nothing.
-func answer(d *directory.Directory, query, encoding string) interface{ Len() int } {
+// respond returns the answer of a new handler, whose cache is empty.
+func respond(d *directory.Directory, query, encoding string) interface{ Len() int } {
 	recorder := httptest.NewRecorder()
 	request := httptest.NewRequest(http.MethodGet, query, http.NoBody)
 	request.Header.Set("Accept-Encoding", encoding)
@@ -133,8 +133,8 @@
 	return directory.New(func(directory.InForce) {}, func([]placement.Endpoint) {}, func([]string) {})
 }
 
-// read reads the settings as an entry does.
-func read(d *directory.Directory, store *platformtest.Store) error {
+// readFromStore reads the settings from the store and puts them in force as an entry does.
+func readFromStore(d *directory.Directory, store *platformtest.Store) error {
 	factory, err := driver.Drivers.Get(platform.Name)
 	if err != nil {
 		return err
@@ -151,7 +151,7 @@
 	return nil
 }
 
-func timed(do func() error) (time.Duration, error) {
+func measureTime(do func() error) (time.Duration, error) {
 	began := time.Now()
 	err := do()
 	return time.Since(began), err
@@ -164,7 +164,8 @@
 	return int(m.HeapAlloc)
 }
 
-// configuration is the operator's, of so many routes or teams; the other kind has ten.
+// configuration returns an operator's configuration with count routes or teams, and ten of the
+// other kind.
 func configuration(k Kind, version, count int) map[string]any {
 	const few = 10
 	routes, teams := few, few
@@ -175,14 +176,14 @@
 	}
 	return map[string]any{
 		"version":  version,
-		"routes":   list(routes, route),
-		"tenants":  list(teams, team),
+		"routes":   generate(routes, route),
+		"tenants":  generate(teams, team),
 		"backends": []map[string]any{{"name": "pool", "maxConns": 100}},
 		"limits":   map[string]any{"maxHeaderBytes": 16384, "maxBodyBytes": 1 << 20, "idleTimeoutMs": 15000},
 	}
 }
 
-func list(count int, of func(n int) map[string]any) []map[string]any {
+func generate(count int, of func(n int) map[string]any) []map[string]any {
 	all := make([]map[string]any, 0, count)
 	for n := range count {
 		all = append(all, of(n))
@@ -190,11 +191,11 @@
 	return all
 }
 
-// scatter spreads small numbers so that names and prefixes do not count up.
-const scatter = 2_654_435_761
+// idMultiplier spreads consecutive numbers so that names and prefixes are not consecutive.
+const idMultiplier = 2_654_435_761
 
 func route(n int) map[string]any {
-	id := uint32(n) * scatter
+	id := uint32(n) * idMultiplier
 	return map[string]any{
 		"name": fmt.Sprintf("r-%08x", id), "hostname": "growth.example", "pathPrefix": fmt.Sprintf("/p%08x/", id),
 		"routeType": "idempotent", "timeoutMs": 1500, "latencyGoalMs": 300, "priority": 2, "backend": "pool", "maxAttempts": 2,
@@ -202,6 +203,6 @@
 }
 
 func team(n int) map[string]any {
-	id := uint32(n) * scatter
+	id := uint32(n) * idMultiplier
 	return map[string]any{"name": fmt.Sprintf("t-%08x", id), "apiKeys": []string{fmt.Sprintf("key-%08x-%08x", id, ^id)}}
 }
--- a/internal/testing/growth/growth_test.go
+++ b/internal/testing/growth/growth_test.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// TestSpread spreads a version over links that carry it in a second each.
+// TestSpread checks the spread of a version over links that transfer it in a second each.
 func TestSpread(t *testing.T) {
 	c := Cost{StoreBytes: 1_250_000, PeerBytes: 125_000, PlainBytes: 1_000_000}
 	f := Fleet{Entries: 2, LinkMbps: 10, Processor: 1}
 	if got := Spread(c, f); got != time.Second {
-		t.Errorf("readers have it after %v", got)
+		t.Errorf("readers have the version after %v", got)
 	}
 	f.Entries = 10
 	want := time.Second + announceDelay + fetchDelay + 400*time.Millisecond
 	if got := Spread(c, f); got != want {
-		t.Errorf("eight others have it after %v, want %v", got, want)
+		t.Errorf("eight others have the version after %v, want %v", got, want)
 	}
 	f.Entries = 11
 	if got := Spread(c, f); got != want+announceDelay+fetchDelay+100*time.Millisecond {
-		t.Errorf("a ninth has it after %v", got)
+		t.Errorf("a ninth has the version after %v", got)
 	}
 	if _, ok := FormerSpread(c, f); ok {
-		t.Error("the former rule carried 1 MB over 10 Mbit/s")
+		t.Error("the former rule transferred 1 MB over 10 Mbit/s")
 	}
 }
 
-// TestMeasure measures a version of a hundred that follows one of ninety, and one that
-// follows none.
+// TestMeasure measures a version with 100 items that follows one with 90, and one that follows
+// none.
 func TestMeasure(t *testing.T) {
 	for _, k := range []Kind{Routes, Teams} {
 		c, err := Measure(k, 90, 100)
--- a/internal/testing/growth/spread.go
+++ b/internal/testing/growth/spread.go
@@ -1,6 +1,6 @@
-// Package growth works out how long settings take to be in force at all entries, by
-// their size and the entries' links, processors and number. What an entry does with
-// them is measured (cost.go: the real encoders, decoders and compilers); links are
+// Package growth computes the time until settings are in force at all entries, by the
+// size of the settings and the links, processors and number of the entries. The work of
+// an entry is measured (cost.go: the real encoders, decoders and compilers); links are
 // simulated in virtual time (spread.go).
 package growth
 
@@ -9,86 +9,86 @@
 	"time"
 )
 
-// Fleet is the entries among which a version spreads; all are alike.
+// Fleet describes the entries among which a version spreads. All are alike.
 type Fleet struct {
 	Entries   int
 	LinkMbps  float64 // of each entry, in 10^6 bits a second, in each direction
-	Processor float64 // share of a core
+	Processor float64 // fraction of a core
 }
 
-// Delays of the spread that do not depend on its size, as package peers has them.
+// Delays of the spread that do not depend on the size, as in package peers.
 const (
-	// announceDelay is the time to the announcement of a version: announceInterval at
-	// the most.
+	// announceDelay is the time until a version is announced, at most announceInterval.
 	announceDelay = 25 * time.Millisecond
-	// fetchDelay is how long another entry is ahead before it is asked.
+	// fetchDelay is the time for which another entry is ahead before an entry fetches from it.
 	fetchDelay = 40 * time.Millisecond
-	// maxTransfers is how many entries one entry sends settings to at once.
+	// maxTransfers is the number of entries to which one entry sends settings at once.
 	maxTransfers = 4
-	// readers is how many entries read the store.
-	readers = 2
-	// entriesPerFormerReader is how many entries one reader told by the former rule.
-	entriesPerFormerReader = 16
+	// storeReaders is the number of entries that read the store.
+	storeReaders = 2
+	// entriesPerReaderFormerly is the number of entries per reader by the former rule.
+	entriesPerReaderFormerly = 16
 )
 
-// Spread returns the time from a version's acknowledgement until the last entry has it
-// in force, if each reader gets it from the store and the others from those that have
-// it, four at once from each. Links are shared evenly by what a source sends at once.
+// Spread returns the time from the acknowledgement of a version until it is in force at
+// the last entry. Each reader gets it from the store, and the others from entries that
+// have it, four at once from each. Simultaneous transfers share a link evenly.
 func Spread(c Cost, f Fleet) time.Duration {
 	sources := &queue{}
-	readAt := f.transfer(c.StoreBytes, 1) + f.processor(c.Read)
+	readAt := f.transferTime(c.StoreBytes, 1) + f.scaleToCore(c.Read)
 	last := readAt
-	for range min(readers, f.Entries) {
+	for range min(storeReaders, f.Entries) {
 		heap.Push(sources, readAt)
 	}
-	for left := f.Entries - readers; left > 0; {
+	for remaining := f.Entries - storeReaders; remaining > 0; {
 		at := heap.Pop(sources).(time.Duration)
-		served := min(maxTransfers, left)
-		left -= served
-		sent := at + announceDelay + fetchDelay + f.processor(c.Encode) + f.transfer(c.PeerBytes, served)
-		got := sent + f.processor(c.Take)
-		last = max(last, got)
-		heap.Push(sources, sent)
-		for range served {
-			heap.Push(sources, got)
+		receivers := min(maxTransfers, remaining)
+		remaining -= receivers
+		sentAt := at + announceDelay + fetchDelay + f.scaleToCore(c.Encode) + f.transferTime(c.PeerBytes, receivers)
+		inForce := sentAt + f.scaleToCore(c.Take)
+		last = max(last, inForce)
+		heap.Push(sources, sentAt)
+		for range receivers {
+			heap.Push(sources, inForce)
 		}
 	}
 	return last
 }
 
-// Floor is the least time in which the version as it stands in the store can cross one
-// link.
-func (f Fleet) Floor(c Cost) time.Duration { return f.transfer(c.StoreBytes, 1) }
+// Floor returns the shortest time in which the version in the store's encoding can cross
+// one link.
+func (f Fleet) Floor(c Cost) time.Duration { return f.transferTime(c.StoreBytes, 1) }
 
-// wholeBound is the bound on a whole fetch of the former rule.
-const wholeBound = 600 * time.Millisecond
+// fullFetchTimeout bounds a fetch of the whole state by the former rule.
+const fullFetchTimeout = 600 * time.Millisecond
 
-// FormerSpread is Spread for the former rule: a whole state in one answer within 0.6 s,
-// which a reader sends to all that ask it at once. ok is false where it never arrives.
+// FormerSpread is Spread by the former rule: the whole state in one answer within 0.6 s,
+// which a reader sends to all entries that fetch from it at once. ok is false if it never
+// arrives.
 func FormerSpread(c Cost, f Fleet) (last time.Duration, ok bool) {
-	former := max(readers, f.Entries/entriesPerFormerReader)
+	former := max(storeReaders, f.Entries/entriesPerReaderFormerly)
 	asking := max(1, (f.Entries-former)/former)
-	fetch := f.transfer(c.PlainBytes, asking)
-	if fetch+f.processor(c.Encode) > wholeBound {
+	fetch := f.transferTime(c.PlainBytes, asking)
+	if fetch+f.scaleToCore(c.Encode) > fullFetchTimeout {
 		return 0, false
 	}
-	read := f.transfer(c.StoreBytes, 1) + f.processor(c.Read)
-	return read + announceDelay + fetchDelay + f.processor(c.Encode) + fetch + f.processor(c.Take), true
+	read := f.transferTime(c.StoreBytes, 1) + f.scaleToCore(c.Read)
+	return read + announceDelay + fetchDelay + f.scaleToCore(c.Encode) + fetch + f.scaleToCore(c.Take), true
 }
 
-// transfer returns the time of some bytes over a link that so many share.
-func (f Fleet) transfer(bytes, sharing int) time.Duration {
+// transferTime returns the transfer time of bytes over a link shared by a number of transfers.
+func (f Fleet) transferTime(bytes, sharing int) time.Duration {
 	const bitsPerByte = 8
 	seconds := float64(bytes) * bitsPerByte * float64(sharing) / (f.LinkMbps * 1e6)
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// processor returns the time that work on a whole core takes here.
-func (f Fleet) processor(work time.Duration) time.Duration {
+// scaleToCore converts the time of work on a whole core to that on the entry's fraction of one.
+func (f Fleet) scaleToCore(work time.Duration) time.Duration {
 	return time.Duration(float64(work) / f.Processor)
 }
 
-// queue holds the times from which on sources are free, the earliest first.
+// queue is a heap of the times at which sources become free, the earliest first.
 type queue []time.Duration
 
 // Len implements heap.Interface.
