--- a/internal/testing/caller/caller.go
+++ b/internal/testing/caller/caller.go
@@ -1,5 +1,5 @@
-// Package caller sends requests to entries the way an application does, and
-// measures the answers. Examples, the load tool and tests use it.
+// Package caller sends requests to entries as an application does and measures the
+// answers, for examples, the load tool and tests.
 package caller
 
 import (
@@ -21,19 +21,19 @@
 
 const maxEvent = 1 << 20
 
-// Caller sends requests to one entry. The zero Client is the default one.
+// Caller sends requests to one entry. A nil Client means a shared default client.
 type Caller struct {
 	URL    string
 	Key    string // bearer key of the team
 	Class  string // empty: the entry chooses
 	Idem   string // idempotency key, empty for none
-	Most   int    // tokens of a chat's answer, 0 for no limit
+	Most   int    // largest number of tokens of a chat's answer, 0 for no limit
 	Client *http.Client
 }
 
-// Answer is what came back.
+// Answer is the result of a request.
 type Answer struct {
-	Code   result.Code // 0: the connection broke
+	Code   result.Code // 0 if the connection broke
 	Run    result.Run
 	Body   string
 	Tokens int
@@ -44,15 +44,15 @@
 	Err    error
 }
 
-// failure is the body of an answer that is not OK.
-type failure struct {
+// errorBody is the body of an answer with an error.
+type errorBody struct {
 	Error struct {
 		Code result.Code `json:"code"`
 		Run  string      `json:"run"`
 	} `json:"error"`
 }
 
-func (c Caller) do(ctx context.Context, method, path, body string) (*http.Response, error) {
+func (c Caller) send(ctx context.Context, method, path, body string) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, method, c.URL+path, strings.NewReader(body))
 	if err != nil {
 		return nil, err
@@ -66,15 +66,15 @@
 	}
 	client := c.Client
 	if client == nil {
-		client = shared
+		client = defaultClient
 	}
 	return client.Do(request)
 }
 
-// maxIdle keeps connections for bursts.
-const maxIdle = 512
+// maxIdleConnections allows connections to be reused for bursts.
+const maxIdleConnections = 512
 
-var shared = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdle}}
+var defaultClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConnections}}
 
 // Chat sends a prompt and reads the streamed answer.
 func (c Caller) Chat(ctx context.Context, model, prompt string) Answer {
@@ -88,18 +88,18 @@
 		return Answer{Err: err}
 	}
 	began := time.Now()
-	response, err := c.do(ctx, http.MethodPost, "/v1/chat/completions", string(body))
+	response, err := c.send(ctx, http.MethodPost, "/v1/chat/completions", string(body))
 	if err != nil {
 		return Answer{Err: err}
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return refused(response)
+		return readFailure(response)
 	}
 	return readChat(response.Body, began)
 }
 
-func refused(response *http.Response) Answer {
+func readFailure(response *http.Response) Answer {
 	a := Answer{Code: result.BadRequest, Retry: response.Header.Get("Retry-After")}
 	data, err := io.ReadAll(io.LimitReader(response.Body, maxEvent))
 	if err != nil {
@@ -110,7 +110,7 @@
 }
 
 func (a *Answer) setFailure(data []byte) {
-	var f failure
+	var f errorBody
 	if err := json.Unmarshal(data, &f); err != nil {
 		a.Err = err
 		return
@@ -174,7 +174,7 @@
 		}
 		if len(e.Choices) > 0 && e.Choices[0].Delta.Content != "" {
 			text.WriteString(e.Choices[0].Delta.Content)
-			last = a.token(began, last)
+			last = a.addToken(began, last)
 		}
 	}
 	a.Body = text.String()
@@ -182,8 +182,8 @@
 	return a
 }
 
-// token notes the time of a token.
-func (a *Answer) token(began, last time.Time) time.Time {
+// addToken records the arrival of a token and returns its time.
+func (a *Answer) addToken(began, last time.Time) time.Time {
 	now := time.Now()
 	if a.Tokens == 0 {
 		a.First = now.Sub(began)
@@ -197,7 +197,7 @@
 // Service calls a plain service.
 func (c Caller) Service(ctx context.Context, service, method, path string) Answer {
 	began := time.Now()
-	response, err := c.do(ctx, method, "/services/"+service+path, "")
+	response, err := c.send(ctx, method, "/services/"+service+path, "")
 	if err != nil {
 		return Answer{Err: err}
 	}
@@ -207,7 +207,7 @@
 		return Answer{Err: fmt.Errorf("no code: %w", err)}
 	}
 	if result.Code(code) != result.OK {
-		return refused(response)
+		return readFailure(response)
 	}
 	data, err := io.ReadAll(response.Body)
 	if err != nil {
@@ -217,7 +217,7 @@
 	return Answer{Code: result.OK, Run: result.Ran, Body: string(data), First: took, Whole: took}
 }
 
-// Meets tells whether the answer met the targets of its class.
+// Meets reports whether the answer met the targets of its class.
 func (a Answer) Meets(c settings.ClassInfo) bool {
 	if a.Code != result.OK || a.First > c.Terms.FirstToken || a.Whole > c.Complete {
 		return false
@@ -225,13 +225,13 @@
 	return c.Terms.BetweenTokens == 0 || Quantile(a.Gaps, 0.95) <= c.Terms.BetweenTokens
 }
 
-// Quantile returns the smallest duration that at least the share of all are
-// not above, 0 for none.
+// Quantile returns the given quantile of the durations, a share from 0 to 1. It returns 0
+// if there are none.
 func Quantile(all []time.Duration, share float64) time.Duration {
 	if len(all) == 0 {
 		return 0
 	}
 	sorted := slices.Sorted(slices.Values(all))
-	at := int(share * float64(len(sorted)))
-	return sorted[min(at, len(sorted)-1)]
+	index := int(share * float64(len(sorted)))
+	return sorted[min(index, len(sorted)-1)]
 }
--- a/internal/testing/caller/direct.go
+++ b/internal/testing/caller/direct.go
@@ -9,18 +9,18 @@
 
 // Direct returns a client that calls a handler without a network.
 func Direct(h http.Handler) *http.Client {
-	return &http.Client{Transport: direct{h}}
+	return &http.Client{Transport: directTransport{h}}
 }
 
-type direct struct {
+type directTransport struct {
 	handler http.Handler
 }
 
-// RoundTrip runs the handler and returns its answer once the header is written.
-func (d direct) RoundTrip(r *http.Request) (*http.Response, error) {
+// RoundTrip runs the handler and returns its answer when the header is written.
+func (d directTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	ctx, cancel := context.WithCancel(r.Context())
 	reader, writer := io.Pipe()
-	w := &directWriter{header: http.Header{}, body: writer, begun: make(chan struct{})}
+	w := &directWriter{header: http.Header{}, body: writer, headerWritten: make(chan struct{})}
 	go func() {
 		defer cancel()
 		defer func() {
@@ -35,7 +35,7 @@
 		d.handler.ServeHTTP(w, r.WithContext(ctx))
 	}()
 	select {
-	case <-w.begun:
+	case <-w.headerWritten:
 	case <-ctx.Done():
 		_ = reader.Close() // always nil
 		return nil, ctx.Err()
@@ -43,20 +43,20 @@
 	return &http.Response{
 		Status:     http.StatusText(w.status),
 		StatusCode: w.status,
-		Header:     w.sent,
+		Header:     w.sentHeader,
 		Body:       &directBody{PipeReader: reader, cancel: cancel},
 		Request:    r,
 	}, nil
 }
 
-// directWriter is the handler's side.
+// directWriter is the http.ResponseWriter of the handler.
 type directWriter struct {
-	header http.Header
-	sent   http.Header
-	status int
-	body   *io.PipeWriter
-	begun  chan struct{}
-	once   sync.Once
+	header        http.Header
+	sentHeader    http.Header
+	status        int
+	body          *io.PipeWriter
+	headerWritten chan struct{}
+	once          sync.Once
 }
 
 func (w *directWriter) Header() http.Header { return w.header }
@@ -64,8 +64,8 @@
 func (w *directWriter) WriteHeader(status int) {
 	w.once.Do(func() {
 		w.status = status
-		w.sent = w.header.Clone()
-		close(w.begun)
+		w.sentHeader = w.header.Clone()
+		close(w.headerWritten)
 	})
 }
 
@@ -74,10 +74,10 @@
 	return w.body.Write(p)
 }
 
-// Flush does nothing: every write is passed on at once.
+// Flush does nothing, since every write is forwarded at once.
 func (w *directWriter) Flush() {}
 
-// directBody hangs up when it is closed.
+// directBody cancels the request when it is closed.
 type directBody struct {
 	*io.PipeReader
 	cancel context.CancelFunc
