--- a/internal/testing/bench/decision_test.go
+++ b/internal/testing/bench/decision_test.go
@@ -24,8 +24,8 @@
 	Weight: 1, Repeatable: true,
 }
 
-// entryCore knows so many agents with room.
-func entryCore(agents int) *binding.Core {
+// newEntryCore returns the core of an entry that knows a number of agents with free slots.
+func newEntryCore(agents int) *binding.Core {
 	c := &binding.Core{Rand: rand.New(rand.NewPCG(1, 1)), Requests: 1 << 20}
 	for n := range agents {
 		name := fmt.Sprint("agent-", n)
@@ -36,13 +36,13 @@
 	return c
 }
 
-// BenchmarkEntryRequest is all decisions of one request at an entry: accept and
+// BenchmarkEntryRequest measures all decisions of one request at an entry: accept and
 // choose, start, end.
 func BenchmarkEntryRequest(b *testing.B) {
 	prefix := affinity.Chain(make([]byte, 4096))
 	for _, agents := range []int{10, 200, 1000} {
 		b.Run(fmt.Sprint("agents=", agents), func(b *testing.B) {
-			c := entryCore(agents)
+			c := newEntryCore(agents)
 			q := binding.Request{Target: target, Terms: terms, GiveUp: time.Minute, PromptTokens: 1000, Prefix: prefix}
 			b.ReportAllocs()
 			for b.Loop() {
@@ -55,8 +55,8 @@
 	}
 }
 
-// BenchmarkQueueStep is one offer in and one out of a queue of a length, spread
-// over 400 teams and three tiers.
+// BenchmarkQueueStep measures adding one offer to a queue of a given length, spread
+// over 400 teams and three tiers, and taking one out.
 func BenchmarkQueueStep(b *testing.B) {
 	for _, length := range []int{100, 10_000, 100_000} {
 		b.Run(fmt.Sprint("length=", length), func(b *testing.B) {
@@ -88,8 +88,8 @@
 	}
 }
 
-// BenchmarkAgentRequest is all decisions of one request at an agent with so
-// many running: offer, start, 60 tokens, end.
+// BenchmarkAgentRequest measures all decisions of one request at an agent with a given
+// number of running requests: offer, start, 60 tokens, end.
 func BenchmarkAgentRequest(b *testing.B) {
 	for _, running := range []int{8, 64} {
 		b.Run(fmt.Sprint("running=", running), func(b *testing.B) {
@@ -128,7 +128,7 @@
 	}
 }
 
-// BenchmarkTick is the clock of an agent with a full queue.
+// BenchmarkTick measures a clock tick of an agent with a full queue.
 func BenchmarkTick(b *testing.B) {
 	c := &dispatch.Core{}
 	c.Add(dispatch.Endpoint{Name: "e", Target: target})
@@ -142,6 +142,6 @@
 	}
 }
 
-func requestOf() binding.Request {
+func newRequest() binding.Request {
 	return binding.Request{Target: target, Terms: terms, GiveUp: time.Minute, PromptTokens: 1000}
 }
--- a/internal/testing/bench/doc.go
+++ b/internal/testing/bench/doc.go
@@ -1,3 +1,3 @@
-// Package bench holds the cost benchmarks; docs/MEASURING.md says how to run
-// them and docs/CAPACITY.md what follows from them.
+// Package bench holds the cost benchmarks. docs/MEASURING.md describes how to run
+// them and docs/CAPACITY.md their results.
 package bench
--- a/internal/testing/bench/link_test.go
+++ b/internal/testing/bench/link_test.go
@@ -21,7 +21,7 @@
 	"foxcross.dev/coord/settings"
 )
 
-// BenchmarkEncode is the cost of a frame.
+// BenchmarkEncode measures the encoding of a frame.
 func BenchmarkEncode(b *testing.B) {
 	for name, m := range map[string]message.Message{
 		"offer":     message.Offer{Request: 1, Attempt: 1, Target: target, Terms: terms, Prefix: []uint64{1, 2, 3, 4}},
@@ -43,9 +43,9 @@
 	}
 }
 
-// pairs returns both ends of QUIC connections between one dialer and one
+// connect returns both ends of count QUIC connections between one dialer and one
 // listener on loopback.
-func pairs(b *testing.B, count int) (near, far []link.Session) {
+func connect(b *testing.B, count int) (near, far []link.Session) {
 	b.Helper()
 	a, err := keys.NewAuthority(time.Now(), time.Hour)
 	if err != nil {
@@ -89,15 +89,15 @@
 	return near, far
 }
 
-func pair(b *testing.B) (near, far link.Session) {
+func connectOne(b *testing.B) (near, far link.Session) {
 	b.Helper()
-	n, f := pairs(b, 1)
+	n, f := connect(b, 1)
 	return n[0], f[0]
 }
 
-// BenchmarkRelay sends tokens over one stream, each in a frame of its own.
+// BenchmarkRelay measures sending tokens over one stream, each in a separate frame.
 func BenchmarkRelay(b *testing.B) {
-	near, far := pair(b)
+	near, far := connectOne(b)
 	st, err := near.Open(context.Background())
 	if err != nil {
 		b.Fatal(err)
@@ -124,8 +124,8 @@
 	<-done
 }
 
-// deploy starts a fleet with one agent and one entry, ready to be asked.
-func deploy(b *testing.B, l deployment.Local) (*deployment.Deployment, *deployment.Entry) {
+// startDeployment starts a deployment with one agent and one entry and waits until it is ready.
+func startDeployment(b *testing.B, l deployment.Local) (*deployment.Deployment, *deployment.Entry) {
 	b.Helper()
 	f, err := deployment.New()
 	if err != nil {
@@ -150,11 +150,11 @@
 	return f, e
 }
 
-// BenchmarkTrip compares a plain call through foxcross with one straight to the
+// BenchmarkTrip compares a plain call through foxcross with a direct call to the
 // service, in the same run.
 func BenchmarkTrip(b *testing.B) {
 	service := &standin.Service{}
-	f, e := deploy(b, deployment.Local{Target: settings.ServiceTarget("bookings"), Handler: service})
+	f, e := startDeployment(b, deployment.Local{Target: settings.ServiceTarget("bookings"), Handler: service})
 	direct, err := f.ServeHTTP(service)
 	if err != nil {
 		b.Fatal(err)
@@ -183,11 +183,11 @@
 	b.ReportMetric(float64(caller.Quantile(through, 0.5))/float64(caller.Quantile(straight, 0.5)), "ratio-p50")
 }
 
-// warmUp is how long a new connection probes its path.
-const warmUp = 5 * time.Second
+// pathProbeTime is the time in which a new connection probes its path.
+const pathProbeTime = 5 * time.Second
 
-// heap returns the bytes in use after a collection.
-func heap() uint64 {
+// heapInUse returns the bytes in use after a garbage collection.
+func heapInUse() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -195,38 +195,38 @@
 	return m.HeapAlloc + m.StackInuse
 }
 
-// BenchmarkMemory reports the bytes that a connection, a queued offer and an
-// open request take.
+// BenchmarkMemory reports the memory of a connection end, an open request and a known
+// agent.
 func BenchmarkMemory(b *testing.B) {
 	const connections = 50
-	before := heap()
-	near, far := pairs(b, connections)
-	time.Sleep(warmUp)
-	perConnection := float64(heap()-before) / (2 * connections)
+	before := heapInUse()
+	near, far := connect(b, connections)
+	time.Sleep(pathProbeTime)
+	perConnection := float64(heapInUse()-before) / (2 * connections)
 	runtime.KeepAlive(near)
 	runtime.KeepAlive(far)
 	const open = 20_000
-	before = heap()
-	c := entryCore(50)
-	base := heap()
+	before = heapInUse()
+	c := newEntryCore(50)
+	base := heapInUse()
 	for range open {
-		c.Accept(now, requestOf())
+		c.Accept(now, newRequest())
 	}
-	perRequest := float64(heap()-base) / open
+	perRequest := float64(heapInUse()-base) / open
 	runtime.KeepAlive(c)
 	for b.Loop() {
-		_ = perRequest // the figures below are what counts
+		_ = perRequest // only the figures below are of interest
 	}
 	b.ReportMetric(perConnection, "B/connection-end")
 	b.ReportMetric(perRequest, "B/open-request")
 	b.ReportMetric(float64(base-min(base, before))/50, "B/known-agent")
 }
 
-// BenchmarkStream is one token of 64 chats at once, through foxcross, with the
-// engine and the callers in the same process.
+// BenchmarkStream measures the time per token of 64 concurrent chats through foxcross,
+// with the engine and the callers in the same process.
 func BenchmarkStream(b *testing.B) {
 	engine := &standin.Engine{Card: standin.Card{Step: 2 * time.Millisecond, Batch: 1 << 20}}
-	_, e := deploy(b, deployment.Local{Target: target, Handler: engine.Handler()})
+	_, e := startDeployment(b, deployment.Local{Target: target, Handler: engine.Handler()})
 	const chats = 64
 	var all sync.WaitGroup
 	for b.Loop() {
--- a/internal/testing/bench/settings_test.go
+++ b/internal/testing/bench/settings_test.go
@@ -8,8 +8,8 @@
 	"foxcross.dev/coord/settings"
 )
 
-// treeOf returns a tree with so many teams and twelve classes.
-func treeOf(b *testing.B, teams int) settings.Tree {
+// newTree returns a tree with a number of teams and twelve classes.
+func newTree(b *testing.B, teams int) settings.Tree {
 	b.Helper()
 	t, err := settings.Parse([]byte(`{"children":[{"name":"classes","set":{"model":"m"}},{"name":"teams"}]}`))
 	if err != nil {
@@ -29,12 +29,12 @@
 	return t.Apply(all)
 }
 
-// BenchmarkAdopt is what a process does to put a new version in force, and the
-// memory that a version takes.
+// BenchmarkAdopt measures the work of a process to put a new version in force, and the
+// memory of a version.
 func BenchmarkAdopt(b *testing.B) {
 	for _, teams := range []int{100, 4_000, 40_000} {
 		b.Run(fmt.Sprint("teams=", teams), func(b *testing.B) {
-			r, parts, err := settings.Split(treeOf(b, teams), settings.Root{Version: 1})
+			r, parts, err := settings.Split(newTree(b, teams), settings.Root{Version: 1})
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -43,7 +43,7 @@
 				largest = max(largest, len(p))
 				all += len(p)
 			}
-			before := heap()
+			before := heapInUse()
 			t, err := settings.Join(r, parts)
 			if err != nil {
 				b.Fatal(err)
@@ -52,7 +52,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			held := heap() - before
+			held := heapInUse() - before
 			runtime.KeepAlive(s)
 			for b.Loop() {
 				t, err := settings.Join(r, parts)
--- a/internal/testing/entryprogram/entryprogram.go
+++ b/internal/testing/entryprogram/entryprogram.go
@@ -1,5 +1,5 @@
-// Package entryprogram lets a test run entries as programs of their own, without
-// building one: the test's program starts itself again.
+// Package entryprogram lets a test run entries as separate processes without building
+// a program: the test binary executes itself.
 package entryprogram
 
 import (
@@ -8,17 +8,17 @@
 	"testing"
 )
 
-// variable makes the test's own program an entry.
-const variable = "FOXCROSS_TEST_ENTRY"
+// entryVariable is the environment variable that makes the test binary run an entry.
+const entryVariable = "FOXCROSS_TEST_ENTRY"
 
-// Main is to be called by TestMain. It runs the tests or, in a program that Command
-// has started, an entry.
+// Main is called by TestMain. It runs the tests or, in a process that Command has
+// started, an entry.
 func Main(m *testing.M, entry func() error) {
-	if os.Getenv(variable) == "" {
+	if os.Getenv(entryVariable) == "" {
 		os.Exit(m.Run())
 	}
 	if err := entry(); err != nil {
-		_, _ = os.Stderr.WriteString(err.Error() + "\n") // there is nowhere else to say it
+		_, _ = os.Stderr.WriteString(err.Error() + "\n") // no other place to report it
 		os.Exit(1)
 	}
 }
@@ -26,6 +26,6 @@
 // Command returns a command that runs an entry with a settings file.
 func Command(settings string) *exec.Cmd {
 	c := exec.Command(os.Args[0])
-	c.Env = append(os.Environ(), variable+"=1", "FOXCROSS_CONFIG="+settings)
+	c.Env = append(os.Environ(), entryVariable+"=1", "FOXCROSS_CONFIG="+settings)
 	return c
 }
--- a/internal/testing/entryprogram/race.go
+++ b/internal/testing/entryprogram/race.go
@@ -2,6 +2,6 @@
 
 package entryprogram
 
-// Race tells whether the program is built with the race detector, whose records take several
-// times the memory of the program itself.
+// Race reports whether the program is built with the race detector, which takes several times the
+// memory of the program itself.
 const Race = true
--- a/internal/testing/flags/flags.go
+++ b/internal/testing/flags/flags.go
@@ -10,8 +10,8 @@
 	"github.com/jessevdk/go-flags"
 )
 
-// Parse reads a program's flags into options. It ends the program after
-// printing help, or with command.ExitUsage where a flag is wrong.
+// Parse reads a program's flags into options. It exits after printing help, or with
+// command.ExitUsage if a flag is invalid.
 func Parse(options any) {
 	_, err := flags.Parse(options)
 	if err == nil {
--- a/internal/testing/golden/golden.go
+++ b/internal/testing/golden/golden.go
@@ -1,6 +1,6 @@
-// Package golden compares what the code produces with files that are kept below
-// testdata. Only tests import it. The files record what other programs read or
-// send, so a difference means that the wire, an answer or a page has changed.
+// Package golden compares output of the code with files below testdata. Only tests
+// import it. The files record what other programs read or send, so a difference
+// means that a wire format, an answer or a page has changed.
 package golden
 
 import (
@@ -23,7 +23,7 @@
 	Fatalf(format string, args ...any)
 }
 
-// Compare fails the test unless testdata/name holds exactly what was got.
+// Compare fails the test unless the content of testdata/name equals got.
 func Compare(t Test, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -53,20 +53,20 @@
 		t.Fatalf("golden: %v", err)
 	}
 	found := map[string]bool{}
-	collect(found, "", v)
+	collectPaths(found, "", v)
 	return strings.Join(slices.Sorted(maps.Keys(found)), "\n") + "\n"
 }
 
-// collect adds the paths below a value.
-func collect(found map[string]bool, path string, v any) {
+// collectPaths adds the paths of the fields of a value.
+func collectPaths(found map[string]bool, path string, v any) {
 	switch v := v.(type) {
 	case map[string]any:
 		for name, field := range v {
-			collect(found, path+"."+name, field)
+			collectPaths(found, path+"."+name, field)
 		}
 	case []any:
 		for _, element := range v {
-			collect(found, path+"[]", element)
+			collectPaths(found, path+"[]", element)
 		}
 	case string:
 		found[path+" string"] = true
--- a/internal/testing/golden/golden_test.go
+++ b/internal/testing/golden/golden_test.go
@@ -7,24 +7,24 @@
 	"foxcross.dev/foxcross/internal/testing/golden"
 )
 
-// failing records that a comparison failed.
-type failing struct{ text string }
+// recordingTest records the failure of a comparison.
+type recordingTest struct{ text string }
 
-func (f *failing) Helper() {}
+func (f *recordingTest) Helper() {}
 
-func (f *failing) Fatalf(format string, args ...any) { f.text = fmt.Sprintf(format, args...) }
+func (f *recordingTest) Fatalf(format string, args ...any) { f.text = fmt.Sprintf(format, args...) }
 
 func TestCompareFailsOnADifference(t *testing.T) {
 	t.Setenv("UPDATE_GOLDEN", "")
-	var f failing
+	var f recordingTest
 	golden.Compare(&f, "no-such.golden", "")
 	if f.text == "" {
-		t.Error("a file that is missing was taken for equal")
+		t.Error("a missing file did not fail the comparison")
 	}
 }
 
 func ExampleKeys() {
-	var f failing
+	var f recordingTest
 	fmt.Print(golden.Keys(&f, []byte(`{"a":{"b":1},"list":[{"c":"x"},{"c":"y"}],"d":true}`)))
 	// Output:
 	// .a.b number
--- a/internal/testing/memlink/memlink.go
+++ b/internal/testing/memlink/memlink.go
@@ -1,6 +1,6 @@
-// Package memlink is a link.Dialer and link.Listener within one process, so that
-// entries and agents can run in virtual time. Connections can be cut and names
-// frozen, as a network and a paused process would do it.
+// Package memlink implements link.Dialer and link.Listener within one process, so that
+// entries and agents can run in virtual time. It can cut connections, as a network
+// does, and freeze names, as a paused process does.
 package memlink
 
 import (
@@ -14,11 +14,11 @@
 	"foxcross.dev/foxcross/internal/relay/link"
 )
 
-// window is how many messages a stream in memory holds.
-const window = 256
+// streamBuffer is the number of messages that a stream buffers.
+const streamBuffer = 256
 
-// Network is a network within one process. Its zero value is ready. Cutting it
-// loses connections in the ways a real network does.
+// Network is a network within one process. The zero value is ready for use.
+// Connections are lost in the same ways as in a real network.
 type Network struct {
 	Delay time.Duration // one way, for opening a connection and each message
 
@@ -28,7 +28,7 @@
 	frozen    map[string]chan struct{}
 }
 
-// Listen takes connections to a name.
+// Listen accepts connections to a name.
 func (n *Network) Listen(address string) link.Listener {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -40,8 +40,7 @@
 	return l
 }
 
-// From returns a dialer whose connections bear its name, so that they can be
-// frozen and cut by it.
+// From returns a dialer whose connections can be frozen and cut by its name.
 func (n *Network) From(name string) link.Dialer { return dialer{n, name} }
 
 type dialer struct {
@@ -49,7 +48,7 @@
 	name    string
 }
 
-// Dial connects to a name that is listened on.
+// Dial connects to the listener of a name.
 func (d dialer) Dial(ctx context.Context, address string) (link.Session, error) {
 	return d.network.dial(ctx, d.name, address)
 }
@@ -59,9 +58,9 @@
 	l := n.listeners[address]
 	n.mu.Unlock()
 	if l == nil {
-		return nil, fmt.Errorf("memlink: nobody listens on %s", address)
+		return nil, fmt.Errorf("memlink: no listener on %s", address)
 	}
-	n.pass(from, ctx.Done())
+	n.awaitThaw(from, ctx.Done())
 	near, far := n.newPair(from, address)
 	select {
 	case l.incoming <- far:
@@ -76,7 +75,7 @@
 	return near, nil
 }
 
-// Cut ends all connections from and to a name.
+// Cut closes all connections from and to a name.
 func (n *Network) Cut(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -87,9 +86,8 @@
 	}
 }
 
-// Freeze holds up all messages to and from a name for a time, as when its
-// process is paused. Connections are lost if that is longer than a QUIC
-// connection may be idle.
+// Freeze delays all messages to and from a name for a time, as if its process were
+// paused. Connections are lost if that is longer than the idle timeout of QUIC.
 func (n *Network) Freeze(address string, length time.Duration) {
 	thawed := make(chan struct{})
 	n.mu.Lock()
@@ -113,8 +111,8 @@
 	close(thawed)
 }
 
-// pass waits until the name is not frozen.
-func (n *Network) pass(address string, done <-chan struct{}) {
+// awaitThaw waits until the name is not frozen or done is closed.
+func (n *Network) awaitThaw(address string, done <-chan struct{}) {
 	n.mu.Lock()
 	thawed := n.frozen[address]
 	n.mu.Unlock()
@@ -172,22 +170,22 @@
 func (n *Network) newPair(from, address string) (near, far *session) {
 	done := make(chan struct{})
 	once := new(sync.Once)
-	near = &session{network: n, from: from, address: address, done: done, once: once, streams: make(chan *stream, window)}
-	far = &session{network: n, from: from, address: address, done: done, once: once, streams: make(chan *stream, window)}
+	near = &session{network: n, from: from, address: address, done: done, once: once, streams: make(chan *stream, streamBuffer)}
+	far = &session{network: n, from: from, address: address, done: done, once: once, streams: make(chan *stream, streamBuffer)}
 	near.peer = far
 	far.peer = near
-	near.control, far.control = near.pair()
+	near.control, far.control = near.newStreams()
 	return near, far
 }
 
-func (s *session) pair() (own, other *stream) {
-	there := make(chan timed, window)
-	back := make(chan timed, window)
+func (s *session) newStreams() (own, remote *stream) {
+	outgoing := make(chan delivery, streamBuffer)
+	incoming := make(chan delivery, streamBuffer)
 	reset := make(chan struct{})
 	once := new(sync.Once)
-	own = &stream{session: s, in: back, out: there, reset: reset, once: once}
-	other = &stream{session: s, in: there, out: back, reset: reset, once: once}
-	return own, other
+	own = &stream{session: s, in: incoming, out: outgoing, reset: reset, once: once}
+	remote = &stream{session: s, in: outgoing, out: incoming, reset: reset, once: once}
+	return own, remote
 }
 
 func (s *session) Control() link.Stream { return s.control }
@@ -197,9 +195,9 @@
 func (s *session) Close()                { s.once.Do(func() { close(s.done) }) }
 
 func (s *session) Open(ctx context.Context) (link.Stream, error) {
-	own, other := s.pair()
+	own, remote := s.newStreams()
 	select {
-	case s.peer.streams <- other:
+	case s.peer.streams <- remote:
 		return own, nil
 	case <-s.done:
 		return nil, io.ErrClosedPipe
@@ -219,23 +217,23 @@
 	}
 }
 
-// timed is a message and the time at which it arrives. Nil is the end.
-type timed struct {
-	message message.Message
-	at      time.Time
+// delivery is a message and its time of arrival. A nil message is the end of the stream.
+type delivery struct {
+	message   message.Message
+	arrivesAt time.Time
 }
 
 type stream struct {
 	session *session
-	in      <-chan timed
-	out     chan<- timed
+	in      <-chan delivery
+	out     chan<- delivery
 	reset   chan struct{}
 	once    *sync.Once
 }
 
 func (s *stream) Send(m message.Message) error {
 	select {
-	case s.out <- timed{m, time.Now().Add(s.session.network.Delay)}:
+	case s.out <- delivery{m, time.Now().Add(s.session.network.Delay)}:
 		return nil
 	case <-s.reset:
 		return io.ErrClosedPipe
@@ -249,9 +247,9 @@
 func (s *stream) Receive() (message.Message, error) {
 	select {
 	case t := <-s.in:
-		time.Sleep(time.Until(t.at))
-		s.session.network.pass(s.session.from, s.session.done)
-		s.session.network.pass(s.session.address, s.session.done)
+		time.Sleep(time.Until(t.arrivesAt))
+		s.session.network.awaitThaw(s.session.from, s.session.done)
+		s.session.network.awaitThaw(s.session.address, s.session.done)
 		if t.message == nil {
 			return nil, io.EOF
 		}
--- a/internal/testing/suspension/suspension.go
+++ b/internal/testing/suspension/suspension.go
@@ -1,5 +1,5 @@
-// Package suspension lets a test believe that its machine was suspended. Importing it puts a
-// clock of its own in place of the kernel's, before anything reads it.
+// Package suspension simulates a suspension of the machine in tests. Importing it replaces the
+// kernel's clock by a simulated one before any code reads it.
 package suspension
 
 import (
@@ -9,28 +9,28 @@
 	"foxcross.dev/foxcross/internal/steady"
 )
 
-// asleep is for how long the machine was suspended, in ns; noticed as much of it as a comparison of
-// the clocks that still holds knows of.
-var asleep, noticed atomic.Int64
+// suspended is the total suspension in ns. lastCompared is the part of it that the last comparison of
+// the clocks includes.
+var suspended, lastCompared atomic.Int64
 
 func init() {
-	steady.Suspended = func() time.Duration { return time.Duration(asleep.Load()) }
-	steady.Recent = func() time.Duration { return time.Duration(noticed.Load()) }
+	steady.Suspended = func() time.Duration { return time.Duration(suspended.Load()) }
+	steady.Recent = func() time.Duration { return time.Duration(lastCompared.Load()) }
 }
 
-// Suspend lets the machine have been suspended for a time. The function that it returns takes
-// that back, for the tests that follow.
+// Suspend simulates a past suspension of duration d. The returned function undoes it for the tests
+// that follow.
 func Suspend(d time.Duration) (undo func()) {
-	noticed.Add(int64(d))
-	waken := Waken(d)
+	lastCompared.Add(int64(d))
+	undoExact := Waken(d)
 	return func() {
-		noticed.Add(-int64(d))
-		waken()
+		lastCompared.Add(-int64(d))
+		undoExact()
 	}
 }
 
-// Waken is Suspend for a machine that has just woken: only exact readings know of it.
+// Waken is Suspend for a machine that has just resumed: only exact readings include the suspension.
 func Waken(d time.Duration) (undo func()) {
-	asleep.Add(int64(d))
-	return func() { asleep.Add(-int64(d)) }
+	suspended.Add(int64(d))
+	return func() { suspended.Add(-int64(d)) }
 }
--- a/internal/testing/thinlink/thinlink.go
+++ b/internal/testing/thinlink/thinlink.go
@@ -1,6 +1,6 @@
-// Package thinlink stands in for a machine's link of small bandwidth: a relay of TCP
-// connections on this machine whose bytes, in both directions and of all connections
-// together, pass at a given rate.
+// Package thinlink simulates a link of low bandwidth: a relay of TCP connections on this
+// machine that forwards the bytes of all connections together, in both directions, at a
+// given rate.
 package thinlink
 
 import (
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// chunk is how many bytes pass at once: about one Ethernet frame, so that small
-// messages find their way between large ones.
+// chunk is the number of bytes that are forwarded at once. It is about one Ethernet frame,
+// so that small messages pass between large ones.
 const chunk = 1500
 
 // Link is the relay. Create it with New.
@@ -21,12 +21,12 @@
 	perByte  time.Duration
 
 	mu          sync.Mutex
-	free        time.Time // when the link has carried all that was given to it
+	freeAt      time.Time // when all scheduled bytes will have been forwarded
 	connections map[net.Conn]bool
 	closed      bool
 }
 
-// New opens a link to the target of so many bytes a second.
+// New opens a link to the target with a rate in bytes a second.
 func New(target string, bytesPerSecond int) (*Link, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -50,9 +50,9 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.closed = true
-	_ = l.listener.Close() // nobody is told
+	_ = l.listener.Close() // no caller uses the error
 	for c := range l.connections {
-		_ = c.Close() // nobody is told
+		_ = c.Close() // no caller uses the error
 	}
 }
 
@@ -64,24 +64,25 @@
 		}
 		far, err := net.Dial("tcp", l.target)
 		if err != nil {
-			_ = near.Close() // as the target's machine would
+			_ = near.Close() // like a target that refuses connections
 			continue
 		}
-		if !l.keep(near, far) {
+		if !l.track(near, far) {
 			return
 		}
-		go l.carry(near, far)
-		go l.carry(far, near)
+		go l.forward(near, far)
+		go l.forward(far, near)
 	}
 }
 
-// keep remembers connections; it closes them if the link is closed.
-func (l *Link) keep(all ...net.Conn) bool {
+// track adds connections to those that Close closes. If the link is closed, it closes them
+// and returns false.
+func (l *Link) track(all ...net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, c := range all {
 		if l.closed {
-			_ = c.Close() // nobody is told
+			_ = c.Close() // no caller uses the error
 			continue
 		}
 		l.connections[c] = true
@@ -89,27 +90,27 @@
 	return !l.closed
 }
 
-// carry passes bytes on at the link's rate until one end is closed.
-func (l *Link) carry(to, from net.Conn) {
-	defer func() { _ = to.Close() }()   // the other direction ends, too
-	defer func() { _ = from.Close() }() // the other direction ends, too
+// forward copies bytes at the link's rate until one end is closed.
+func (l *Link) forward(to, from net.Conn) {
+	defer func() { _ = to.Close() }()   // ends the other direction
+	defer func() { _ = from.Close() }() // ends the other direction
 	buffer := make([]byte, chunk)
 	for {
 		n, err := from.Read(buffer)
-		time.Sleep(time.Until(l.take(n)))
+		time.Sleep(time.Until(l.schedule(n)))
 		if _, failed := to.Write(buffer[:n]); failed != nil || err != nil {
 			return
 		}
 	}
 }
 
-// take gives bytes to the link and returns when it has carried them.
-func (l *Link) take(n int) time.Time {
+// schedule reserves the link for n bytes and returns the time at which it has forwarded them.
+func (l *Link) schedule(n int) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if now := time.Now(); l.free.Before(now) {
-		l.free = now
+	if now := time.Now(); l.freeAt.Before(now) {
+		l.freeAt = now
 	}
-	l.free = l.free.Add(time.Duration(n) * l.perByte)
-	return l.free
+	l.freeAt = l.freeAt.Add(time.Duration(n) * l.perByte)
+	return l.freeAt
 }
