--- a/examples/growth/main.go
+++ b/examples/growth/main.go
@@ -1,11 +1,10 @@
-// Command growth prints how long settings take to be in force at all entries, by their
-// size and the entries' links, processors and number, as the table of docs/CAPACITY.md:
+// Command growth prints the time until settings are in force at all entries, by the size of the
+// settings and the links, processors and number of the entries, as the table of docs/CAPACITY.md:
 //
 //	go run ./examples/growth
 //	go run ./examples/growth --teams --grown 0.1
 //
-// Times of a processor are measured on this machine, beside nothing else; links are
-// simulated.
+// Processor times are measured on this machine, without other load. Links are simulated.
 package main
 
 import (
@@ -19,11 +18,12 @@
 )
 
 type options struct {
-	Teams bool    `long:"teams" description:"the settings grow by teams with a key each, in place of routes"`
-	Grown float64 `long:"grown" default:"1" description:"share of them that the version adds; at 1 entries have none before"`
+	Teams bool    `long:"teams" description:"the settings grow by teams with a key each instead of routes"`
+	Grown float64 `long:"grown" default:"1" description:"fraction of them that the version adds; at 1 entries have none before"`
 }
 
-// The sizes, links (10^6 bits a second), processors (of a core) and numbers of entries.
+// Sizes of the settings, links (10^6 bits a second), processors (fractions of a core) and numbers
+// of entries.
 var (
 	sizes      = []int{10, 100, 1_000, 3_000, 10_000}
 	links      = []float64{10, 50, 200}
@@ -58,8 +58,8 @@
 		}
 		costs[size] = c
 		fmt.Printf("| %d | %s | %s | %s | %s | %s | %s | %s |\n", size,
-			kilobytes(c.StoreBytes), kilobytes(c.PeerBytes), kilobytes(c.PlainBytes),
-			shown(c.Read), shown(c.Encode), shown(c.Take), kilobytes(c.Heap))
+			formatKilobytes(c.StoreBytes), formatKilobytes(c.PeerBytes), formatKilobytes(c.PlainBytes),
+			formatSeconds(c.Read), formatSeconds(c.Encode), formatSeconds(c.Take), formatKilobytes(c.Heap))
 	}
 	fmt.Printf("\n| %s | link | core | floor |", kind)
 	for _, n := range entries {
@@ -69,27 +69,27 @@
 	for _, size := range sizes {
 		for _, link := range links {
 			for _, processor := range processors {
-				row(size, costs[size], growth.Fleet{LinkMbps: link, Processor: processor})
+				printRow(size, costs[size], growth.Fleet{LinkMbps: link, Processor: processor})
 			}
 		}
 	}
 	return nil
 }
 
-// row prints the time after the change and, behind it, of the former rule.
-func row(size int, c growth.Cost, f growth.Fleet) {
-	fmt.Printf("| %d | %g | %g | %s |", size, f.LinkMbps, f.Processor, shown(f.Floor(c)))
+// printRow prints the times by the present rule and, in parentheses, by the former rule.
+func printRow(size int, c growth.Cost, f growth.Fleet) {
+	fmt.Printf("| %d | %g | %g | %s |", size, f.LinkMbps, f.Processor, formatSeconds(f.Floor(c)))
 	for _, n := range entries {
 		f.Entries = n
-		before := "never"
+		former := "never"
 		if t, ok := growth.FormerSpread(c, f); ok {
-			before = shown(t)
+			former = formatSeconds(t)
 		}
-		fmt.Printf(" %s (%s) |", shown(growth.Spread(c, f)), before)
+		fmt.Printf(" %s (%s) |", formatSeconds(growth.Spread(c, f)), former)
 	}
 	fmt.Println()
 }
 
-func shown(d time.Duration) string { return fmt.Sprintf("%.2f s", d.Seconds()) }
+func formatSeconds(d time.Duration) string { return fmt.Sprintf("%.2f s", d.Seconds()) }
 
-func kilobytes(bytes int) string { return fmt.Sprintf("%.1f KB", float64(bytes)/1000) }
+func formatKilobytes(bytes int) string { return fmt.Sprintf("%.1f KB", float64(bytes)/1000) }
--- a/examples/local/deployment.go
+++ b/examples/local/deployment.go
@@ -17,21 +17,21 @@
 
 // user is one user of foxcross: its instances, endpoints and mix of requests.
 type user struct {
-	name     string
-	tree     []byte
-	model    string
-	service  string
-	centres  []string
-	mix      []kind
-	fleet    *deployment.Deployment
-	recorder history.Recorder
-	engines  []*standin.Engine
-	services []*standin.Service
-	urls     []string
+	name        string
+	tree        []byte
+	model       string
+	service     string
+	dataCentres []string
+	mix         []requestKind
+	fleet       *deployment.Deployment
+	recorder    history.Recorder
+	engines     []*standin.Engine
+	services    []*standin.Service
+	urls        []string
 }
 
-// kind is one class of the mix.
-type kind struct {
+// requestKind describes the requests of one class of the mix.
+type requestKind struct {
 	class  string
 	team   string
 	rate   float64 // requests a second
@@ -44,8 +44,8 @@
 	return []*user{
 		{
 			name: "Ovenhuis", tree: trees.Ovenhuis, model: "glaze-8b", service: "bookings",
-			centres: []string{"gent", "leuven", "namur", "mechelen"},
-			mix: []kind{
+			dataCentres: []string{"gent", "leuven", "namur", "mechelen"},
+			mix: []requestKind{
 				{class: "glaze-question", team: "gent", rate: 20, prompt: 400},
 				{class: "firing-plan", team: "leuven", rate: 15, prompt: 1200},
 				{class: "load-check", team: "technicians", rate: 15, prompt: 800},
@@ -55,8 +55,8 @@
 		},
 		{
 			name: "Alumni", tree: trees.Alumni, model: "memoria-7b", service: "portal",
-			centres: []string{"zona-4", "zona-10", "mixco"},
-			mix: []kind{
+			dataCentres: []string{"zona-4", "zona-10", "mixco"},
+			mix: []requestKind{
 				{class: "member-chat", team: "members", rate: 20, prompt: 300},
 				{class: "reunion-summary", team: "coordinators", rate: 5, prompt: 20000},
 				{class: "donor-tag", team: "nightly", rate: 15, prompt: 500},
@@ -67,8 +67,8 @@
 	}
 }
 
-// start brings up an agent with a new and an old card and a service in each
-// data centre, and two entries.
+// start starts two entries and, in each data centre, an agent with a new and an old
+// engine and an agent with a service.
 func (d *user) start(ctx context.Context) error {
 	f, err := deployment.New()
 	if err != nil {
@@ -78,13 +78,13 @@
 	if err := f.Put(ctx, d.tree); err != nil {
 		return err
 	}
-	for _, c := range d.centres {
+	for _, c := range d.dataCentres {
 		if err := d.addAgents(c); err != nil {
 			return err
 		}
 	}
 	for n := range 2 {
-		e, err := f.AddEntry(fmt.Sprintf("entry-%d", n+1), d.centres[n])
+		e, err := f.AddEntry(fmt.Sprintf("entry-%d", n+1), d.dataCentres[n])
 		if err != nil {
 			return err
 		}
@@ -93,37 +93,37 @@
 	return f.WaitReady(ctx)
 }
 
-func (d *user) addAgents(centre string) error {
-	fresh := &standin.Engine{Card: standin.Card{Step: 4 * time.Millisecond, Batch: 16}}
-	old := &standin.Engine{Card: standin.Card{Step: 10 * time.Millisecond, Batch: 8}}
-	for _, e := range []*standin.Engine{fresh, old} {
+func (d *user) addAgents(dataCentre string) error {
+	newEngine := &standin.Engine{Card: standin.Card{Step: 4 * time.Millisecond, Batch: 16}}
+	oldEngine := &standin.Engine{Card: standin.Card{Step: 10 * time.Millisecond, Batch: 8}}
+	for _, e := range []*standin.Engine{newEngine, oldEngine} {
 		d.engines = append(d.engines, e)
-		e.OnStart = func(prompt string) { d.executed(prompt, centre) }
+		e.OnStart = func(prompt string) { d.recordExecution(prompt, dataCentre) }
 	}
-	_, err := d.fleet.AddAgent("runner-"+centre, centre,
-		deployment.Local{Target: d.model, Handler: fresh.Handler()},
-		deployment.Local{Target: d.model, Handler: old.Handler()})
+	_, err := d.fleet.AddAgent("runner-"+dataCentre, dataCentre,
+		deployment.Local{Target: d.model, Handler: newEngine.Handler()},
+		deployment.Local{Target: d.model, Handler: oldEngine.Handler()})
 	if err != nil {
 		return err
 	}
 	service := &standin.Service{Takes: 5 * time.Millisecond}
-	service.OnStart = func(call string) { d.executed(call, centre) }
+	service.OnStart = func(call string) { d.recordExecution(call, dataCentre) }
 	d.services = append(d.services, service)
-	_, err = d.fleet.AddAgent("app-"+centre, centre,
+	_, err = d.fleet.AddAgent("app-"+dataCentre, dataCentre,
 		deployment.Local{Target: settings.ServiceTarget(d.service), Handler: service})
 	return err
 }
 
-// executed records that an endpoint began to work on a request. The request's
-// id is in its text between two marks.
-func (d *user) executed(text, endpoint string) {
-	_, after, _ := strings.Cut(text, idMark)
-	id, _, _ := strings.Cut(after, idMark)
+// recordExecution records that an endpoint started to execute a request. The id of the
+// request stands in its text between two marks.
+func (d *user) recordExecution(text, endpoint string) {
+	_, after, _ := strings.Cut(text, requestIDMark)
+	id, _, _ := strings.Cut(after, requestIDMark)
 	d.recorder.Add(history.Executed{ID: id, Endpoint: endpoint, At: time.Now()})
 }
 
-// commands are lines that work while the deployment is up.
-func (d *user) commands() []string {
+// exampleCommands returns command lines that work while the deployment runs.
+func (d *user) exampleCommands() []string {
 	var lines []string
 	for _, k := range d.mix {
 		key := fmt.Sprintf("-H 'Authorization: Bearer %s%s' -H 'X-Foxcross-Class: %s'", k.team, trees.KeySuffix, k.class)
--- a/examples/local/main.go
+++ b/examples/local/main.go
@@ -1,5 +1,5 @@
-// Command local runs both users' deployments in one process, on stand-ins and
-// loopback, sends a mix of requests and prints what became of them.
+// Command local runs the deployments of both users in one process, with stand-ins on
+// loopback, sends a mix of requests and prints the results.
 package main
 
 import (
@@ -13,11 +13,11 @@
 	"foxcross.dev/foxcross/internal/testing/flags"
 )
 
-const setupTime = 20 * time.Second
+const setupTimeout = 20 * time.Second
 
-// options are the flags.
+// options are the command-line flags.
 type options struct {
-	Stay     bool          `long:"stay" description:"keep everything up after the run and print commands to try"`
+	Stay     bool          `long:"stay" description:"keep the deployments running after the run and print commands to try"`
 	Duration time.Duration `long:"duration" default:"6s" description:"how long requests are sent"`
 	Seed     uint64        `long:"seed" default:"1" description:"seed of the mix"`
 	Level    string        `long:"log-level" default:"warn" description:"debug, info, warn or error"`
@@ -40,7 +40,7 @@
 	defer stop()
 	var all []*user
 	for _, d := range users() {
-		setup, cancel := context.WithTimeout(ctx, setupTime)
+		setup, cancel := context.WithTimeout(ctx, setupTimeout)
 		err := d.start(setup)
 		cancel()
 		if err != nil {
@@ -54,7 +54,7 @@
 		broken += d.measure(ctx, o)
 	}
 	if o.Stay {
-		stay(ctx, all)
+		keepRunning(ctx, all)
 	}
 	if broken > 0 {
 		return fmt.Errorf("%d promises were broken", broken)
@@ -62,11 +62,11 @@
 	return nil
 }
 
-// stay prints commands and waits for an interrupt.
-func stay(ctx context.Context, all []*user) {
+// keepRunning prints commands and waits for an interrupt.
+func keepRunning(ctx context.Context, all []*user) {
 	fmt.Println("Still up. Try:")
 	for _, d := range all {
-		for _, line := range d.commands() {
+		for _, line := range d.exampleCommands() {
 			fmt.Println("  " + line)
 		}
 	}
--- a/examples/local/measure.go
+++ b/examples/local/measure.go
@@ -19,81 +19,81 @@
 )
 
 const (
-	idMark     = "#"
-	callTime   = 60 * time.Second
-	settleTime = 100 * time.Millisecond
+	requestIDMark     = "#"
+	callTimeout       = 60 * time.Second
+	cancellationDelay = 100 * time.Millisecond
 )
 
-// tally counts what became of the requests of a class.
-type tally struct {
+// classStats are the results of the requests of a class.
+type classStats struct {
 	sent, ok, attained int
 	tokens             int
 	firsts             []time.Duration
 }
 
-// measure sends the mix, prints a table and returns how many promises broke.
+// measure sends the mix, prints a table and returns the number of breaches.
 func (d *user) measure(ctx context.Context, o options) int {
 	tree, err := settings.Parse(d.tree)
 	if err != nil {
-		panic(err) // the examples' trees are tested
+		panic(err) // the example trees are covered by tests
 	}
 	snapshot, err := settings.Compile(tree)
 	if err != nil {
 		panic(err)
 	}
-	ctx, cancel := context.WithTimeout(ctx, o.Duration+callTime)
+	ctx, cancel := context.WithTimeout(ctx, o.Duration+callTimeout)
 	defer cancel()
 	began := time.Now()
-	tallies := make([]tally, len(d.mix))
+	stats := make([]classStats, len(d.mix))
 	var all sync.WaitGroup
 	for n, k := range d.mix {
 		class, _ := snapshot.Class(k.class)
-		all.Go(func() { d.send(ctx, o, n, k, class, &tallies[n]) })
+		all.Go(func() { d.sendKind(ctx, o, n, k, class, &stats[n]) })
 	}
 	all.Wait()
 	took := time.Since(began)
-	time.Sleep(settleTime) // cancelled work may still be noted
-	d.print(tallies, took)
+	time.Sleep(cancellationDelay) // events of cancelled work may still arrive
+	d.print(stats, took)
 	breaches := history.Check(d.recorder.Events(), history.Rules{End: time.Now()})
 	for _, b := range breaches {
 		fmt.Println("BROKEN:", b)
 	}
-	fmt.Printf("promises checked: %d requests, %d broken\n\n", d.sent(tallies), len(breaches))
+	fmt.Printf("promises checked: %d requests, %d broken\n\n", d.totalSent(stats), len(breaches))
 	return len(breaches)
 }
 
-func (d *user) sent(tallies []tally) int {
+func (d *user) totalSent(stats []classStats) int {
 	sum := 0
-	for _, t := range tallies {
+	for _, t := range stats {
 		sum += t.sent
 	}
 	return sum
 }
 
-// send sends requests of one kind at random intervals.
-func (d *user) send(ctx context.Context, o options, index int, k kind, class settings.ClassInfo, t *tally) {
+// sendKind sends requests of one kind at random intervals.
+func (d *user) sendKind(ctx context.Context, o options, index int, k requestKind, class settings.ClassInfo, t *classStats) {
 	random := rand.New(rand.NewPCG(o.Seed, uint64(index)))
 	var mu sync.Mutex
-	var open sync.WaitGroup
+	var pending sync.WaitGroup
 	end := time.Now().Add(o.Duration)
 	for n := 0; time.Now().Before(end) && ctx.Err() == nil; n++ {
 		id := fmt.Sprintf("%s-%d", k.class, n)
 		url := d.urls[random.IntN(len(d.urls))]
-		prompt := standin.Prompt(idMark+id+idMark, k.prompt)
+		prompt := standin.Prompt(requestIDMark+id+requestIDMark, k.prompt)
 		t.sent++
-		open.Go(func() { d.one(ctx, k, class, url, id, prompt, t, &mu) })
+		pending.Go(func() { d.sendRequest(ctx, k, class, url, id, prompt, t, &mu) })
 		time.Sleep(time.Duration(random.ExpFloat64() / k.rate * float64(time.Second)))
 	}
-	open.Wait()
+	pending.Wait()
 }
 
-// one sends a request and records its answer.
-func (d *user) one(ctx context.Context, k kind, class settings.ClassInfo, url, id, prompt string, t *tally, mu *sync.Mutex) {
+// sendRequest sends a request and records its answer.
+func (d *user) sendRequest(ctx context.Context, k requestKind, class settings.ClassInfo, url, id, prompt string, t *classStats, mu *sync.Mutex) {
 	c := caller.Caller{URL: url, Key: k.team + trees.KeySuffix, Class: k.class}
 	s := history.Submitted{ID: id, Class: k.class, Tier: class.Terms.Tier, Repeatable: class.Terms.Repeatable, At: time.Now()}
 	var a caller.Answer
 	if k.method != "" {
-		path := k.path + "/" + idMark2(id)
+		path := k.path + "/" + escapedRequestID(id)
 		s.Want = fmt.Sprintf("done: %s %s ", k.method, path)
 		d.recorder.Add(s)
 		a = c.Service(ctx, d.service, k.method, path)
@@ -116,16 +116,16 @@
 	}
 }
 
-// idMark2 is the mark as it stands in a path.
-func idMark2(id string) string { return "%23" + id + "%23" }
+// escapedRequestID returns the id between marks, escaped for a path.
+func escapedRequestID(id string) string { return "%23" + id + "%23" }
 
-func (d *user) print(tallies []tally, took time.Duration) {
+func (d *user) print(stats []classStats, took time.Duration) {
 	fmt.Printf("%s: %d engines, %d services, 2 entries, %.1f s\n", d.name, len(d.engines), len(d.services), took.Seconds())
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprintln(w, "class\tsent\tok\tattained\tfirst p50 ms\tfirst p95 ms\ttokens/s\t") // to standard output
 	delivered := 0
 	for n, k := range d.mix {
-		t := tallies[n]
+		t := stats[n]
 		delivered += t.tokens
 		_, _ = fmt.Fprintf(w, "%s\t%d\t%d\t%.3f\t%.0f\t%.0f\t%.0f\t\n", k.class, t.sent, t.ok, // to standard output
 			float64(t.attained)/float64(max(1, t.sent)),
@@ -133,9 +133,9 @@
 			float64(t.tokens)/took.Seconds())
 	}
 	_ = w.Flush() // to standard output
-	made := 0
+	generated := 0
 	for _, e := range d.engines {
-		made += e.Tokens()
+		generated += e.Tokens()
 	}
-	fmt.Printf("goodput: %.0f tokens/s; wasted: %d of %d tokens made\n", float64(delivered)/took.Seconds(), made-delivered, made)
+	fmt.Printf("goodput: %.0f tokens/s; wasted: %d of %d tokens made\n", float64(delivered)/took.Seconds(), generated-delivered, generated)
 }
--- a/examples/losses/main.go
+++ b/examples/losses/main.go
@@ -1,5 +1,5 @@
-// Losses prints by which causes a played day lost worth: the player's report and its
-// output with the logs of all entries are read.
+// Command losses prints the causes by which a played day lost worth. It reads the
+// player's report and its output, which includes the logs of all entries.
 package main
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/jessevdk/go-flags"
 )
 
-// options are those of the command line.
+// options are the command-line flags.
 type options struct {
 	Report string `long:"report" required:"true" description:"report of the played day, JSON"`
 	Log    string `long:"log" required:"true" description:"the player's output with the logs of all entries"`
@@ -20,7 +20,7 @@
 func main() {
 	var o options
 	if _, err := flags.Parse(&o); err != nil {
-		os.Exit(2) // the library has said why
+		os.Exit(2) // the library has printed the reason
 	}
 	if err := run(o); err != nil {
 		fmt.Fprintln(os.Stderr, err)
--- a/examples/settings/settings.go
+++ b/examples/settings/settings.go
@@ -1,10 +1,10 @@
-// Package settings holds the example trees of the two deployments. The bearer
+// Package settings holds the example settings trees of the two deployments. The bearer
 // key of each example team is its name followed by KeySuffix.
 package settings
 
 import _ "embed" // the trees
 
-// KeySuffix ends the bearer keys of the example teams.
+// KeySuffix is the suffix of the bearer keys of the example teams.
 const KeySuffix = "-key"
 
 // Ovenhuis is the tree of the kiln booking deployment.
--- a/examples/soak/main.go
+++ b/examples/soak/main.go
@@ -1,5 +1,5 @@
-// Command soak runs entries as processes of their own under random faults and
-// checks the promises:
+// Command soak runs entries as separate processes under random faults and checks the
+// promises:
 //
 //	go build -o bin/ ./cmd/foxcross-entry
 //	go run ./examples/soak --entry bin/foxcross-entry --seed 1 --seeds 20
@@ -27,24 +27,24 @@
 	Former    string        `long:"former" description:"the program of a former version, which every other entry runs"`
 	Seed      uint64        `long:"seed" default:"1" description:"first seed"`
 	Seeds     uint64        `long:"seeds" default:"1" description:"runs, each with the next seed"`
-	Duration  time.Duration `long:"duration" default:"10s" description:"how long faults strike in each run"`
+	Duration  time.Duration `long:"duration" default:"10s" description:"how long faults are injected in each run"`
 	Entries   int           `long:"entries" default:"3" description:"entries, at most 200"`
 	Endpoints int           `long:"endpoints" default:"4" description:"endpoints"`
 	Callers   int           `long:"callers" default:"8" description:"callers at once"`
-	Only      []string      `long:"only" description:"name of a fault that may strike, may be given often (default: all)"`
-	Planned   bool          `long:"planned" description:"only planned work strikes"`
-	Crashing  bool          `long:"crashing" description:"a caller comes back with a request that crashes each endpoint that runs it"`
-	Slow      int           `long:"slow" description:"callers that do not read their answers, or whose bodies do not end"`
+	Only      []string      `long:"only" description:"name of a fault to inject, may be repeated (default: all)"`
+	Planned   bool          `long:"planned" description:"inject only planned work"`
+	Crashing  bool          `long:"crashing" description:"a caller repeats a request that crashes each endpoint that runs it"`
+	Slow      int           `long:"slow" description:"callers that do not read their answers or do not finish their bodies"`
 	Folder    string        `long:"folder" description:"where logs are kept (default: a temporary folder)"`
 }
 
-// maxEntries bounds the processes: some 5 GB at 25 MB each.
+// maxEntries bounds the number of processes, which take about 5 GB at 25 MB each.
 const maxEntries = 200
 
 func main() {
 	var o options
 	flags.Parse(&o)
-	broken, err := run(o)
+	broken, err := runSeeds(o)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
@@ -54,8 +54,8 @@
 	}
 }
 
-// run plays all seeds and tells whether a promise was broken.
-func run(o options) (broken bool, err error) {
+// runSeeds runs all seeds and reports whether a promise was broken.
+func runSeeds(o options) (broken bool, err error) {
 	if o.Entries < 1 || o.Entries > maxEntries {
 		return false, fmt.Errorf("soak: --entries is from 1 to %d", maxEntries)
 	}
@@ -70,7 +70,7 @@
 		}
 	}
 	for n := range o.Seeds {
-		r, err := play(o, program, folder, o.Seed+n)
+		r, err := runSeed(o, program, folder, o.Seed+n)
 		if err != nil {
 			return broken, err
 		}
@@ -80,8 +80,8 @@
 	return broken, nil
 }
 
-// programOf returns the program of the entry with a settings file.
-func (o options) programOf(settings, program string) string {
+// entryProgram returns the program that runs the entry with a settings file.
+func (o options) entryProgram(settings, program string) string {
 	name := strings.TrimSuffix(filepath.Base(settings), ".json")
 	if o.Former != "" && strings.ContainsAny(name[len(name)-1:], "02468") {
 		return o.Former
@@ -89,20 +89,20 @@
 	return program
 }
 
-// play runs one seed and prints what it found.
-func play(o options, program, folder string, seed uint64) (soak.Report, error) {
+// runSeed runs one seed and prints its results.
+func runSeed(o options, program, folder string, seed uint64) (soak.Report, error) {
 	only := o.Only
 	if o.Planned {
 		only = soak.Planned()
 	}
-	own := filepath.Join(folder, fmt.Sprint("seed-", seed))
-	if err := os.MkdirAll(own, 0o700); err != nil {
+	seedFolder := filepath.Join(folder, fmt.Sprint("seed-", seed))
+	if err := os.MkdirAll(seedFolder, 0o700); err != nil {
 		return soak.Report{}, fmt.Errorf("soak: %w", err)
 	}
 	r, err := soak.Run(context.Background(), soak.Options{
-		Seed: seed, Duration: o.Duration, Entries: o.Entries, Endpoints: o.Endpoints, Callers: o.Callers, Folder: own, Only: only, Crashing: o.Crashing, Slow: o.Slow,
+		Seed: seed, Duration: o.Duration, Entries: o.Entries, Endpoints: o.Endpoints, Callers: o.Callers, Folder: seedFolder, Only: only, Crashing: o.Crashing, Slow: o.Slow,
 		Command: func(settings string) *exec.Cmd {
-			c := exec.Command(o.programOf(settings, program), "serve", "--platform", "fleet")
+			c := exec.Command(o.entryProgram(settings, program), "serve", "--platform", "fleet")
 			c.Env = append(os.Environ(), "FOXCROSS_CONFIG="+settings)
 			return c
 		},
--- a/examples/spread/main.go
+++ b/examples/spread/main.go
@@ -1,5 +1,5 @@
-// Spread prints how long news took to reach the entries whose logs it reads: settings,
-// endpoints that leave, evacuations, lost entries.
+// Command spread reads the logs of entries and prints the time until they learned of
+// events: settings, endpoints that leave, evacuations and lost entries.
 //
 //	go run ./examples/spread < all.log
 package main
--- a/examples/standins/main.go
+++ b/examples/standins/main.go
@@ -1,5 +1,5 @@
-// Command standins serves stand-ins for the platform, engines and a plain
-// service on the addresses that the files in examples/processes name.
+// Command standins serves stand-ins for the platform, two engines and a plain
+// service at the addresses in the files of examples/processes.
 package main
 
 import (
@@ -14,7 +14,7 @@
 	"foxcross.dev/foxcross/internal/testing/standin"
 )
 
-// options are the flags.
+// options are the command-line flags.
 type options struct {
 	Members  string `long:"members" default:"examples/processes/members.json" description:"file with the member list"`
 	Platform string `long:"platform" default:"127.0.0.1:9000" description:"address of the key-value service"`
