--- a/examples/local/deployment.go
+++ b/examples/local/deployment.go
@@ -114,8 +114,8 @@
 	return err
 }
 
-// recordExecution records that an endpoint started to execute a request. The id of the
-// request stands in its text between two marks.
+// recordExecution records that an endpoint started to execute a request. The text of the
+// request contains its id between two marks.
 func (d *user) recordExecution(text, endpoint string) {
 	_, after, _ := strings.Cut(text, requestIDMark)
 	id, _, _ := strings.Cut(after, requestIDMark)
--- a/internal/testing/bench/decision_test.go
+++ b/internal/testing/bench/decision_test.go
@@ -24,7 +24,7 @@
 	Weight: 1, Repeatable: true,
 }
 
-// newEntryCore returns the core of an entry that knows a number of agents with free slots.
+// newEntryCore returns the core of an entry connected to a number of agents with free slots.
 func newEntryCore(agents int) *binding.Core {
 	c := &binding.Core{Rand: rand.New(rand.NewPCG(1, 1)), Requests: 1 << 20}
 	for n := range agents {
--- a/internal/testing/growth/cost.go
+++ b/internal/testing/growth/cost.go
@@ -37,7 +37,7 @@
 	Read       time.Duration // to read the store's answer and put it in force
 	Encode     time.Duration // to encode the answer to another entry
 	Take       time.Duration // to read another entry's answer and put it in force
-	Heap       int           // bytes of memory that the version holds
+	Heap       int           // bytes of memory in use by the version
 }
 
 // repetitions is the number of measurements of each time, of which the median is used.
--- a/internal/testing/soak/entry.go
+++ b/internal/testing/soak/entry.go
@@ -68,8 +68,8 @@
 	return fmt.Sprintf("127.%d.%d.%d", 2+pid>>8&127, pid&255, n+2)
 }
 
-// newEntry prepares entry n. Every other entry reaches the store over a slow link, whose rate
-// stands in its settings.
+// newEntry prepares entry n. Every other entry reaches the store over a slow link, whose rate is
+// set in its settings.
 func newEntry(o Options, n int, store, reports string) (*entry, error) {
 	e := &entry{name: fmt.Sprint("entry-", n+1), address: loopbackAddress(n), options: o}
 	linkMbps := fastLinkMbps
--- a/internal/testing/soak/slow.go
+++ b/internal/testing/soak/slow.go
@@ -53,12 +53,12 @@
 	head := fmt.Sprintf("Host: %s\r\n%s: %s\r\n%s: %d\r\n%s: %s\r\n",
 		host, platformtest.RequestIDField, id, platformtest.DeadlineField, requestTimeout.Milliseconds(), platformtest.KeyField, teamKey)
 	if number%2 == 0 {
-		_, _ = io.WriteString(c, "GET "+largePath+id+" HTTP/1.1\r\n"+head+"\r\n") // the entry may be gone
+		_, _ = io.WriteString(c, "GET "+largePath+id+" HTTP/1.1\r\n"+head+"\r\n") // the entry may have ended
 		<-time.After(2 * requestTimeout)
 		return
 	}
 	body := fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", slowBodyBytes, strings.Repeat("x", slowBodyBytes))
-	_, _ = io.WriteString(c, "POST /page/"+id+" HTTP/1.1\r\n"+head+body) // the entry may be gone
+	_, _ = io.WriteString(c, "POST /page/"+id+" HTTP/1.1\r\n"+head+body) // the entry may have ended
 	_, _ = io.Copy(io.Discard, c)                                        // until it is closed
 }
 
--- a/internal/testing/standin/engine.go
+++ b/internal/testing/standin/engine.go
@@ -129,11 +129,11 @@
 }
 
 func writeEvent(w http.ResponseWriter, data string) {
-	_, _ = fmt.Fprintf(w, "data: %s\n\n", data) // the caller may be gone
+	_, _ = fmt.Fprintf(w, "data: %s\n\n", data) // the caller may have disconnected
 }
 
 func (e *Engine) serveLoad(w http.ResponseWriter, _ *http.Request) {
-	_ = json.NewEncoder(w).Encode(map[string]int{"running": e.Load()}) // the caller may be gone
+	_ = json.NewEncoder(w).Encode(map[string]int{"running": e.Load()}) // the caller may have disconnected
 }
 
 // Crashed implements endpoint.Examiner.
--- a/internal/testing/standin/platformtest/runner.go
+++ b/internal/testing/standin/platformtest/runner.go
@@ -158,11 +158,11 @@
 // Close ends the runner and its connections.
 func (r *Runner) Close() {
 	defer r.endOnce.Do(func() { close(r.ended) })
-	_ = r.listener.Close() // the stand-in is over
+	_ = r.listener.Close() // the stand-in has ended
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for c := range r.conns {
-		_ = c.Close() // the stand-in is over
+		_ = c.Close() // the stand-in has ended
 	}
 }
 
@@ -182,7 +182,7 @@
 
 func (r *Runner) serve(c net.Conn) {
 	defer func() {
-		_ = c.Close() // the stand-in is over
+		_ = c.Close() // the stand-in has ended
 		r.mu.Lock()
 		delete(r.conns, c)
 		r.mu.Unlock()
@@ -246,14 +246,14 @@
 	}
 	id := q.Header.Get(RequestIDField)
 	if target := q.Header.Get(TargetField); target != "" && target != r.ID {
-		_, _ = io.Copy(io.Discard, q.Body) // the caller may be gone
+		_, _ = io.Copy(io.Discard, q.Body) // the caller may have disconnected
 		write(c, "HTTP/1.1 421 Misdirected Request\r\n%s: %s\r\nContent-Length: 0\r\n\r\n", InstanceField, r.ID)
 		return true
 	}
 	if e, early := r.peekAct().(Early); early {
 		r.recordArrival(q, nil)
 		write(c, "%s", r.head(e.Status, id, "Content-Length: 0\r\n"))
-		_, _ = io.Copy(io.Discard, q.Body) // the caller may be gone
+		_, _ = io.Copy(io.Discard, q.Body) // the caller may have disconnected
 		return true
 	}
 	body, err := io.ReadAll(q.Body)
@@ -383,7 +383,7 @@
 func chunk(c net.Conn, data string) { write(c, "%x\r\n%s\r\n", len(data), data) }
 
 func write(c net.Conn, format string, values ...any) {
-	_, _ = fmt.Fprintf(c, format, values...) // the caller may be gone
+	_, _ = fmt.Fprintf(c, format, values...) // the caller may have disconnected
 }
 
 // reset makes the close of a connection send a reset. It returns false, so that the connection is
--- a/internal/testing/standin/platformtest/store.go
+++ b/internal/testing/standin/platformtest/store.go
@@ -244,7 +244,7 @@
 
 func reply(w http.ResponseWriter, body any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(body) // the caller may be gone
+	_ = json.NewEncoder(w).Encode(body) // the caller may have disconnected
 }
 
 // Keys and key prefixes of the platform.
--- a/internal/testing/standin/service.go
+++ b/internal/testing/standin/service.go
@@ -33,7 +33,7 @@
 		return
 	}
 	answer := s.execute(r.Method, r.URL.RequestURI(), r.URL.Path, body)
-	_, _ = io.WriteString(w, answer) // the caller may be gone
+	_, _ = io.WriteString(w, answer) // the caller may have disconnected
 }
 
 // execute records a call, waits for the time it takes and returns the answer.
--- a/internal/testing/standin/storehttp.go
+++ b/internal/testing/standin/storehttp.go
@@ -62,7 +62,7 @@
 		return
 	}
 	w.Header().Set(httpkv.RevisionField, strconv.FormatUint(v.Revision, 10))
-	_, _ = w.Write(v.Data) // the caller may be gone
+	_, _ = w.Write(v.Data) // the caller may have disconnected
 }
 
 func (s *Store) servePut(w http.ResponseWriter, r *http.Request) {
@@ -90,7 +90,7 @@
 		writeStoreError(w, err)
 		return
 	}
-	_ = json.NewEncoder(w).Encode(v) // the caller may be gone
+	_ = json.NewEncoder(w).Encode(v) // the caller may have disconnected
 }
 
 // writeStoreError writes the response for an error. A lost answer breaks the connection.
