--- a/examples/growth/main.go
+++ b/examples/growth/main.go
@@ -18,8 +18,8 @@
 )
 
 type options struct {
-	Teams bool    `long:"teams" description:"the settings grow by teams with a key each instead of routes"`
-	Grown float64 `long:"grown" default:"1" description:"fraction of them that the version adds; at 1 entries have none before"`
+	Teams bool    `long:"teams" description:"the settings grow by teams with a key each, in place of routes"`
+	Grown float64 `long:"grown" default:"1" description:"share of them that the version adds; at 1 entries have none before"`
 }
 
 // Sizes of the settings, links (10^6 bits a second), processors (fractions of a core) and numbers
--- a/examples/local/main.go
+++ b/examples/local/main.go
@@ -17,7 +17,7 @@
 
 // options are the command-line flags.
 type options struct {
-	Stay     bool          `long:"stay" description:"keep the deployments running after the run and print commands to try"`
+	Stay     bool          `long:"stay" description:"keep everything up after the run and print commands to try"`
 	Duration time.Duration `long:"duration" default:"6s" description:"how long requests are sent"`
 	Seed     uint64        `long:"seed" default:"1" description:"seed of the mix"`
 	Level    string        `long:"log-level" default:"warn" description:"debug, info, warn or error"`
--- a/examples/soak/main.go
+++ b/examples/soak/main.go
@@ -27,14 +27,14 @@
 	Former    string        `long:"former" description:"the program of a former version, which every other entry runs"`
 	Seed      uint64        `long:"seed" default:"1" description:"first seed"`
 	Seeds     uint64        `long:"seeds" default:"1" description:"runs, each with the next seed"`
-	Duration  time.Duration `long:"duration" default:"10s" description:"how long faults are injected in each run"`
+	Duration  time.Duration `long:"duration" default:"10s" description:"how long faults strike in each run"`
 	Entries   int           `long:"entries" default:"3" description:"entries, at most 200"`
 	Endpoints int           `long:"endpoints" default:"4" description:"endpoints"`
 	Callers   int           `long:"callers" default:"8" description:"callers at once"`
-	Only      []string      `long:"only" description:"name of a fault to inject, may be repeated (default: all)"`
-	Planned   bool          `long:"planned" description:"inject only planned work"`
-	Crashing  bool          `long:"crashing" description:"a caller repeats a request that crashes each endpoint that runs it"`
-	Slow      int           `long:"slow" description:"callers that do not read their answers or do not finish their bodies"`
+	Only      []string      `long:"only" description:"name of a fault that may strike, may be given often (default: all)"`
+	Planned   bool          `long:"planned" description:"only planned work strikes"`
+	Crashing  bool          `long:"crashing" description:"a caller comes back with a request that crashes each endpoint that runs it"`
+	Slow      int           `long:"slow" description:"callers that do not read their answers, or whose bodies do not end"`
 	Folder    string        `long:"folder" description:"where logs are kept (default: a temporary folder)"`
 }
 
