--- a/coord/binding/action.go
+++ b/coord/binding/action.go
@@ -39,7 +39,7 @@
 type Finish struct {
 	Request    message.RequestID
 	Code       result.Code
-	Run        result.Run
+	Run        result.Execution
 	RetryAfter time.Duration
 	End        message.End // of the attempt that ended the request, if any
 }
--- a/coord/binding/dump.go
+++ b/coord/binding/dump.go
@@ -38,16 +38,16 @@
 
 // RequestDump is the state of one open request.
 type RequestDump struct {
-	Request  message.RequestID `json:"request"`
-	Class    string            `json:"class"`
-	Team     string            `json:"team"`
-	State    string            `json:"state"`
-	Attempt  message.Attempt   `json:"attempt"`
-	Offers   int               `json:"offers_waiting"`
-	Tried    int               `json:"agents_asked"`
-	At       string            `json:"started_at,omitempty"`
-	AgeMS    int64             `json:"age_ms"`
-	Retrying int               `json:"rounds"`
+	Request    message.RequestID `json:"request"`
+	Class      string            `json:"class"`
+	Team       string            `json:"team"`
+	State      string            `json:"state"`
+	Attempt    message.Attempt   `json:"attempt"`
+	Offers     int               `json:"offers_waiting"`
+	Tried      int               `json:"agents_asked"`
+	StartAgent string            `json:"started_at,omitempty"`
+	AgeMS      int64             `json:"age_ms"`
+	Rounds     int               `json:"rounds"`
 }
 
 // maxDumpRequests is the most open requests in a dump.
@@ -84,15 +84,15 @@
 
 func (r *request) dump(now time.Time) RequestDump {
 	return RequestDump{
-		Request:  r.id,
-		Class:    r.Terms.Class,
-		Team:     r.Terms.Team,
-		State:    string(r.state),
-		Attempt:  r.attempt,
-		Offers:   r.waiting(),
-		Tried:    len(r.offers),
-		At:       r.startAgent,
-		AgeMS:    now.Sub(r.accepted).Milliseconds(),
-		Retrying: r.rounds,
+		Request:    r.id,
+		Class:      r.Terms.Class,
+		Team:       r.Terms.Team,
+		State:      string(r.state),
+		Attempt:    r.attempt,
+		Offers:     r.waiting(),
+		Tried:      len(r.offers),
+		StartAgent: r.startAgent,
+		AgeMS:      now.Sub(r.accepted).Milliseconds(),
+		Rounds:     r.rounds,
 	}
 }
--- a/coord/binding/request.go
+++ b/coord/binding/request.go
@@ -134,7 +134,7 @@
 }
 
 // run returns what is known about the execution of a request without a result.
-func (r *request) run() result.Run {
+func (r *request) run() result.Execution {
 	if r.mayHaveRun {
 		return result.Unknown
 	}
--- a/coord/claim/claim.go
+++ b/coord/claim/claim.go
@@ -42,29 +42,29 @@
 	Period int64  `cbor:"2,keyasint"`
 }
 
-// Rules are the settings of a partition. They have to be the same at all entries.
-type Rules struct {
-	Period time.Duration // length of a period
-	Retain int64         // minimum retention of a claim, in periods
+// Settings are the settings of a partition. They have to be the same at all entries.
+type Settings struct {
+	Period        time.Duration // length of a period
+	RetainPeriods int64         // minimum retention of a claim, in periods
 }
 
-// At returns the number of the period at a time.
-func (r Rules) At(now time.Time) int64 { return now.UnixNano() / int64(r.Period) }
+// PeriodAt returns the number of the period at a time.
+func (r Settings) PeriodAt(now time.Time) int64 { return now.UnixNano() / int64(r.Period) }
 
-// Due reports whether the head's claims have to move to a segment first.
-func (h Head) Due(now time.Time, r Rules) bool {
+// NeedsRoll reports whether the head's claims have to move to a segment first.
+func (h Head) NeedsRoll(now time.Time, r Settings) bool {
 	if len(h.Claims) >= MaxClaims {
 		return true
 	}
-	return len(h.Claims) > 0 && r.At(now) > h.Period
+	return len(h.Claims) > 0 && r.PeriodAt(now) > h.Period
 }
 
 // Roll returns the head after its claims were stored in a segment with the given name, without
 // segments past their retention. A clock that is behind does not change the period.
-func (h Head) Roll(now time.Time, r Rules, name string) Head {
-	next := Head{Period: max(h.Period, r.At(now))}
+func (h Head) Roll(now time.Time, r Settings, name string) Head {
+	next := Head{Period: max(h.Period, r.PeriodAt(now))}
 	for _, s := range append(h.Segments[:len(h.Segments):len(h.Segments)], Segment{Name: name, Period: h.Period}) {
-		if s.Period+r.Retain >= next.Period {
+		if s.Period+r.RetainPeriods >= next.Period {
 			next.Segments = append(next.Segments, s)
 		}
 	}
@@ -84,48 +84,48 @@
 	Release bool
 }
 
-// Verdict is the outcome of a request.
-type Verdict uint8
+// Outcome is the outcome of a request.
+type Outcome uint8
 
 // The verdicts.
 const (
-	Mine  Verdict = iota + 1 // the head that With returned includes the claim
-	Taken                    // another claim owns the key
-	Freed                    // the head that With returned includes the release
+	Granted  Outcome = iota + 1 // the head that With returned includes the claim
+	Conflict                    // another claim owns the key
+	Released                    // the head that With returned includes the release
 )
 
-// With applies requests to a head. older returns the claims in the head's segments. The verdicts
+// Apply applies requests to a head. older returns the claims in the head's segments. The verdicts
 // are valid once the returned head is stored.
-func (h Head) With(now time.Time, r Rules, batch []Request, older func(Key) (Nonce, bool)) (Head, []Verdict) {
+func (h Head) Apply(now time.Time, r Settings, batch []Request, older func(Key) (Nonce, bool)) (Head, []Outcome) {
 	next := h
-	next.Period = max(h.Period, r.At(now))
+	next.Period = max(h.Period, r.PeriodAt(now))
 	next.Claims = maps.Clone(h.Claims)
 	if next.Claims == nil {
 		next.Claims = map[Key]Nonce{}
 	}
-	verdicts := make([]Verdict, len(batch))
+	verdicts := make([]Outcome, len(batch))
 	for n, q := range batch {
 		verdicts[n] = next.apply(q, older)
 	}
 	return next, verdicts
 }
 
-func (h Head) apply(q Request, older func(Key) (Nonce, bool)) Verdict {
+func (h Head) apply(q Request, older func(Key) (Nonce, bool)) Outcome {
 	holder, held := h.Claims[q.Key]
 	if q.Release {
 		if held && holder == q.Nonce {
 			delete(h.Claims, q.Key)
 		}
-		return Freed
+		return Released
 	}
 	if !held {
 		holder, held = older(q.Key)
 	}
 	if held && holder != q.Nonce {
-		return Taken
+		return Conflict
 	}
 	if !held {
 		h.Claims[q.Key] = q.Nonce
 	}
-	return Mine
+	return Granted
 }
--- a/coord/clock/clock.go
+++ b/coord/clock/clock.go
@@ -27,9 +27,9 @@
 // Source identifies a process whose wall clock is compared. 0 is the process itself.
 type Source uint64
 
-// Estimate is the estimate that one process has of the true time. The zero value has no samples.
+// Estimator is the estimate that one process has of the true time. The zero value has no samples.
 // It is not safe for concurrent use.
-type Estimate struct {
+type Estimator struct {
 	firstReading time.Time // monotonic reading of the first sample
 	sources      map[Source]source
 }
@@ -49,7 +49,7 @@
 
 // Observe records the wall clock time of a process at a reading of the monotonic clock. The reading
 // needs Go's monotonic clock; the wall clock time does not.
-func (e *Estimate) Observe(monotonic time.Time, from Source, wall time.Time) {
+func (e *Estimator) Observe(monotonic time.Time, from Source, wall time.Time) {
 	if e.sources == nil {
 		e.sources = map[Source]source{}
 		e.firstReading = monotonic
@@ -82,7 +82,7 @@
 }
 
 // removeExpired removes the sources without a recent sample.
-func (e *Estimate) removeExpired(monotonic time.Time) {
+func (e *Estimator) removeExpired(monotonic time.Time) {
 	for name, s := range e.sources {
 		if monotonic.Sub(s.newest.at) > sampleLifetime {
 			delete(e.sources, name)
@@ -92,7 +92,7 @@
 
 // Now returns the estimated true time at a reading of the monotonic clock. It returns false if
 // there is no recent sample.
-func (e *Estimate) Now(monotonic time.Time) (now time.Time, ok bool) {
+func (e *Estimator) Now(monotonic time.Time) (now time.Time, ok bool) {
 	offsets := e.offsets(monotonic)
 	if len(offsets) == 0 {
 		return time.Time{}, false
@@ -107,7 +107,7 @@
 
 // offsets returns the offsets of the processes with a recent sample at a reading of the monotonic
 // clock.
-func (e *Estimate) offsets(monotonic time.Time) []time.Duration {
+func (e *Estimator) offsets(monotonic time.Time) []time.Duration {
 	var all []time.Duration
 	for _, s := range e.sources {
 		if monotonic.Sub(s.newest.at) <= sampleLifetime {
--- a/coord/clock/clock_test.go
+++ b/coord/clock/clock_test.go
@@ -12,7 +12,7 @@
 func Example() {
 	monotonic := time.Now()
 	noon := time.Date(2030, 1, 1, 12, 0, 0, 0, time.UTC)
-	var e clock.Estimate
+	var e clock.Estimator
 	e.Observe(monotonic, 0, noon.Add(5*time.Second)) // the process's own clock has jumped
 	e.Observe(monotonic, 1, noon)
 	e.Observe(monotonic, 2, noon.Add(10*time.Millisecond))
@@ -22,7 +22,7 @@
 }
 
 func TestNoEstimateWithoutSamples(t *testing.T) {
-	var e clock.Estimate
+	var e clock.Estimator
 	if _, ok := e.Now(time.Now()); ok {
 		t.Error("Now returns a time without samples")
 	}
@@ -47,7 +47,7 @@
 		}
 		start := time.Now()
 		trueTime := time.Date(2030, 5, 5, 5, 5, 5, 0, time.UTC)
-		var e clock.Estimate
+		var e clock.Estimator
 		for step := range 80 {
 			switch step % period {
 			case 0: // four random clocks jump
@@ -83,7 +83,7 @@
 // TestSilentClocksAreIgnored checks that only clocks with a recent sample are compared.
 func TestSilentClocksAreIgnored(t *testing.T) {
 	start := time.Now()
-	var e clock.Estimate
+	var e clock.Estimator
 	for n := range clock.Source(5) {
 		e.Observe(start, n, start.Add(time.Minute))
 	}
--- a/coord/clock/export_test.go
+++ b/coord/clock/export_test.go
@@ -3,4 +3,4 @@
 import "time"
 
 // Compared returns the number of processes with a recent sample at a reading of the monotonic clock.
-func (e *Estimate) Compared(monotonic time.Time) int { return len(e.offsets(monotonic)) }
+func (e *Estimator) Compared(monotonic time.Time) int { return len(e.offsets(monotonic)) }
--- a/coord/dispatch/dispatch_test.go
+++ b/coord/dispatch/dispatch_test.go
@@ -21,7 +21,7 @@
 
 func newCore(maxWork int) *dispatch.Core {
 	c := &dispatch.Core{}
-	c.Add(dispatch.Endpoint{Name: "e", Target: target, Most: maxWork})
+	c.Add(dispatch.Endpoint{Name: "e", Target: target, MaxWork: maxWork})
 	return c
 }
 
--- a/coord/dispatch/dump.go
+++ b/coord/dispatch/dump.go
@@ -97,7 +97,7 @@
 	}
 	for t, n := range e.targets {
 		d.Running[t.String()] = n
-		d.Limits[t.String()] = e.learned.For(t)
+		d.Limits[t.String()] = e.learned.Limit(t)
 	}
 	if u := e.circuit.Until(); !u.IsZero() {
 		d.Until = &u
--- a/coord/dispatch/endpoint.go
+++ b/coord/dispatch/endpoint.go
@@ -11,15 +11,15 @@
 
 // Endpoint describes one local engine or service.
 type Endpoint struct {
-	Name   string
-	Target string // model or service that it serves
-	Most   int    // most concurrent work, 0 for the learned limit only
+	Name    string
+	Target  string // model or service that it serves
+	MaxWork int    // most concurrent work, 0 for the learned limit only
 }
 
 // endpoint is the state of one local engine or service.
 type endpoint struct {
 	Endpoint
-	learned            limit.Learned
+	learned            limit.Estimator
 	circuit            health.Circuit
 	prefixes           affinity.Table
 	work               map[queue.Key]*work // held, running and stopping
@@ -72,12 +72,12 @@
 
 // limit returns the most concurrent work if work with the given target is added.
 func (e *endpoint) limit(target time.Duration) int {
-	most := e.learned.For(target)
+	most := e.learned.Limit(target)
 	for d := range e.targets {
-		most = min(most, e.learned.For(d))
+		most = min(most, e.learned.Limit(d))
 	}
-	if e.Most > 0 {
-		most = min(most, e.Most)
+	if e.MaxWork > 0 {
+		most = min(most, e.MaxWork)
 	}
 	return most
 }
--- a/coord/dispatch/pool.go
+++ b/coord/dispatch/pool.go
@@ -67,8 +67,8 @@
 
 func (p *pool) runningOf(class string) int { return p.classes[class] }
 
-func (p *pool) capacity() queue.Room {
-	return queue.Room{Slots: p.slots(), NextFree: p.slotInterval(), Running: p.runningOf}
+func (p *pool) capacity() queue.Capacity {
+	return queue.Capacity{Slots: p.slots(), NextFree: p.slotInterval(), Running: p.runningOf}
 }
 
 // latestStart returns the latest start that still meets the offer's target.
--- a/coord/dispatch/start.go
+++ b/coord/dispatch/start.go
@@ -55,7 +55,7 @@
 	c.finish(w.item.Key, w.item.Offer.Attempt, code, result.Ran)
 }
 
-func (c *Core) finish(k queue.Key, a message.Attempt, code result.Code, run result.Run) {
+func (c *Core) finish(k queue.Key, a message.Attempt, code result.Code, run result.Execution) {
 	c.emit(Finish{Key: k, End: message.End{Request: k.Request, Attempt: a, Code: code, Run: run}})
 }
 
--- a/coord/duty/duty_test.go
+++ b/coord/duty/duty_test.go
@@ -68,18 +68,18 @@
 	terms := duty.TermsFor(3*time.Second, 300*time.Millisecond, time.Second)
 	noHolder := duty.Situation{Eligible: true}
 	e := duty.Election{Terms: terms}
-	if e.Due(now, duty.Situation{}) != duty.Rest || e.Due(now, duty.Situation{Eligible: true, Heard: true}) != duty.Rest {
+	if e.Due(now, duty.Situation{}) != duty.Wait || e.Due(now, duty.Situation{Eligible: true, OtherHolder: true}) != duty.Wait {
 		t.Error("tries while not eligible or while there is a live holder")
 	}
 	if e.Due(now, noHolder) != duty.Try {
 		t.Error("does not try while there is no holder")
 	}
-	e.Tried(now)
-	if e.Due(now.Add(499*time.Millisecond), noHolder) != duty.Rest || e.Due(now.Add(500*time.Millisecond), noHolder) != duty.Try {
+	e.AttemptFailed(now)
+	if e.Due(now.Add(499*time.Millisecond), noHolder) != duty.Wait || e.Due(now.Add(500*time.Millisecond), noHolder) != duty.Try {
 		t.Error("does not wait attemptInterval between attempts")
 	}
 	e.Won(duty.Lease{}.WithGrant("a", 7, now, now, terms), now)
-	if e.Due(now.Add(400*time.Millisecond), duty.Situation{}) != duty.Rest || e.Due(now.Add(500*time.Millisecond), duty.Situation{}) != duty.Renew {
+	if e.Due(now.Add(400*time.Millisecond), duty.Situation{}) != duty.Wait || e.Due(now.Add(500*time.Millisecond), duty.Situation{}) != duty.Renew {
 		t.Error("does not renew after a third of the lease")
 	}
 	e.RenewalFailed(now.Add(time.Second))
@@ -91,7 +91,7 @@
 		t.Error("keeps a lease that expired more than giveUpAfter ago")
 	}
 	e.Lost(late)
-	if e.Lease.Fence != 0 || e.Due(late.Add(499*time.Millisecond), noHolder) != duty.Rest || e.Due(late.Add(500*time.Millisecond), noHolder) != duty.Try {
+	if e.Lease.Fence != 0 || e.Due(late.Add(499*time.Millisecond), noHolder) != duty.Wait || e.Due(late.Add(500*time.Millisecond), noHolder) != duty.Try {
 		t.Error("keeps the lease, or does not wait attemptInterval, after the lease was lost")
 	}
 }
@@ -121,7 +121,7 @@
 		{3 * time.Second, true, []string{first}},
 		{3 * time.Minute, true, nil},
 	} {
-		if got := formatWindows(tally.State(at.Add(c.after), c.all)); !slices.Equal(got, c.want) {
+		if got := formatWindows(tally.Statement(at.Add(c.after), c.all)); !slices.Equal(got, c.want) {
 			t.Errorf("after %v stated %v, want %v", c.after, got, c.want)
 		}
 	}
@@ -131,14 +131,14 @@
 // last statement counts in a window that is not yet stated as complete.
 func TestStatedWindowStaysComplete(t *testing.T) {
 	tally := duty.Tally{Owner: 1, Length: windowLength}
-	tally.State(start.Add(windowLength+time.Millisecond), false)
+	tally.Statement(start.Add(windowLength+time.Millisecond), false)
 	tally.Count("a", start.Add(windowLength-time.Millisecond))
-	s := tally.State(start.Add(windowLength+2*time.Millisecond), false)
+	s := tally.Statement(start.Add(windowLength+2*time.Millisecond), false)
 	if len(s.Windows) != 1 || s.Windows[0].Window != duty.WindowAt(start.Add(windowLength), windowLength) {
 		t.Errorf("counted in %v", s.Windows)
 	}
 	tally.Count("a", start.Add(-windowLength)) // the clock was set back by more than a window
-	if s := tally.State(start.Add(windowLength+3*time.Millisecond), true); len(s.Windows) != 2 {
+	if s := tally.Statement(start.Add(windowLength+3*time.Millisecond), true); len(s.Windows) != 2 {
 		t.Errorf("counted in %v", s.Windows)
 	}
 }
@@ -170,9 +170,9 @@
 	} {
 		l := duty.Ledger{Length: windowLength}
 		for _, s := range c.statements {
-			l.Take(s)
+			l.Merge(s)
 		}
-		if got := slices.Contains(l.Ripe(c.now, live), w); got != c.ripe {
+		if got := slices.Contains(l.Closable(c.now, live), w); got != c.ripe {
 			t.Errorf("%s: ripe %v", c.name, got)
 		}
 	}
@@ -189,7 +189,7 @@
 		statement(2, 0, 2, duty.Counts{"b": 2}),
 		statement(2, 0, 2, duty.Counts{"b": 2}),
 	} {
-		l.Take(s)
+		l.Merge(s)
 	}
 	want := duty.Counts{"a": 3, "b": 3, "c": 5}
 	if got := l.Account(w).Sum(); !maps.Equal(got, want) {
@@ -202,9 +202,9 @@
 func TestClosedWindowsNeverChange(t *testing.T) {
 	w := duty.WindowAt(start, windowLength)
 	l := duty.Ledger{Length: windowLength}
-	l.Take(statement(1, 0, 1, duty.Counts{"a": 1}))
+	l.Merge(statement(1, 0, 1, duty.Counts{"a": 1}))
 	l.Close(w, duty.Counts{"a": 1})
-	l.Take(statement(1, 0, 2, duty.Counts{"a": 2}))
+	l.Merge(statement(1, 0, 2, duty.Counts{"a": 2}))
 	l.Restore(w, duty.Account{Owners: map[uint64]duty.Counts{1: {"a": 9}}})
 	l.Restore(w, duty.Account{Closed: duty.Counts{"a": 9}})
 	if got := l.Account(w).Sum(); !maps.Equal(got, duty.Counts{"a": 1}) {
@@ -213,7 +213,7 @@
 	if got := l.Unreported(); !slices.Equal(got, []duty.Window{w}) {
 		t.Errorf("unreported windows: %v", got)
 	}
-	l.Report(w)
+	l.MarkReported(w)
 	if len(l.Unreported()) > 0 || !slices.Equal(l.Unwritten(), []duty.Window{w}) {
 		t.Error("a reported window is still unreported, or is not unwritten")
 	}
@@ -221,7 +221,7 @@
 	if len(l.Unreported()) > 0 {
 		t.Error("a reported window is unreported again")
 	}
-	l.Written(w, l.Account(w))
+	l.MarkWritten(w, l.Account(w))
 	if len(l.Unwritten()) > 0 {
 		t.Error("a written window is still unwritten")
 	}
--- a/coord/duty/election.go
+++ b/coord/duty/election.go
@@ -26,8 +26,8 @@
 
 // Situation is the input of an election at one process.
 type Situation struct {
-	Eligible bool // the process reads the store, gets answers from it, and is not leaving
-	Heard    bool // another process is a live holder
+	Eligible    bool // the process reads the store, gets answers from it, and is not leaving
+	OtherHolder bool // another process is a live holder
 }
 
 // Move is the next action of a process in the election.
@@ -35,7 +35,7 @@
 
 // The moves.
 const (
-	Rest   Move = iota // no action is due
+	Wait   Move = iota // no action is due
 	Try                // read the holder's record, and write one if there is none
 	Renew              // renew the lease
 	GiveUp             // treat the lease as lost
@@ -52,7 +52,7 @@
 // Due returns the move that is due now.
 func (e *Election) Due(now time.Time, s Situation) Move {
 	if now.Before(e.nextCall) {
-		return Rest
+		return Wait
 	}
 	if e.Lease.Fence != 0 {
 		if now.Sub(e.Lease.expiresAt) > giveUpAfter {
@@ -60,14 +60,14 @@
 		}
 		return Renew
 	}
-	if s.Eligible && !s.Heard {
+	if s.Eligible && !s.OtherHolder {
 		return Try
 	}
-	return Rest
+	return Wait
 }
 
-// Tried records an attempt that failed at the given time.
-func (e *Election) Tried(at time.Time) { e.nextCall = at.Add(attemptInterval) }
+// AttemptFailed records an attempt that failed at the given time.
+func (e *Election) AttemptFailed(at time.Time) { e.nextCall = at.Add(attemptInterval) }
 
 // Won records that the process became the holder with lease l, requested at requestedAt.
 func (e *Election) Won(l Lease, requestedAt time.Time) {
--- a/coord/duty/ledger.go
+++ b/coord/duty/ledger.go
@@ -73,8 +73,8 @@
 	changed bool             // since it was last written
 }
 
-// Take merges the statement of a process. Counts of closed windows are ignored.
-func (l *Ledger) Take(s Statement) {
+// Merge merges the statement of a process. Counts of closed windows are ignored.
+func (l *Ledger) Merge(s Statement) {
 	if l.countedThrough == nil {
 		l.countedThrough = map[uint64]time.Time{}
 	}
@@ -149,9 +149,9 @@
 	return l.filter(func(_ Window, a *account) bool { return a.changed })
 }
 
-// Ripe returns the open windows that may be closed at a true time, oldest first: those whose
+// Closable returns the open windows that may be closed at a true time, oldest first: those whose
 // counts are complete for each live process, and those that ended settleFor ago.
-func (l *Ledger) Ripe(now time.Time, live []uint64) []Window {
+func (l *Ledger) Closable(now time.Time, live []uint64) []Window {
 	return l.filter(func(w Window, a *account) bool {
 		sinceEnd := now.Sub(w.End(l.Length))
 		if !a.open() || len(a.Owners) == 0 || sinceEnd < 0 || sinceEnd > closeWithin {
@@ -171,8 +171,8 @@
 	return l.filter(func(w Window, a *account) bool { return a.Reported && now.Sub(w.End(l.Length)) > finishAfter })
 }
 
-// Written records that the store holds the given account of a window.
-func (l *Ledger) Written(w Window, stored Account) {
+// MarkWritten records that the store holds the given account of a window.
+func (l *Ledger) MarkWritten(w Window, stored Account) {
 	a := l.account(w)
 	a.changed = !a.equal(stored)
 }
@@ -189,15 +189,15 @@
 	a.changed = false
 }
 
-// Report records that the platform has accepted the report of a window.
-func (l *Ledger) Report(w Window) {
+// MarkReported records that the platform has accepted the report of a window.
+func (l *Ledger) MarkReported(w Window) {
 	a := l.account(w)
 	a.Reported = true
 	a.changed = true
 }
 
-// Forget deletes a window.
-func (l *Ledger) Forget(w Window) { delete(l.accounts, w) }
+// Delete deletes a window.
+func (l *Ledger) Delete(w Window) { delete(l.accounts, w) }
 
 // Expire deletes the windows that ended more than keepFor ago, at a process that does not hold
 // the duties.
--- a/coord/duty/tally.go
+++ b/coord/duty/tally.go
@@ -72,9 +72,9 @@
 	x.changedAt = at
 }
 
-// State returns the statement that is due at a true time: of the windows that changed within
+// Statement returns the statement that is due at a true time: of the windows that changed within
 // repeatFor, or of all that are kept. It deletes windows that ended more than keepFor ago.
-func (t *Tally) State(now time.Time, all bool) Statement {
+func (t *Tally) Statement(now time.Time, all bool) Statement {
 	t.statedAt = now
 	s := Statement{Owner: t.Owner, Through: now}
 	for w, x := range t.windows {
--- a/coord/eligibility/backoff.go
+++ b/coord/eligibility/backoff.go
@@ -46,16 +46,16 @@
 // Active reports whether the backoff has not ended, so that no request may be sent.
 func (b *Backoff) Active(now time.Time) bool { return now.Before(b.until) }
 
-// Left returns the time until the end of the backoff, 0 if it is not active.
-func (b *Backoff) Left(now time.Time) time.Duration { return max(b.until.Sub(now), 0) }
+// Remaining returns the time until the end of the backoff, 0 if it is not active.
+func (b *Backoff) Remaining(now time.Time) time.Duration { return max(b.until.Sub(now), 0) }
 
-// Asked returns when the response that set the end was received, and the delay it requested.
-func (b *Backoff) Asked() (received time.Time, delay time.Duration) {
+// Requested returns when the response that set the end was received, and the delay it requested.
+func (b *Backoff) Requested() (received time.Time, delay time.Duration) {
 	return b.receivedAt, b.requestedDelay
 }
 
-// Ramping reports whether the backoff has ended and slow start still bounds the open requests.
-func (b *Backoff) Ramping(now time.Time) bool { return b.window > 0 && !b.Active(now) }
+// InSlowStart reports whether the backoff has ended and slow start still bounds the open requests.
+func (b *Backoff) InSlowStart(now time.Time) bool { return b.window > 0 && !b.Active(now) }
 
 // Allows reports whether one more request may be sent. open is the number of open requests that
 // were sent after the end.
@@ -63,13 +63,13 @@
 	return !b.Active(now) && (b.window == 0 || open < b.window)
 }
 
-// Since reports whether a request was sent at or after the end.
-func (b *Backoff) Since(sent time.Time) bool { return !sent.Before(b.until) }
+// SentAfterEnd reports whether a request was sent at or after the end.
+func (b *Backoff) SentAfterEnd(sent time.Time) bool { return !sent.Before(b.until) }
 
-// Responded records the response to a request that was sent at the given time. slots is the
+// RecordResponse records the response to a request that was sent at the given time. slots is the
 // endpoint's number of slots, 0 if unknown.
-func (b *Backoff) Responded(sent time.Time, slots int) {
-	if b.window == 0 || !b.Since(sent) {
+func (b *Backoff) RecordResponse(sent time.Time, slots int) {
+	if b.window == 0 || !b.SentAfterEnd(sent) {
 		return
 	}
 	if slots <= 0 {
--- a/coord/eligibility/backoff_test.go
+++ b/coord/eligibility/backoff_test.go
@@ -15,11 +15,11 @@
 	if b.Apply(origin.Add(time.Second), time.Second, 0) {
 		t.Error("a shorter delay started another backoff")
 	}
-	if left := b.Left(origin.Add(time.Second)); left != 2*time.Second {
+	if left := b.Remaining(origin.Add(time.Second)); left != 2*time.Second {
 		t.Errorf("after a shorter delay: %v left", left)
 	}
 	b.Apply(origin.Add(2*time.Second), 2500*time.Millisecond, 500*time.Millisecond)
-	if left := b.Left(origin.Add(2 * time.Second)); left != 3*time.Second {
+	if left := b.Remaining(origin.Add(2 * time.Second)); left != 3*time.Second {
 		t.Errorf("after a longer delay: %v left", left)
 	}
 }
@@ -45,8 +45,8 @@
 		if !b.Allows(end, open) || b.Allows(end, open+1) {
 			t.Errorf("after %d responses: the maximum of open requests is not %d", open, open+1)
 		}
-		b.Responded(end.Add(-1), slots) // has no effect: sent before the end
-		b.Responded(end, slots)
+		b.RecordResponse(end.Add(-1), slots) // has no effect: sent before the end
+		b.RecordResponse(end, slots)
 	}
 	if !b.Allows(end, 10*slots) {
 		t.Error("the number of open requests is still bounded after the slow start")
--- a/coord/eligibility/eligibility.go
+++ b/coord/eligibility/eligibility.go
@@ -70,7 +70,7 @@
 // endpoint's state. It returns Eligible if the endpoint may.
 func Check(allowed Regions, at Location) Reason {
 	switch {
-	case !allowed.Allow(at.Region):
+	case !allowed.Allows(at.Region):
 		return OutsideRegions
 	case at.Evacuated:
 		return Evacuated
--- a/coord/eligibility/limit.go
+++ b/coord/eligibility/limit.go
@@ -34,15 +34,15 @@
 	endAnnounceDuration = time.Minute
 )
 
-// Change is the effect of an update.
-type Change uint8
+// LimitChange is the effect of an update.
+type LimitChange uint8
 
 // The changes.
 const (
-	Unchanged Change = iota
-	Began            // a limit was set where there was none
-	Moved            // the limit was replaced by another one
-	Ended            // the limit was removed
+	LimitUnchanged LimitChange = iota
+	LimitSet                   // a limit was set where there was none
+	LimitReplaced              // the limit was replaced by another one
+	LimitRemoved               // the limit was removed
 )
 
 // LimitUpdate is the limit, or the absence of one, that a response reports for its endpoint.
@@ -58,7 +58,7 @@
 	advertised time.Time // receipt of the last response that advertised the limit
 	ended      time.Time // send time of the request whose response ended the last limit
 	announced  time.Time // time of the last announcement to other entries
-	pace       Pace
+	pace       SharedRate
 }
 
 // Limited reports whether the endpoint has a limit.
@@ -71,52 +71,52 @@
 func (l *Limit) AdvertisedAt() time.Time { return l.advertised }
 
 // Apply records an update.
-func (l *Limit) Apply(u LimitUpdate) Change {
+func (l *Limit) Apply(u LimitUpdate) LimitChange {
 	if u.PerSecond <= 0 {
 		return l.end(u)
 	}
 	if u.Sent.Before(l.ended) || u.Received.Before(l.advertised) {
-		return Unchanged
+		return LimitUnchanged
 	}
 	previous := l.perSecond
 	l.perSecond = min(max(u.PerSecond, MinLimit), MaxLimit)
 	l.advertised = u.Received
 	switch previous {
 	case 0:
-		l.pace = Pace{}
-		return Began
+		l.pace = SharedRate{}
+		return LimitSet
 	case l.perSecond:
-		return Unchanged
+		return LimitUnchanged
 	default:
-		return Moved
+		return LimitReplaced
 	}
 }
 
 // end removes the limit if the update's request was sent after the last advertisement.
-func (l *Limit) end(u LimitUpdate) Change {
+func (l *Limit) end(u LimitUpdate) LimitChange {
 	if !l.Limited() || !u.Sent.After(l.advertised.Add(reorderTolerance)) {
-		return Unchanged
+		return LimitUnchanged
 	}
 	l.perSecond = 0
 	l.ended = u.Sent
-	return Ended
+	return LimitRemoved
 }
 
 // Announce reports whether to announce an update to other entries, and if so records the
 // announcement.
-func (l *Limit) Announce(now time.Time, c Change) bool {
+func (l *Limit) Announce(now time.Time, c LimitChange) bool {
 	relevant := l.Limited() || !l.ended.IsZero() && now.Sub(l.ended) < endAnnounceDuration
-	if c == Unchanged && (!relevant || now.Sub(l.announced) < announceInterval) {
+	if c == LimitUnchanged && (!relevant || now.Sub(l.announced) < announceInterval) {
 		return false
 	}
 	l.announced = now
 	return true
 }
 
-// Sent counts a request sent to the endpoint by this entry, if own, or by another one.
-func (l *Limit) Sent(at time.Time, own bool, g Group) {
+// RecordSend counts a request sent to the endpoint by this entry, if own, or by another one.
+func (l *Limit) RecordSend(at time.Time, own bool, g Group) {
 	if l.Limited() {
-		l.pace.Sent(at, l.perSecond, own, g)
+		l.pace.RecordSend(at, l.perSecond, own, g)
 	}
 }
 
@@ -125,13 +125,13 @@
 	return !l.Limited() || l.pace.Allows(now, l.perSecond, g)
 }
 
-// Chance returns the probability with which the endpoint is a candidate for a request.
+// CandidateProbability returns the probability with which the endpoint is a candidate for a request.
 // arrivalsPerSecond is the rate of the service's requests at all entries.
-func (l *Limit) Chance(now time.Time, arrivalsPerSecond float64, g Group) float64 {
+func (l *Limit) CandidateProbability(now time.Time, arrivalsPerSecond float64, g Group) float64 {
 	if !l.Limited() {
 		return 1
 	}
-	return l.pace.Chance(now, l.perSecond, arrivalsPerSecond, g)
+	return l.pace.CandidateProbability(now, l.perSecond, arrivalsPerSecond, g)
 }
 
 // Wait estimates how long it takes until the endpoint may receive a request, from the requests
--- a/coord/eligibility/limit_test.go
+++ b/coord/eligibility/limit_test.go
@@ -85,10 +85,10 @@
 		for _, n := range append(random.Perm(len(updates)), random.Perm(len(updates))...) {
 			u := updates[n]
 			change := l.Apply(u)
-			if change == eligibility.Ended {
+			if change == eligibility.LimitRemoved {
 				endedAt = u.Sent
 			}
-			if change == eligibility.Began && u.Sent.Before(endedAt) {
+			if change == eligibility.LimitSet && u.Sent.Before(endedAt) {
 				t.Fatalf("seed %d: the response to a request sent at %v restores the limit that one sent at %v ended", seed, u.Sent, endedAt)
 			}
 		}
@@ -122,12 +122,12 @@
 // corrupts the counts.
 func TestExtremeLimits(t *testing.T) {
 	for _, perSecond := range []float64{math.SmallestNonzeroFloat64, 1e-9, 0.3, 1e300, math.MaxFloat64} {
-		for _, g := range []eligibility.Group{{Entries: 1, Live: 1}, {Self: 7, Entries: 620, Live: 620}, {Self: 7, Entries: 620, Live: 1}} {
+		for _, g := range []eligibility.Group{{Entries: 1, Visible: 1}, {Self: 7, Entries: 620, Visible: 620}, {Self: 7, Entries: 620, Visible: 1}} {
 			var l eligibility.Limit
 			l.Apply(update(perSecond, 0, 0))
 			allowed := false
 			for at := 0; at < 20_000_000 && !allowed; at += 100 {
-				chance := l.Chance(after(at), 100, g)
+				chance := l.CandidateProbability(after(at), 100, g)
 				if !(chance >= 0 && chance <= 1) {
 					t.Fatalf("%g requests/s: the chance is %g", perSecond, chance)
 				}
@@ -145,8 +145,8 @@
 
 func TestZeroLimitAllowsEverything(t *testing.T) {
 	var l eligibility.Limit
-	l.Sent(after(0), true, eligibility.Group{})
-	if !l.Allows(after(0), eligibility.Group{}) || l.Chance(after(0), 100, eligibility.Group{}) != 1 || l.Wait(after(0), eligibility.Group{}) != 0 {
+	l.RecordSend(after(0), true, eligibility.Group{})
+	if !l.Allows(after(0), eligibility.Group{}) || l.CandidateProbability(after(0), 100, eligibility.Group{}) != 1 || l.Wait(after(0), eligibility.Group{}) != 0 {
 		t.Error("requests to an endpoint without a limit are limited")
 	}
 }
--- a/coord/eligibility/need_test.go
+++ b/coord/eligibility/need_test.go
@@ -55,7 +55,7 @@
 	random := rand.New(rand.NewPCG(seed, 4))
 	entries := make([]*simulatedEntry, s.entries)
 	for n := range entries {
-		entries[n] = &simulatedEntry{group: eligibility.Group{Self: random.Uint64(), Entries: s.entries, Live: s.entries}}
+		entries[n] = &simulatedEntry{group: eligibility.Group{Self: random.Uint64(), Entries: s.entries, Visible: s.entries}}
 	}
 	var events eventQueue[func()]
 	var result limitResult
@@ -72,12 +72,12 @@
 			event()
 		})
 	}
-	apply := func(e *simulatedEntry, u eligibility.LimitUpdate) eligibility.Change {
+	apply := func(e *simulatedEntry, u eligibility.LimitUpdate) eligibility.LimitChange {
 		if s.ignoresOrder {
 			u.Sent = now
 		}
 		c := e.limit.Apply(u)
-		if c == eligibility.Began && at() > s.recoveredBy() {
+		if c == eligibility.LimitSet && at() > s.recoveredBy() {
 			result.reapplied++
 		}
 		return c
@@ -92,10 +92,10 @@
 	}
 	send := func(e *simulatedEntry) {
 		sent := now
-		e.limit.Sent(now, true, e.group)
+		e.limit.RecordSend(now, true, e.group)
 		for _, other := range entries {
 			if other != e && random.Float64() >= s.loss {
-				schedule(other, now.Add(time.Duration(random.Float64()*float64(s.delay))), func() { other.limit.Sent(sent, false, other.group) })
+				schedule(other, now.Add(time.Duration(random.Float64()*float64(s.delay))), func() { other.limit.RecordSend(sent, false, other.group) })
 			}
 		}
 		notified := !e.notifiedAt.IsZero() && now.Sub(e.notifiedAt) >= noticeTime
@@ -136,7 +136,7 @@
 		if now.Before(e.pausedUntil) {
 			continue
 		}
-		if random.Float64() < e.limit.Chance(now, s.demand, e.group) && e.limit.Allows(now, e.group) {
+		if random.Float64() < e.limit.CandidateProbability(now, s.demand, e.group) && e.limit.Allows(now, e.group) {
 			send(e)
 		}
 	}
--- a/coord/eligibility/pace.go
+++ b/coord/eligibility/pace.go
@@ -50,24 +50,24 @@
 type Group struct {
 	Self    uint64 // incarnation of this entry
 	Entries int    // number of entries, lost ones and this one included, 0 if not yet known
-	Live    int    // number of these that are visible, this one included
+	Visible int    // number of these that are visible, this one included
 }
 
 // seesMajority reports whether more than half of all entries are visible.
-func (g Group) seesMajority() bool { return 2*g.Live > g.Entries }
+func (g Group) seesMajority() bool { return 2*g.Visible > g.Entries }
 
-// Pace limits the rate at which all entries together send to one endpoint. The zero value has
+// SharedRate limits the rate at which all entries together send to one endpoint. The zero value has
 // counted nothing.
-type Pace struct {
+type SharedRate struct {
 	tokens    float64
 	updatedAt time.Time // time of the last update of tokens
 	demand    float64   // estimated demand in requests per second, 0 if not yet known
 	lastOwn   time.Time // when this entry last sent a request
 }
 
-// Sent counts a request sent to the endpoint by this entry, if own, or by another one. Reports
+// RecordSend counts a request sent to the endpoint by this entry, if own, or by another one. Reports
 // of other entries may arrive out of order.
-func (p *Pace) Sent(at time.Time, perSecond float64, own bool, g Group) {
+func (p *SharedRate) RecordSend(at time.Time, perSecond float64, own bool, g Group) {
 	rate := g.visibleFraction() * perSecond
 	p.advance(at, rate)
 	p.tokens = max(p.tokens-1, -rate*debtDuration.Seconds()-extraDebtTokens)
@@ -78,7 +78,7 @@
 }
 
 // Allows reports whether the entry may send one more request to the endpoint.
-func (p *Pace) Allows(now time.Time, perSecond float64, g Group) bool {
+func (p *SharedRate) Allows(now time.Time, perSecond float64, g Group) bool {
 	if g.Entries <= 0 {
 		return false
 	}
@@ -89,9 +89,9 @@
 	return p.tokens >= 1
 }
 
-// Chance returns the probability with which the endpoint is a candidate for a request.
+// CandidateProbability returns the probability with which the endpoint is a candidate for a request.
 // arrivalsPerSecond is the rate of the service's requests at all entries.
-func (p *Pace) Chance(now time.Time, perSecond, arrivalsPerSecond float64, g Group) float64 {
+func (p *SharedRate) CandidateProbability(now time.Time, perSecond, arrivalsPerSecond float64, g Group) float64 {
 	if !g.seesMajority() {
 		return 1
 	}
@@ -105,7 +105,7 @@
 
 // Wait estimates how long it takes until there is a token, from the requests that this entry
 // has counted.
-func (p *Pace) Wait(now time.Time, perSecond float64, g Group) time.Duration {
+func (p *SharedRate) Wait(now time.Time, perSecond float64, g Group) time.Duration {
 	rate := g.visibleFraction() * perSecond
 	if rate <= 0 {
 		rate = perSecond
@@ -119,7 +119,7 @@
 	if g.Entries <= 0 {
 		return 0
 	}
-	return min(float64(g.Live)/float64(g.Entries), 1)
+	return min(float64(g.Visible)/float64(g.Entries), 1)
 }
 
 // targetRate returns the target, in requests per second, for all entries together while there is
@@ -133,7 +133,7 @@
 
 // advance fills the bucket up to now, and lowers the demand by the time in which a token was
 // unused.
-func (p *Pace) advance(now time.Time, rate float64) {
+func (p *SharedRate) advance(now time.Time, rate float64) {
 	if p.updatedAt.IsZero() {
 		p.updatedAt = now
 	}
@@ -153,7 +153,7 @@
 }
 
 // inUnusedSlot reports whether the entry is in its time slot and has sent no request in it.
-func (p *Pace) inUnusedSlot(now time.Time, perSecond float64, g Group) bool {
+func (p *SharedRate) inUnusedSlot(now time.Time, perSecond float64, g Group) bool {
 	period := time.Duration(float64(time.Second) * float64(g.Entries) / perSecond)
 	if period <= 0 {
 		return true
--- a/coord/eligibility/pace_test.go
+++ b/coord/eligibility/pace_test.go
@@ -60,7 +60,7 @@
 	live[-1] = 1
 	all := make([]eligibility.Group, s.entries)
 	for n := range all {
-		all[n] = eligibility.Group{Self: random.Uint64(), Entries: s.entries, Live: live[s.partition(n)]}
+		all[n] = eligibility.Group{Self: random.Uint64(), Entries: s.entries, Visible: live[s.partition(n)]}
 	}
 	return all
 }
@@ -68,7 +68,7 @@
 // run runs the simulation and returns the times at which requests were sent.
 func (s paceSimulation) run(seed uint64) []time.Time {
 	random := rand.New(rand.NewPCG(seed, 2))
-	paces := make([]eligibility.Pace, s.entries)
+	paces := make([]eligibility.SharedRate, s.entries)
 	groups := s.groups(random)
 	uninformed := map[int]time.Time{}
 	arrivals := max(s.service, s.demand, s.laterDemand)
@@ -82,12 +82,12 @@
 		}
 		now = now.Add(time.Duration(random.ExpFloat64() / demand * float64(time.Second)))
 		for _, r := range reports.popUntil(now) {
-			paces[r.to].Sent(r.sent, s.rate, false, groups[r.to])
+			paces[r.to].RecordSend(r.sent, s.rate, false, groups[r.to])
 		}
 		if s.restart > 0 && now.Sub(restarted) > s.restart {
 			restarted = now
 			n := random.IntN(s.entries)
-			paces[n] = eligibility.Pace{}
+			paces[n] = eligibility.SharedRate{}
 			uninformed[n] = now.Add(time.Second)
 		}
 		n := random.IntN(s.entries)
@@ -97,11 +97,11 @@
 		}
 		p := &paces[n]
 		checks := s.fault == nil || !s.fault(n)
-		if checks && (random.Float64() >= p.Chance(now, s.rate, arrivals, group) || !p.Allows(now, s.rate, group)) {
+		if checks && (random.Float64() >= p.CandidateProbability(now, s.rate, arrivals, group) || !p.Allows(now, s.rate, group)) {
 			continue
 		}
 		sent = append(sent, now)
-		p.Sent(now, s.rate, true, group)
+		p.RecordSend(now, s.rate, true, group)
 		for to := range paces {
 			if to == n || s.partition(n) < 0 || s.partition(to) != s.partition(n) || random.Float64() < s.loss {
 				continue
--- a/coord/eligibility/regions.go
+++ b/coord/eligibility/regions.go
@@ -8,17 +8,17 @@
 	limits [][]string // a region has to be in each list
 }
 
-// With returns the regions restricted further to a list. An empty list adds no restriction.
-func (r Regions) With(allowed []string) Regions {
+// Intersect returns the regions restricted further to a list. An empty list adds no restriction.
+func (r Regions) Intersect(allowed []string) Regions {
 	if len(allowed) == 0 {
 		return r
 	}
 	return Regions{limits: append(slices.Clip(r.limits), allowed)}
 }
 
-// Allow reports whether a request may be served in a region. An unknown region is allowed only
+// Allows reports whether a request may be served in a region. An unknown region is allowed only
 // if there is no restriction.
-func (r Regions) Allow(region string) bool {
+func (r Regions) Allows(region string) bool {
 	for _, limit := range r.limits {
 		if !slices.Contains(limit, region) {
 			return false
--- a/coord/eligibility/regions_test.go
+++ b/coord/eligibility/regions_test.go
@@ -9,10 +9,10 @@
 
 // A request is restricted to the regions of its class and to those of its team.
 func ExampleRegions() {
-	class := eligibility.Regions{}.With([]string{"north", "south"})
-	both := class.With([]string{"south", "west"})
+	class := eligibility.Regions{}.Intersect([]string{"north", "south"})
+	both := class.Intersect([]string{"south", "west"})
 	for _, region := range []string{"north", "south", "west", ""} {
-		fmt.Println(region, class.Allow(region), both.Allow(region))
+		fmt.Println(region, class.Allows(region), both.Allows(region))
 	}
 	// Output:
 	// north true false
@@ -22,8 +22,8 @@
 }
 
 func TestCheck(t *testing.T) {
-	north := eligibility.Regions{}.With([]string{"north"})
-	nowhere := north.With([]string{"south"})
+	north := eligibility.Regions{}.Intersect([]string{"north"})
+	nowhere := north.Intersect([]string{"south"})
 	for _, c := range []struct {
 		name    string
 		allowed eligibility.Regions
@@ -31,7 +31,7 @@
 		want    eligibility.Reason
 	}{
 		{"no restriction", eligibility.Regions{}, eligibility.Location{}, eligibility.Eligible},
-		{"an empty list adds no restriction", eligibility.Regions{}.With(nil), eligibility.Location{Region: "west"}, eligibility.Eligible},
+		{"an empty list adds no restriction", eligibility.Regions{}.Intersect(nil), eligibility.Location{Region: "west"}, eligibility.Eligible},
 		{"in the region", north, eligibility.Location{Region: "north"}, eligibility.Eligible},
 		{"in another region", north, eligibility.Location{Region: "south"}, eligibility.OutsideRegions},
 		{"in an unknown region", north, eligibility.Location{}, eligibility.OutsideRegions},
@@ -47,9 +47,9 @@
 
 // TestRegionsAreImmutable derives two restrictions from the same value.
 func TestRegionsAreImmutable(t *testing.T) {
-	common := eligibility.Regions{}.With([]string{"a", "b"}).With([]string{"a", "b", "c"})
-	first, second := common.With([]string{"a"}), common.With([]string{"b"})
-	if !first.Allow("a") || first.Allow("b") || second.Allow("a") || !second.Allow("b") {
+	common := eligibility.Regions{}.Intersect([]string{"a", "b"}).Intersect([]string{"a", "b", "c"})
+	first, second := common.Intersect([]string{"a"}), common.Intersect([]string{"b"})
+	if !first.Allows("a") || first.Allows("b") || second.Allows("a") || !second.Allows("b") {
 		t.Error("one list replaced the other")
 	}
 }
--- a/coord/eligibility/warmup.go
+++ b/coord/eligibility/warmup.go
@@ -18,20 +18,20 @@
 	Duration  time.Duration // from the start of an endpoint until it is warm
 }
 
-// Limits reports whether there is a limit.
-func (l WarmupLimit) Limits() bool { return l.PerSecond > 0 }
+// Enabled reports whether there is a limit.
+func (l WarmupLimit) Enabled() bool { return l.PerSecond > 0 }
 
 // Warmup is the warm-up of one endpoint. The zero value is warm.
 type Warmup struct {
 	until time.Time // end of the warm-up
-	pace  Pace
+	pace  SharedRate
 }
 
-// Cold records that the endpoint warms up for the time left from now. It never shortens a
+// Start records that the endpoint warms up for the time left from now. It never shortens a
 // warm-up that ends later.
-func (w *Warmup) Cold(now time.Time, left time.Duration) {
+func (w *Warmup) Start(now time.Time, left time.Duration) {
 	if !w.Warming(now) {
-		w.pace = Pace{tokens: 1} // allows the first request immediately
+		w.pace = SharedRate{tokens: 1} // allows the first request immediately
 	}
 	if until := now.Add(left); until.After(w.until) {
 		w.until = until
@@ -41,13 +41,13 @@
 // Warming reports whether the endpoint warms up.
 func (w *Warmup) Warming(now time.Time) bool { return now.Before(w.until) }
 
-// Left returns the time until the endpoint is warm, 0 if it is warm.
-func (w *Warmup) Left(now time.Time) time.Duration { return max(w.until.Sub(now), 0) }
+// Remaining returns the time until the endpoint is warm, 0 if it is warm.
+func (w *Warmup) Remaining(now time.Time) time.Duration { return max(w.until.Sub(now), 0) }
 
-// Sent counts a request sent to the endpoint by this entry, if own, or by another one.
-func (w *Warmup) Sent(at time.Time, l WarmupLimit, own bool, g Group) {
+// RecordSend counts a request sent to the endpoint by this entry, if own, or by another one.
+func (w *Warmup) RecordSend(at time.Time, l WarmupLimit, own bool, g Group) {
 	if w.limits(at, l) {
-		w.pace.Sent(at, l.PerSecond, own, g)
+		w.pace.RecordSend(at, l.PerSecond, own, g)
 	}
 }
 
@@ -56,13 +56,13 @@
 	return !w.limits(now, l) || w.pace.Allows(now, l.PerSecond, g)
 }
 
-// Chance returns the probability with which the endpoint is a candidate for a request.
+// CandidateProbability returns the probability with which the endpoint is a candidate for a request.
 // arrivalsPerSecond is the rate of the service's requests at all entries.
-func (w *Warmup) Chance(now time.Time, l WarmupLimit, arrivalsPerSecond float64, g Group) float64 {
+func (w *Warmup) CandidateProbability(now time.Time, l WarmupLimit, arrivalsPerSecond float64, g Group) float64 {
 	if !w.limits(now, l) {
 		return 1
 	}
-	return w.pace.Chance(now, l.PerSecond, arrivalsPerSecond, g)
+	return w.pace.CandidateProbability(now, l.PerSecond, arrivalsPerSecond, g)
 }
 
-func (w *Warmup) limits(now time.Time, l WarmupLimit) bool { return l.Limits() && w.Warming(now) }
+func (w *Warmup) limits(now time.Time, l WarmupLimit) bool { return l.Enabled() && w.Warming(now) }
--- a/coord/eligibility/warmup_test.go
+++ b/coord/eligibility/warmup_test.go
@@ -48,18 +48,18 @@
 	groups := make([]eligibility.Group, r.entries)
 	for n := range warmups {
 		warmups[n] = make([]eligibility.Warmup, r.endpoints)
-		groups[n] = eligibility.Group{Self: random.Uint64(), Entries: r.entries, Live: r.entries}
+		groups[n] = eligibility.Group{Self: random.Uint64(), Entries: r.entries, Visible: r.entries}
 		if r.equalShares {
-			groups[n].Live = 1
+			groups[n].Visible = 1
 		}
 		switch share := (float64(n) + 0.5) / float64(r.entries); {
 		case share < r.isolated:
-			groups[n].Live = 1
+			groups[n].Visible = 1
 		case share < r.isolated+r.uninformed:
 			groups[n] = eligibility.Group{Self: groups[n].Self}
 		}
 		for e := range r.endpoints {
-			warmups[n][e].Cold(origin, warmupTime)
+			warmups[n][e].Start(origin, warmupTime)
 		}
 	}
 	isIsolated := func(n int) bool { return (float64(n)+0.5)/float64(r.entries) < r.isolated }
@@ -71,7 +71,7 @@
 		for _, report := range reports.popUntil(now) {
 			for n := range warmups {
 				if n != report.from && !isIsolated(n) {
-					warmups[n][report.endpoint].Sent(report.sent, limit, false, groups[n])
+					warmups[n][report.endpoint].RecordSend(report.sent, limit, false, groups[n])
 				}
 			}
 		}
@@ -82,7 +82,7 @@
 		}
 		chosen := -1
 		for _, e := range random.Perm(r.endpoints) {
-			shown := r.unlimited || random.Float64() < warmups[n][e].Chance(now, limit, r.rate, groups[n])
+			shown := r.unlimited || random.Float64() < warmups[n][e].CandidateProbability(now, limit, r.rate, groups[n])
 			if shown && (r.unlimited || warmups[n][e].Allows(now, limit, groups[n])) {
 				chosen = e
 				break
@@ -92,7 +92,7 @@
 			rejected++
 			continue
 		}
-		warmups[n][chosen].Sent(now, limit, true, groups[n])
+		warmups[n][chosen].RecordSend(now, limit, true, groups[n])
 		sent[chosen] = append(sent[chosen], now)
 		if !isIsolated(n) {
 			reports.add(now.Add(r.delay), sentReport{sent: now, endpoint: chosen, from: n})
@@ -179,14 +179,14 @@
 
 func TestWarmup(t *testing.T) {
 	limit := eligibility.WarmupLimit{PerSecond: 2}
-	alone := eligibility.Group{Self: 1, Entries: 1, Live: 1}
+	alone := eligibility.Group{Self: 1, Entries: 1, Visible: 1}
 	var w eligibility.Warmup
 	if !w.Allows(origin, limit, eligibility.Group{}) {
 		t.Error("the zero value is not warm")
 	}
-	w.Cold(origin, time.Second)
-	w.Cold(origin, 0)
-	if !w.Warming(origin) || w.Left(origin.Add(400*time.Millisecond)) != 600*time.Millisecond {
+	w.Start(origin, time.Second)
+	w.Start(origin, 0)
+	if !w.Warming(origin) || w.Remaining(origin.Add(400*time.Millisecond)) != 600*time.Millisecond {
 		t.Error("a shorter warm-up replaced a longer one")
 	}
 	if w.Allows(origin, limit, eligibility.Group{}) {
@@ -195,11 +195,11 @@
 	if !w.Allows(origin, eligibility.WarmupLimit{}, eligibility.Group{}) {
 		t.Error("no request is allowed without a limit")
 	}
-	w.Sent(origin, limit, true, alone)
+	w.RecordSend(origin, limit, true, alone)
 	if w.Allows(origin.Add(499*time.Millisecond), limit, alone) || !w.Allows(origin.Add(500*time.Millisecond), limit, alone) {
 		t.Error("the second request is not allowed exactly after half a second")
 	}
-	w.Sent(origin.Add(500*time.Millisecond), limit, false, alone)
+	w.RecordSend(origin.Add(500*time.Millisecond), limit, false, alone)
 	if w.Allows(origin.Add(900*time.Millisecond), limit, alone) {
 		t.Error("a third request is allowed within a second")
 	}
--- a/coord/fanout/fanout.go
+++ b/coord/fanout/fanout.go
@@ -52,17 +52,17 @@
 
 // Plan holds the recipients of a member's messages.
 type Plan struct {
-	Up     string   // relay of this member's own messages, empty if it relays them itself
+	Relay  string   // relay of this member's own messages, empty if it relays them itself
 	Local  []string // the other members of its data centre
-	Across []string // one relay of each other data centre
-	Asked  []string // the members that are probed to determine the relays
+	Remote []string // one relay of each other data centre
+	Probed []string // the members that are probed to determine the relays
 }
 
 // Relays reports whether the member relays its own messages.
-func (p Plan) Relays() bool { return p.Up == "" }
+func (p Plan) Relays() bool { return p.Relay == "" }
 
-// For returns the plan of a member among the other live ones.
-func For(self Member, others []Member) Plan {
+// PlanFor returns the plan of a member among the other live ones.
+func PlanFor(self Member, others []Member) Plan {
 	centres := map[string][]Member{self.DataCentre: {self}}
 	plan := Plan{}
 	for _, m := range others {
@@ -73,8 +73,8 @@
 	}
 	relays, skipped := relaysOf(centres[self.DataCentre])
 	if !contains(relays, self) {
-		plan.Up = choose(self, relays).Address
-		plan.Asked = append(addresses(relays), addresses(skipped)...)
+		plan.Relay = choose(self, relays).Address
+		plan.Probed = append(addresses(relays), addresses(skipped)...)
 		return plan.across(self, centres)
 	}
 	return plan.across(self, centres)
@@ -88,12 +88,12 @@
 		}
 		relays, skipped := relaysOf(members)
 		chosen := choose(self, relays).Address
-		p.Across = append(p.Across, chosen)
+		p.Remote = append(p.Remote, chosen)
 		if p.Relays() {
-			p.Asked = append(append(p.Asked, chosen), addresses(skipped)...)
+			p.Probed = append(append(p.Probed, chosen), addresses(skipped)...)
 		}
 	}
-	slices.Sort(p.Across)
+	slices.Sort(p.Remote)
 	return p
 }
 
--- a/coord/fanout/fanout_test.go
+++ b/coord/fanout/fanout_test.go
@@ -31,7 +31,7 @@
 	byAddress := map[string]fanout.Plan{}
 	for n, m := range all {
 		others := slices.Concat(all[:n], all[n+1:])
-		byAddress[m.Address] = fanout.For(m, others)
+		byAddress[m.Address] = fanout.PlanFor(m, others)
 	}
 	return byAddress
 }
@@ -41,14 +41,14 @@
 func broadcast(from string, all []fanout.Member, byAddress map[string]fanout.Plan) (received map[string]int, crossings int) {
 	received = map[string]int{}
 	relay := from
-	if up := byAddress[from].Up; up != "" {
+	if up := byAddress[from].Relay; up != "" {
 		relay = up
 	}
 	received[relay]++
 	for _, a := range byAddress[relay].Local {
 		received[a]++
 	}
-	for _, a := range byAddress[relay].Across {
+	for _, a := range byAddress[relay].Remote {
 		crossings++
 		received[a]++
 		for _, b := range byAddress[a].Local {
@@ -82,29 +82,29 @@
 	all := membersOf(6, 6)
 	self := all[0]
 	others := all[1:]
-	before := fanout.For(self, others)
+	before := fanout.PlanFor(self, others)
 	silent := slices.Clone(others)
 	for n := range silent {
-		silent[n].Silent = silent[n].Address == before.Across[0]
+		silent[n].Silent = silent[n].Address == before.Remote[0]
 	}
-	after := fanout.For(self, silent)
-	if after.Across[0] == before.Across[0] {
-		t.Errorf("the silent relay %s is still a recipient", before.Across[0])
+	after := fanout.PlanFor(self, silent)
+	if after.Remote[0] == before.Remote[0] {
+		t.Errorf("the silent relay %s is still a recipient", before.Remote[0])
 	}
-	if after.Relays() && !slices.Contains(after.Asked, before.Across[0]) {
-		t.Errorf("the silent relay is no longer probed: %v", after.Asked)
+	if after.Relays() && !slices.Contains(after.Probed, before.Remote[0]) {
+		t.Errorf("the silent relay is no longer probed: %v", after.Probed)
 	}
 	for n := range silent {
 		silent[n].Silent = true
 	}
-	if none := fanout.For(self, silent); len(none.Across) != 1 || none.Up != "" {
+	if none := fanout.PlanFor(self, silent); len(none.Remote) != 1 || none.Relay != "" {
 		t.Errorf("plan among silent members: %+v, want it to relay itself, and one relay across", none)
 	}
 }
 
 func TestSingleMember(t *testing.T) {
-	p := fanout.For(member("a", "x"), nil)
-	if !p.Relays() || len(p.Local)+len(p.Across)+len(p.Asked) > 0 {
+	p := fanout.PlanFor(member("a", "x"), nil)
+	if !p.Relays() || len(p.Local)+len(p.Remote)+len(p.Probed) > 0 {
 		t.Errorf("plan of a single member: %+v", p)
 	}
 }
@@ -129,11 +129,11 @@
 	for _, centres := range []int{2, 6, 13} {
 		sizes := slices.Repeat([]int{17}, centres)
 		for address, p := range plans(membersOf(sizes...)) {
-			if len(p.Local) != 16 || len(p.Across) != centres-1 {
-				t.Fatalf("%s of %d data centres sends to %d local and %d remote members", address, centres, len(p.Local), len(p.Across))
+			if len(p.Local) != 16 || len(p.Remote) != centres-1 {
+				t.Fatalf("%s of %d data centres sends to %d local and %d remote members", address, centres, len(p.Local), len(p.Remote))
 			}
-			if !p.Relays() && len(p.Asked) > 2 {
-				t.Fatalf("%s probes %d members", address, len(p.Asked))
+			if !p.Relays() && len(p.Probed) > 2 {
+				t.Fatalf("%s probes %d members", address, len(p.Probed))
 			}
 		}
 	}
--- a/coord/limit/example_test.go
+++ b/coord/limit/example_test.go
@@ -9,13 +9,13 @@
 
 // A token takes 10 ms, plus 1 ms for each concurrent request. A longer target allows more
 // requests.
-func ExampleLearned() {
-	var l limit.Learned
+func ExampleEstimator() {
+	var l limit.Estimator
 	for n := range 200 {
 		running := 1 + n%16
 		l.Observe(running, time.Duration(10+running)*time.Millisecond)
 	}
-	fmt.Println(l.For(15*time.Millisecond) < l.For(25*time.Millisecond))
+	fmt.Println(l.Limit(15*time.Millisecond) < l.Limit(25*time.Millisecond))
 	// Output: true
 }
 
--- a/coord/limit/learned.go
+++ b/coord/limit/learned.go
@@ -38,11 +38,11 @@
 	peakDecay = 0.999
 )
 
-// Learned estimates how many concurrent requests an endpoint may run so that 95 in 100 samples
+// Estimator estimates how many concurrent requests an endpoint may run so that 95 in 100 samples
 // stay within a target. A sample is the time between two tokens of a model, or of a complete
 // response of a plain service. It uses a linear regression of the samples on the number of running
 // requests, with exponentially decaying weights. The zero value allows FirstLimit.
-type Learned struct {
+type Estimator struct {
 	count       float64 // number of samples, up to decaySamples
 	meanRunning float64
 	meanSample  float64 // in seconds
@@ -53,7 +53,7 @@
 }
 
 // Observe records a sample: the time that one token or response took while so many requests ran.
-func (l *Learned) Observe(running int, sample time.Duration) {
+func (l *Estimator) Observe(running int, sample time.Duration) {
 	l.count = min(l.count+1, decaySamples)
 	weight := 1 / l.count
 	deltaRunning := float64(running) - l.meanRunning
@@ -66,8 +66,8 @@
 	l.peak = max(float64(running), l.peak*peakDecay)
 }
 
-// For returns the limit for a target. A target of 0 does not bound the latency.
-func (l *Learned) For(target time.Duration) int {
+// Limit returns the limit for a target. A target of 0 does not bound the latency.
+func (l *Estimator) Limit(target time.Duration) int {
 	if l.count < minSamples {
 		return FirstLimit
 	}
@@ -83,7 +83,7 @@
 
 // slope returns the seconds that one more running request adds to a sample. It is bounded: a sample
 // can't grow faster than in proportion to the number of requests, and the minimum slope is positive.
-func (l *Learned) slope() float64 {
+func (l *Estimator) slope() float64 {
 	maxSlope := l.meanSample / max(1, l.meanRunning)
 	if l.varRunning < minVariance {
 		return maxSlope / 2
--- a/coord/limit/limit_test.go
+++ b/coord/limit/limit_test.go
@@ -14,11 +14,11 @@
 type engine func(running int) time.Duration
 
 // settle runs an engine at its limit until the limit is stable, and returns that limit.
-func settle(l *limit.Learned, e engine, target time.Duration, noise float64) int {
+func settle(l *limit.Estimator, e engine, target time.Duration, noise float64) int {
 	random := rand.New(rand.NewPCG(1, 1))
 	running := 1
 	for range 3000 {
-		most := l.For(target)
+		most := l.Limit(target)
 		running = max(1, min(most, running+1))
 		took := float64(e(running)) * (1 + noise*random.NormFloat64())
 		l.Observe(running, time.Duration(took))
@@ -44,7 +44,7 @@
 
 	DescribeTable("converges below the target and near it",
 		func(e engine, noise float64, least int) {
-			var l limit.Learned
+			var l limit.Estimator
 			n := settle(&l, e, target, noise)
 			Expect(e(n)).To(BeNumerically("<=", target))
 			Expect(n).To(BeNumerically(">=", least))
@@ -56,7 +56,7 @@
 	)
 
 	It("follows an engine that slows down and recovers", func() {
-		var l limit.Learned
+		var l limit.Estimator
 		fast := linear(10*time.Millisecond, 16)
 		slow := linear(25*time.Millisecond, 16)
 		before := settle(&l, fast, target, 0.02)
@@ -67,9 +67,9 @@
 	})
 
 	It("allows more requests for a longer target", func() {
-		var l limit.Learned
+		var l limit.Estimator
 		settle(&l, linear(10*time.Millisecond, 16), target, 0.02)
-		Expect(l.For(60 * time.Millisecond)).To(BeNumerically(">", l.For(target)))
+		Expect(l.Limit(60 * time.Millisecond)).To(BeNumerically(">", l.Limit(target)))
 	})
 })
 
--- a/coord/memory/cache.go
+++ b/coord/memory/cache.go
@@ -101,8 +101,8 @@
 	return added
 }
 
-// Settled returns the parts that are not pending, most recently used first.
-func (c *Cache) Settled() iter.Seq[Part] {
+// Cached returns the parts that are not pending, most recently used first.
+func (c *Cache) Cached() iter.Seq[Part] {
 	return func(yield func(Part) bool) {
 		for e := c.order.Front(); e != nil; e = e.Next() {
 			if x := e.Value.(*cachedPart); !x.pending && !yield(x.Part) {
@@ -115,7 +115,7 @@
 // Add adds a part that is not pending as the most recently used one, and evicts parts beyond the
 // memory, in tokens.
 func (c *Cache) Add(p Part, memory int) {
-	c.Settle(c.Use(Prompt{Parts: []Part{p}}, memory))
+	c.MarkCached(c.Use(Prompt{Parts: []Part{p}}, memory))
 }
 
 func (c *Cache) remove(e *list.Element) {
@@ -125,8 +125,8 @@
 	c.tokens -= part.Tokens
 }
 
-// Settle marks parts as cached: the prompt that added them has had an event.
-func (c *Cache) Settle(added []uint64) {
+// MarkCached marks parts as cached: the prompt that added them has had an event.
+func (c *Cache) MarkCached(added []uint64) {
 	for _, id := range added {
 		if e, ok := c.byID[id]; ok {
 			e.Value.(*cachedPart).pending = false
@@ -134,8 +134,8 @@
 	}
 }
 
-// Forget removes pending parts: the prompt that added them ended without an event.
-func (c *Cache) Forget(added []uint64) {
+// Discard removes pending parts: the prompt that added them ended without an event.
+func (c *Cache) Discard(added []uint64) {
 	for _, id := range added {
 		if e, ok := c.byID[id]; ok && e.Value.(*cachedPart).pending {
 			c.remove(e)
@@ -143,9 +143,9 @@
 	}
 }
 
-// Room returns the size of a cache, in tokens, beside the tokens of the open attempts. A
+// CacheSize returns the size of a cache, in tokens, beside the tokens of the open attempts. A
 // memory of 0 means unknown.
-func Room(memory, open int) int {
+func CacheSize(memory, open int) int {
 	if memory <= 0 {
 		return defaultCacheTokens
 	}
--- a/coord/memory/example_test.go
+++ b/coord/memory/example_test.go
@@ -7,8 +7,8 @@
 	"foxcross.dev/coord/memory"
 )
 
-func ExamplePrompt_Out() {
-	fmt.Println(memory.Prompt{MaxOut: 300}.Out(), memory.Prompt{MaxOut: 300, LikelyOut: 40}.Out())
+func ExamplePrompt_ExpectedOutput() {
+	fmt.Println(memory.Prompt{MaxOutputTokens: 300}.ExpectedOutput(), memory.Prompt{MaxOutputTokens: 300, LikelyOutputTokens: 40}.ExpectedOutput())
 	// Output: 300 40
 }
 
@@ -19,8 +19,8 @@
 	var busy, free, own memory.Link
 	memory.Occupy(now, &busy, &memory.Link{}, 25)
 	sources := []memory.Source{
-		{ID: "i-1", Kept: 6000, Link: &busy, Trust: &memory.Trust{}},
-		{ID: "i-2", Kept: 6000, Link: &free, Trust: &memory.Trust{}},
+		{ID: "i-1", CachedTokens: 6000, Link: &busy, MissRate: &memory.MissRate{}},
+		{ID: "i-2", CachedTokens: 6000, Link: &free, MissRate: &memory.MissRate{}},
 	}
 	f := memory.Best(now, rate, sources, memory.Target{ID: "i-3", Link: &own, ComputeMS: 0.016})
 	fmt.Printf("%d tokens from %s in %.0f ms\n", f.Tokens, f.Source, f.MS())
--- a/coord/memory/memory_test.go
+++ b/coord/memory/memory_test.go
@@ -13,11 +13,11 @@
 var rate = memory.Rate{TokenBytes: 100_000, LinkMbps: 160_000}
 
 func target(cachedTokens int) memory.Target {
-	return memory.Target{ID: "to", DataCentre: "a", Kept: cachedTokens, Link: &memory.Link{}, ComputeMS: 0.02}
+	return memory.Target{ID: "to", DataCentre: "a", CachedTokens: cachedTokens, Link: &memory.Link{}, ComputeMS: 0.02}
 }
 
 func source(cachedTokens int) memory.Source {
-	return memory.Source{ID: "from", DataCentre: "a", Kept: cachedTokens, Link: &memory.Link{}, Trust: &memory.Trust{}}
+	return memory.Source{ID: "from", DataCentre: "a", CachedTokens: cachedTokens, Link: &memory.Link{}, MissRate: &memory.MissRate{}}
 }
 
 func TestBest(t *testing.T) {
@@ -27,7 +27,7 @@
 	self.ID = "to"
 	unreliable := source(5000)
 	for range 20 {
-		unreliable.Trust.Learn(100, 100)
+		unreliable.MissRate.Observe(100, 100)
 	}
 	busy := source(5000)
 	memory.Occupy(origin, busy.Link, &memory.Link{}, 200)
@@ -79,19 +79,19 @@
 }
 
 func TestTrustMissRate(t *testing.T) {
-	var trust memory.Trust
-	if trust.Learn(20, 20) {
+	var trust memory.MissRate
+	if trust.Observe(20, 20) {
 		t.Error("a fetch of few tokens counts as a miss")
 	}
-	if trust.Learn(40, 100) || trust.Missing() != 0 {
+	if trust.Observe(40, 100) || trust.Probability() != 0 {
 		t.Error("a slightly late first event counts as a miss")
 	}
-	if !trust.Learn(60, 100) || trust.Missing() == 0 {
+	if !trust.Observe(60, 100) || trust.Probability() == 0 {
 		t.Error("a first event as late as by computing does not count as a miss")
 	}
-	missing := trust.Missing()
-	trust.Learn(0, 100)
-	if trust.Missing() >= missing {
+	missing := trust.Probability()
+	trust.Observe(0, 100)
+	if trust.Probability() >= missing {
 		t.Error("a fetch in time does not lower the miss rate")
 	}
 }
@@ -106,12 +106,12 @@
 	if again := c.Use(p, 1000); len(again) != 0 {
 		t.Errorf("a second prompt adds %v, want none", again)
 	}
-	c.Settle(added)
+	c.MarkCached(added)
 	if c.Fetchable(p) != 30 {
 		t.Errorf("once settled, %d tokens are fetchable, want 30", c.Fetchable(p))
 	}
 	other := memory.Prompt{Tokens: 15, Parts: []memory.Part{{ID: 1, Tokens: 10}, {ID: 3, Tokens: 5}}}
-	c.Forget(c.Use(other, 1000))
+	c.Discard(c.Use(other, 1000))
 	if c.Has(3) || !c.Has(1) || c.Tokens() != 30 {
 		t.Errorf("after a failed prompt, its new part is cached: %v, its old part: %v", c.Has(3), c.Has(1))
 	}
--- a/coord/memory/prompt.go
+++ b/coord/memory/prompt.go
@@ -10,18 +10,18 @@
 // Prompt describes the prompt of a request and the length of its answer, in tokens. The last part
 // belongs to this request only; others may be shared.
 type Prompt struct {
-	Tokens    int    `cbor:"1,keyasint,omitempty"`
-	MaxOut    int    `cbor:"2,keyasint,omitempty"`
-	LikelyOut int    `cbor:"3,keyasint,omitempty"` // the caller's estimate, 0 for none
-	Parts     []Part `cbor:"4,keyasint,omitempty"` // in order
+	Tokens             int    `cbor:"1,keyasint,omitempty"`
+	MaxOutputTokens    int    `cbor:"2,keyasint,omitempty"`
+	LikelyOutputTokens int    `cbor:"3,keyasint,omitempty"` // the caller's estimate, 0 for none
+	Parts              []Part `cbor:"4,keyasint,omitempty"` // in order
 }
 
-// Out returns the expected length of the answer, in tokens.
-func (p Prompt) Out() int {
-	if p.LikelyOut > 0 {
-		return p.LikelyOut
+// ExpectedOutput returns the expected length of the answer, in tokens.
+func (p Prompt) ExpectedOutput() int {
+	if p.LikelyOutputTokens > 0 {
+		return p.LikelyOutputTokens
 	}
-	return p.MaxOut
+	return p.MaxOutputTokens
 }
 
 // Shared returns the parts that other requests may share.
--- a/coord/memory/trust.go
+++ b/coord/memory/trust.go
@@ -11,18 +11,18 @@
 	missFraction = 0.5
 )
 
-// Trust is the miss rate of fetches from an engine: how often the engine had evicted the tokens
+// MissRate is the miss rate of fetches from an engine: how often the engine had evicted the tokens
 // that it was estimated to cache. The zero value has no misses.
-type Trust struct {
+type MissRate struct {
 	missRate float64 // exponentially weighted moving average
 }
 
-// Missing returns the probability that the next fetch misses.
-func (t *Trust) Missing() float64 { return t.missRate }
+// Probability returns the probability that the next fetch misses.
+func (t *MissRate) Probability() float64 { return t.missRate }
 
-// Learn adds the result of a fetch and reports whether the fetch missed. lateMS is the delay of the
+// Observe adds the result of a fetch and reports whether the fetch missed. lateMS is the delay of the
 // first event over the expected time, computeMS the time to compute the fetched tokens.
-func (t *Trust) Learn(lateMS, computeMS float64) bool {
+func (t *MissRate) Observe(lateMS, computeMS float64) bool {
 	if computeMS < minComputeMS {
 		return false
 	}
@@ -36,4 +36,4 @@
 }
 
 // Restore adopts the miss rate of another table if it is higher.
-func (t *Trust) Restore(missRate float64) { t.missRate = max(t.missRate, min(missRate, 1)) }
+func (t *MissRate) Restore(missRate float64) { t.missRate = max(t.missRate, min(missRate, 1)) }
--- a/coord/message/message.go
+++ b/coord/message/message.go
@@ -78,15 +78,15 @@
 // Start sends the body to the agent that runs the attempt. It opens a stream of its own, on which
 // the agent sends the chunks and the end.
 type Start struct {
-	Request    RequestID `cbor:"1,keyasint"`
-	Attempt    Attempt   `cbor:"2,keyasint"`
-	Method     string    `cbor:"3,keyasint,omitempty"` // plain services
-	Path       string    `cbor:"4,keyasint,omitempty"` // plain services, with query
-	Header     []Field   `cbor:"5,keyasint,omitempty"` // plain services
-	Body       []byte    `cbor:"6,keyasint"`
-	SentText   string    `cbor:"7,keyasint,omitempty"` // response text already sent to the caller
-	SentTokens int       `cbor:"8,keyasint,omitempty"` // tokens of SentText
-	Known      int       `cbor:"9,keyasint,omitempty"` // crashes that the entry counts against the content
+	Request      RequestID `cbor:"1,keyasint"`
+	Attempt      Attempt   `cbor:"2,keyasint"`
+	Method       string    `cbor:"3,keyasint,omitempty"` // plain services
+	Path         string    `cbor:"4,keyasint,omitempty"` // plain services, with query
+	Header       []Field   `cbor:"5,keyasint,omitempty"` // plain services
+	Body         []byte    `cbor:"6,keyasint"`
+	SentText     string    `cbor:"7,keyasint,omitempty"` // response text already sent to the caller
+	SentTokens   int       `cbor:"8,keyasint,omitempty"` // tokens of SentText
+	KnownCrashes int       `cbor:"9,keyasint,omitempty"` // crashes that the entry counts against the content
 }
 
 // Content returns the key of the content that a start requests for the team in its terms. The same
@@ -120,14 +120,14 @@
 
 // End ends an attempt. A response without an End with code OK is incomplete.
 type End struct {
-	Request      RequestID   `cbor:"1,keyasint"`
-	Attempt      Attempt     `cbor:"2,keyasint"`
-	Code         result.Code `cbor:"3,keyasint"`
-	Run          result.Run  `cbor:"4,keyasint"`
-	FinishReason string      `cbor:"5,keyasint,omitempty"` // as returned by the engine
-	Reason       string      `cbor:"6,keyasint,omitempty"`
-	PromptTokens int         `cbor:"7,keyasint,omitempty"` // tokens of the prompt, as counted by the engine
-	AnswerTokens int         `cbor:"8,keyasint,omitempty"` // tokens of the response generated in this attempt
+	Request      RequestID        `cbor:"1,keyasint"`
+	Attempt      Attempt          `cbor:"2,keyasint"`
+	Code         result.Code      `cbor:"3,keyasint"`
+	Run          result.Execution `cbor:"4,keyasint"`
+	FinishReason string           `cbor:"5,keyasint,omitempty"` // as returned by the engine
+	Reason       string           `cbor:"6,keyasint,omitempty"`
+	PromptTokens int              `cbor:"7,keyasint,omitempty"` // tokens of the prompt, as counted by the engine
+	AnswerTokens int              `cbor:"8,keyasint,omitempty"` // tokens of the response generated in this attempt
 	// Crash is set if the endpoint crashed during the attempt. It is part of the end, so that the
 	// entry has it before it decides on a retry.
 	Crash *quarantine.CrashReport `cbor:"9,keyasint,omitempty"`
--- a/coord/placement/admit.go
+++ b/coord/placement/admit.go
@@ -44,12 +44,12 @@
 // before a retry: the expected time until the prompts that wait there have been computed,
 // within bounds. left is the time to the request's deadline.
 func (c Choice) Admit(r Request, left time.Duration) (retryAfter time.Duration, ok bool) {
-	if !c.Long || r.FirstToken <= 0 {
+	if !c.Long || r.FirstEventTarget <= 0 {
 		return 0, true
 	}
 	wait := c.correctedTime(c.WaitMS)
 	late := wait > targetMultiple(immediateStartTargets, r) && c.correctedTime(c.FirstMS) > targetMultiple(c.firstEventLimit(), r)
-	interferes := c.BusyShare >= busyServiceShare && c.Terms.Harm > maxBusyInterference
+	interferes := c.BusyShare >= busyServiceShare && c.Terms.Interference > maxBusyInterference
 	if late || interferes {
 		return min(max(wait, minRetryAfter), left/retryAfterDivisor), false
 	}
@@ -59,7 +59,7 @@
 // firstEventLimit returns the latest expected first event of a prompt that waits, in
 // first-event targets.
 func (c Choice) firstEventLimit() float64 {
-	if c.HarmsStreams {
+	if c.PrefillInterferes {
 		return maxInterferenceFirstEventTargets
 	}
 	return maxFirstEventTargets
@@ -72,5 +72,5 @@
 
 // targetMultiple returns a multiple of the request's first-event target.
 func targetMultiple(n float64, r Request) time.Duration {
-	return time.Duration(n * float64(r.FirstToken))
+	return time.Duration(n * float64(r.FirstEventTarget))
 }
--- a/coord/placement/admit_test.go
+++ b/coord/placement/admit_test.go
@@ -10,22 +10,22 @@
 // TestAdmit checks which prompts with a target of 2 s are rejected, and the delay before a
 // retry.
 func TestAdmit(t *testing.T) {
-	request := placement.Request{FirstToken: 2 * time.Second}
+	request := placement.Request{FirstEventTarget: 2 * time.Second}
 	for _, c := range []struct {
 		name   string
 		choice placement.Choice
 		left   time.Duration
 		retry  time.Duration // zero if admitted
 	}{
-		{"short", placement.Choice{WaitMS: 9000, FirstMS: 9000, HarmsStreams: true}, time.Minute, 0},
-		{"starts at once, whatever its length", placement.Choice{Long: true, WaitMS: 300, FirstMS: 9000, HarmsStreams: true}, time.Minute, 0},
+		{"short", placement.Choice{WaitMS: 9000, FirstMS: 9000, PrefillInterferes: true}, time.Minute, 0},
+		{"starts at once, whatever its length", placement.Choice{Long: true, WaitMS: 300, FirstMS: 9000, PrefillInterferes: true}, time.Minute, 0},
 		{"in time", placement.Choice{Long: true, WaitMS: 1500, FirstMS: 2000}, time.Minute, 0},
 		{"late", placement.Choice{Long: true, WaitMS: 1500, FirstMS: 2001}, time.Minute, 1500 * time.Millisecond},
 		{"late with the recent overrun", placement.Choice{Long: true, WaitMS: 800, FirstMS: 1100, Overrun: 2}, time.Minute, 1600 * time.Millisecond},
-		{"soon, with prefill interference", placement.Choice{Long: true, WaitMS: 400, FirstMS: 700, HarmsStreams: true}, time.Minute, 0},
-		{"later, with prefill interference", placement.Choice{Long: true, WaitMS: 400, FirstMS: 701, HarmsStreams: true}, time.Minute, 700 * time.Millisecond},
-		{"harms more than one request at a busy service", placement.Choice{Long: true, Terms: placement.Terms{Harm: 1.1}, BusyShare: 0.5}, time.Minute, 700 * time.Millisecond},
-		{"harms more than one request with free slots", placement.Choice{Long: true, Terms: placement.Terms{Harm: 1.1}, BusyShare: 0.4}, time.Minute, 0},
+		{"soon, with prefill interference", placement.Choice{Long: true, WaitMS: 400, FirstMS: 700, PrefillInterferes: true}, time.Minute, 0},
+		{"later, with prefill interference", placement.Choice{Long: true, WaitMS: 400, FirstMS: 701, PrefillInterferes: true}, time.Minute, 700 * time.Millisecond},
+		{"harms more than one request at a busy service", placement.Choice{Long: true, Terms: placement.Terms{Interference: 1.1}, BusyShare: 0.5}, time.Minute, 700 * time.Millisecond},
+		{"harms more than one request with free slots", placement.Choice{Long: true, Terms: placement.Terms{Interference: 1.1}, BusyShare: 0.4}, time.Minute, 0},
 		{"little time left", placement.Choice{Long: true, WaitMS: 1500, FirstMS: 2001}, 2 * time.Second, 500 * time.Millisecond},
 	} {
 		retry, ok := c.choice.Admit(request, c.left)
--- a/coord/placement/attempts.go
+++ b/coord/placement/attempts.go
@@ -49,9 +49,9 @@
 	}
 	e.attempts[id] = a
 	service.arrivalRate.add(now)
-	e.warmup.Sent(now, service.Warmup, a.own, t.Group)
-	e.limit.Sent(now, a.own, t.Group)
-	e.openTokens += r.Prompt.Tokens + r.Prompt.Out()
+	e.warmup.RecordSend(now, service.Warmup, a.own, t.Group)
+	e.limit.RecordSend(now, a.own, t.Group)
+	e.openTokens += r.Prompt.Tokens + r.Prompt.ExpectedOutput()
 	if e.Engine {
 		t.recordPrompt(now, service, e, a, prefillMS)
 	}
@@ -63,7 +63,7 @@
 	if !f.Any() || source == nil {
 		return 0
 	}
-	memory.Occupy(now, &source.link, &e.link, f.MoveMS)
+	memory.Occupy(now, &source.link, &e.link, f.TransferMS)
 	return memory.WaitMS(now, &source.link, &e.link)
 }
 
@@ -72,7 +72,7 @@
 	e.backlog.prefillMS[clampPriority(a.request.Priority)] += prefillMS
 	e.lastSent = now
 	e.recordPrefill(now, prefillMS)
-	a.addedParts = e.cache.Use(a.request.Prompt, memory.Room(s.MemoryTokens, e.openTokens))
+	a.addedParts = e.cache.Use(a.request.Prompt, memory.CacheSize(s.MemoryTokens, e.openTokens))
 	t.recordUse(now, a.request.Prompt, e)
 	s.pool.add(now, prefillMS, s.isLong(prefillMS))
 }
@@ -91,12 +91,12 @@
 	a.lastAt = now
 	a.backlogMS = e.backlogMS(now)
 	if a.own {
-		e.backoff.Responded(a.sentAt, e.Slots)
+		e.backoff.RecordResponse(a.sentAt, e.Slots)
 	}
 	if !e.Engine {
 		return
 	}
-	e.cache.Settle(a.addedParts)
+	e.cache.MarkCached(a.addedParts)
 	observedMS := milliseconds(now.Sub(a.sentAt))
 	t.service(e.Service).overruns.observe(a.request.Priority, a.expectedMS, observedMS)
 	if a.own {
@@ -130,7 +130,7 @@
 		return
 	}
 	_, perTokenMS := t.service(e.Service).prefill.coefficients()
-	source.trust.Learn(observedMS-a.expectedMS, float64(a.fetch.Tokens)*perTokenMS*e.slowdown)
+	source.trust.Observe(observedMS-a.expectedMS, float64(a.fetch.Tokens)*perTokenMS*e.slowdown)
 }
 
 // NextEvent records a later event of a stream of this entry. The interval since the previous
@@ -177,12 +177,12 @@
 	a := e.attempts[id]
 	delete(t.byAttempt, id)
 	delete(e.attempts, id)
-	e.openTokens -= a.request.Prompt.Tokens + a.request.Prompt.Out()
+	e.openTokens -= a.request.Prompt.Tokens + a.request.Prompt.ExpectedOutput()
 	e.record(now, o)
 	if !e.Engine || !a.waiting() {
 		return nil
 	}
-	e.cache.Forget(a.addedParts)
+	e.cache.Discard(a.addedParts)
 	return e
 }
 
--- a/coord/placement/backoff_play_test.go
+++ b/coord/placement/backoff_play_test.go
@@ -119,7 +119,7 @@
 	if now.Before(p.frozenUntil) {
 		return
 	}
-	r := placement.Request{Service: "desk", FirstToken: time.Second, TimeLeft: 5 * time.Second}
+	r := placement.Request{Service: "desk", FirstEventTarget: time.Second, TimeLeft: 5 * time.Second}
 	c, ok := p.table.Choose(now, r, func(string) bool { return false }, p.random)
 	endpoint := c.Endpoint.ID
 	ignoresBackoff := p.fault == requestsIgnoreBackoff && p.random.IntN(5) == 0
@@ -188,7 +188,7 @@
 			if e.ID == endpoint {
 				born = int64(p.lastNumber) // a new incarnation has no backoff
 			}
-			kept = append(kept, placement.Endpoint{ID: e.ID, Service: "desk", Slots: slotsPerEndpoint, Born: born})
+			kept = append(kept, placement.Endpoint{ID: e.ID, Service: "desk", Slots: slotsPerEndpoint, StartedMS: born})
 		}
 		table.SetEndpoints(now, kept)
 		for _, e := range kept {
--- a/coord/placement/bench_test.go
+++ b/coord/placement/bench_test.go
@@ -45,16 +45,16 @@
 	now := time.Unix(1_000_000, 0)
 	var t placement.Table
 	t.Self = 1
-	t.ReuseLife = 10 * time.Second
+	t.ReuseWindow = 10 * time.Second
 	t.SetServices([]placement.Service{{
-		Name: "pool", MemoryTokens: 500_000, EventTokens: 6, BetweenTokens: 150 * time.Millisecond, MoveRate: rate,
+		Name: "pool", MemoryTokens: 500_000, EventTokens: 6, InterEventTarget: 150 * time.Millisecond, TransferRate: rate,
 	}})
 	list := make([]placement.Endpoint, endpoints)
 	for n := range list {
 		list[n] = placement.Endpoint{ID: fmt.Sprint("i-", n), Service: "pool", Slots: 48, Engine: true}
 	}
 	t.SetEndpoints(now, list)
-	t.Group = eligibility.Group{Self: 1, Entries: 620, Live: 620}
+	t.Group = eligibility.Group{Self: 1, Entries: 620, Visible: 620}
 	for _, e := range list[:limited] {
 		t.ApplyLimit(now, e.ID, eligibility.LimitUpdate{PerSecond: 2, Sent: now, Received: now})
 	}
@@ -65,8 +65,8 @@
 			tokens = 6000
 		}
 		return placement.Request{
-			Service: "pool", FirstToken: 250 * time.Millisecond, BetweenTokens: 150 * time.Millisecond, Priority: n % 3,
-			Prompt: memory.Prompt{Tokens: tokens, MaxOut: 300, Parts: []memory.Part{{ID: uint64(n % 50), Tokens: 200}, {ID: uint64(1000 + n), Tokens: tokens - 200}}},
+			Service: "pool", FirstEventTarget: 250 * time.Millisecond, InterEventTarget: 150 * time.Millisecond, Priority: n % 3,
+			Prompt: memory.Prompt{Tokens: tokens, MaxOutputTokens: 300, Parts: []memory.Part{{ID: uint64(n % 50), Tokens: 200}, {ID: uint64(1000 + n), Tokens: tokens - 200}}},
 		}
 	}
 	place := func(n int) {
--- a/coord/placement/burst_test.go
+++ b/coord/placement/burst_test.go
@@ -71,8 +71,8 @@
 	b.start = origin
 	b.random = rand.New(rand.NewPCG(b.seed, 4))
 	for n := range b.tables {
-		b.tables[n] = placement.Table{Self: uint64(n + 1), ReuseLife: 10 * time.Second}
-		b.tables[n].SetServices([]placement.Service{{Name: "pool", MemoryTokens: 540_000, EventTokens: eventTokens, BetweenTokens: 200 * time.Millisecond}})
+		b.tables[n] = placement.Table{Self: uint64(n + 1), ReuseWindow: 10 * time.Second}
+		b.tables[n].SetServices([]placement.Service{{Name: "pool", MemoryTokens: 540_000, EventTokens: eventTokens, InterEventTarget: 200 * time.Millisecond}})
 		b.tables[n].SetEndpoints(origin, engines(burstEngines))
 	}
 	for at := time.Duration(0); at < burstDuration; at += time.Second / time.Duration(urgent) {
@@ -95,7 +95,7 @@
 // submit places a request. A rejected caller retries once, after the delay it was given.
 func (b *burstSimulation) submit(now, requestedAt time.Time, r placement.Request, outputTokens int) {
 	if r.Priority == 0 {
-		r.BetweenTokens = 200 * time.Millisecond
+		r.InterEventTarget = 200 * time.Millisecond
 	}
 	entry := b.random.IntN(burstEntries)
 	c, found := b.tables[entry].Choose(now, r, nothingExcluded, b.random)
@@ -175,7 +175,7 @@
 func (b *burstSimulation) generateToken(now time.Time, s *simulatedStream) {
 	s.generated++
 	if s.generated%eventTokens == 0 {
-		s.missed = s.missed || now.Sub(s.lastAt) > s.request.BetweenTokens
+		s.missed = s.missed || now.Sub(s.lastAt) > s.request.InterEventTarget
 		s.lastAt = now
 		b.tables[s.id.Owner-1].NextEvent(now, s.id) // other entries don't receive it
 	}
@@ -189,7 +189,7 @@
 // countServed counts the streams that were served, and those served in time.
 func (b *burstSimulation) countServed() (urgentInTime, long, longInTime int) {
 	for _, s := range b.completed {
-		inTime := !s.missed && s.firstMS <= float64(s.request.FirstToken.Milliseconds())
+		inTime := !s.missed && s.firstMS <= float64(s.request.FirstEventTarget.Milliseconds())
 		isLong := s.request.Priority > 0
 		switch {
 		case isLong && inTime:
--- a/coord/placement/choose.go
+++ b/coord/placement/choose.go
@@ -23,20 +23,20 @@
 
 // Choice is the endpoint chosen for a request, with the estimates behind it.
 type Choice struct {
-	Endpoint      Endpoint
-	Cost          float64 // sum of Terms
-	Terms         Terms
-	WaitMS        float64 // expected time until the prefill of the prompt starts
-	FirstMS       float64 // expected time until the first event
-	Fetch         memory.Fetch
-	PrefillTokens int     // prompt tokens that the endpoint neither caches nor fetches
-	RereadTokens  int     // those of PrefillTokens in prefixes that other endpoints computed recently
-	Long          bool    // the prefill is long, see isLong
-	PoolSize      int     // endpoints in the pool for long prompts
-	HarmsStreams  bool    // streams of the service miss their inter-event targets during prefill
-	Overrun       float64 // recent ratio of observed to expected times to a first event, at least 1
-	BusyShare     float64 // share of the service's slots in use, 0 to 1
-	Slowdown      float64 // of the endpoint, 1 for as fast as expected
+	Endpoint          Endpoint
+	Cost              float64 // sum of Terms
+	Terms             Terms
+	WaitMS            float64 // expected time until the prefill of the prompt starts
+	FirstMS           float64 // expected time until the first event
+	Fetch             memory.Fetch
+	PrefillTokens     int     // prompt tokens that the endpoint neither caches nor fetches
+	RecomputedTokens  int     // those of PrefillTokens in prefixes that other endpoints computed recently
+	Long              bool    // the prefill is long, see isLong
+	PoolSize          int     // endpoints in the pool for long prompts
+	PrefillInterferes bool    // streams of the service miss their inter-event targets during prefill
+	Overrun           float64 // recent ratio of observed to expected times to a first event, at least 1
+	BusyShare         float64 // share of the service's slots in use, 0 to 1
+	Slowdown          float64 // of the endpoint, 1 for as fast as expected
 }
 
 // query is a request to be placed, with the values shared by all candidates.
@@ -82,7 +82,7 @@
 		best, found = q.lowestCost(q.allCandidates(), exclude, random)
 	}
 	best.PoolSize = q.poolSize
-	best.HarmsStreams = q.service.prefillInterferes()
+	best.PrefillInterferes = q.service.prefillInterferes()
 	best.Overrun = q.service.overruns.factor(r.Priority)
 	best.BusyShare = q.service.busyShare(now)
 	return best, found
--- a/coord/placement/cost.go
+++ b/coord/placement/cost.go
@@ -79,17 +79,17 @@
 
 // Terms are the components of a cost. The JSON names are those in the request's log line.
 type Terms struct {
-	Late     float64 `json:"late"`
-	Harm     float64 `json:"harm"`
-	Reread   float64 `json:"again"`
-	Crowding float64 `json:"crowding"`
-	Pool     float64 `json:"pool"`
-	Trouble  float64 `json:"trouble"`
-	Distance float64 `json:"distance"`
+	Late          float64 `json:"late"`
+	Interference  float64 `json:"harm"`
+	Recompute     float64 `json:"again"`
+	Saturation    float64 `json:"crowding"`
+	Pool          float64 `json:"pool"`
+	Unreliability float64 `json:"trouble"`
+	Distance      float64 `json:"distance"`
 }
 
 func (t Terms) sum() float64 {
-	return t.Late + t.Harm + t.Reread + t.Crowding + t.Pool + t.Trouble + t.Distance
+	return t.Late + t.Interference + t.Recompute + t.Saturation + t.Pool + t.Unreliability + t.Distance
 }
 
 // estimate returns the expected cost of the request at an endpoint.
@@ -97,10 +97,10 @@
 	c := Choice{
 		Endpoint: e.Endpoint,
 		Slowdown: e.slowdown,
-		Terms:    Terms{Distance: q.distanceCost(e), Trouble: e.failureCost(q.now)},
+		Terms:    Terms{Distance: q.distanceCost(e), Unreliability: e.failureCost(q.now)},
 	}
 	if e.drain.Draining() {
-		c.Terms.Trouble += drainingCost
+		c.Terms.Unreliability += drainingCost
 	}
 	if e.Engine {
 		q.estimateEngine(e, inPool, &c)
@@ -118,7 +118,7 @@
 	missing := e.cache.Uncached(prompt)
 	c.Fetch = q.estimateFetch(e, prompt.Tokens-missing, perTokenMS)
 	c.PrefillTokens = max(missing-c.Fetch.Tokens, 0)
-	c.RereadTokens = max(q.recomputedTokens(e)-c.Fetch.Tokens, 0)
+	c.RecomputedTokens = max(q.recomputedTokens(e)-c.Fetch.Tokens, 0)
 	c.Long = q.service.isLong(float64(c.PrefillTokens) * perTokenMS)
 	// The tokens that the fetch is expected to miss are computed at this engine.
 	prefillMS := (float64(c.PrefillTokens) + c.Fetch.ExpectedMiss()) * perTokenMS * e.slowdown
@@ -126,10 +126,10 @@
 	c.FirstMS = baseMS*e.slowdown + c.WaitMS + prefillMS
 	target := q.request.firstTokenMS()
 	c.Terms.Late = latenessCost(c.FirstMS / target)
-	c.Terms.Trouble += overdueWeight * e.overdueMS(q.now) / target
-	c.Terms.Harm = q.interferenceCost(e, prefillMS)
-	c.Terms.Reread = q.recomputeCost(e, *c)
-	c.Terms.Crowding = q.saturationCost(e)
+	c.Terms.Unreliability += overdueWeight * e.overdueMS(q.now) / target
+	c.Terms.Interference = q.interferenceCost(e, prefillMS)
+	c.Terms.Recompute = q.recomputeCost(e, *c)
+	c.Terms.Saturation = q.saturationCost(e)
 	if inPool != c.Long {
 		c.Terms.Pool = poolWeight
 	}
@@ -137,7 +137,7 @@
 
 // recomputeCost returns the cost of the tokens computed or fetched.
 func (q *query) recomputeCost(e *endpoint, c Choice) float64 {
-	cost := recomputeWeight*(float64(c.RereadTokens)+c.Fetch.ExpectedMiss()) +
+	cost := recomputeWeight*(float64(c.RecomputedTokens)+c.Fetch.ExpectedMiss()) +
 		prefillWeight*float64(c.PrefillTokens) + fetchWeight*float64(c.Fetch.Tokens)
 	if q.home != nil && q.home != e {
 		away := max(e.cache.UncachedShared(q.request.Prompt)-c.Fetch.Tokens, 0)
@@ -158,7 +158,7 @@
 		oldestMS = max(oldestMS, milliseconds(q.now.Sub(a.sentAt)))
 	}
 	overdueTargets := max(oldestMS/q.request.firstTokenMS()-1, 0)
-	c.Terms.Crowding = nonEngineLoadWeight*load + overloadWeight*max(load-1, 0) + overdueWeight*overdueTargets
+	c.Terms.Saturation = nonEngineLoadWeight*load + overloadWeight*max(load-1, 0) + overdueWeight*overdueTargets
 }
 
 // latenessCost returns the cost of a first event after the given multiple of its target.
@@ -184,7 +184,7 @@
 		}
 	}
 	if allowedMS, bounded := q.service.allowedPrefillMS(e, q.request); bounded {
-		streamSeconds := defaultDecodeStepMS * e.slowdown * float64(q.request.Prompt.Out()) / 1000
+		streamSeconds := defaultDecodeStepMS * e.slowdown * float64(q.request.Prompt.ExpectedOutput()) / 1000
 		cost += interferenceWeight * (1 - math.Exp(-e.longPrefillRate(q.now, allowedMS)*streamSeconds))
 	}
 	return cost
@@ -193,10 +193,10 @@
 // allowedPrefillMS returns how many ms of prefill fit between two events of a stream without a
 // missed target. It returns false if any prefill fits.
 func (s *service) allowedPrefillMS(e *endpoint, r Request) (float64, bool) {
-	if r.BetweenTokens <= 0 {
+	if r.InterEventTarget <= 0 {
 		return 0, false
 	}
-	target := milliseconds(r.BetweenTokens)
+	target := milliseconds(r.InterEventTarget)
 	if upper, known := s.intervalsWithPrefill.upperEstimate(); known && upper*e.slowdown < harmlessIntervalShare*target {
 		return 0, false
 	}
@@ -230,7 +230,7 @@
 	}
 	if q.service.MemoryTokens > 0 {
 		prompt := q.request.Prompt
-		load := float64(e.openTokens+prompt.Tokens+prompt.Out()) / float64(q.service.MemoryTokens)
+		load := float64(e.openTokens+prompt.Tokens+prompt.ExpectedOutput()) / float64(q.service.MemoryTokens)
 		cost += memoryWeight * max(load-1, 0)
 	}
 	return cost
--- a/coord/placement/dump.go
+++ b/coord/placement/dump.go
@@ -9,22 +9,22 @@
 // EndpointState is the table's state of one endpoint, for operators. The JSON names are those
 // of the state dump.
 type EndpointState struct {
-	ID           string  `json:"id"`
-	Service      string  `json:"service"`
-	DataCentre   string  `json:"data_centre"`
-	Leaving      bool    `json:"leaving,omitempty"`
-	Evacuated    bool    `json:"evacuated,omitempty"`
-	Warming      bool    `json:"warming_up,omitempty"`
-	Limit        float64 `json:"limit_per_s,omitempty"` // advertised in its responses, in requests per second; 0 for none
-	LimitNamedMS int64   `json:"limit_named,omitempty"` // ms since the last response with the limit
-	BackoffMS    int64   `json:"backoff_ms,omitempty"`  // ms for which this entry sends it no requests
-	DrainingMS   int64   `json:"draining_ms,omitempty"` // ms since the first drain signal
-	Requests     int     `json:"requests"`              // open attempts of all entries
-	BacklogMS    float64 `json:"reading_ms"`            // ms until no prompt waits for prefill
-	Slowdown     float64 `json:"factor"`                // 1 for as fast as expected
-	Failures     float64 `json:"errors"`                // decayed share of recent attempts that failed
-	CachedTokens int     `json:"kept_tokens"`           // of prompt prefixes
-	MissedMoves  float64 `json:"missed"`                // decayed share of fetches from it that did not deliver the cached tokens
+	ID             string  `json:"id"`
+	Service        string  `json:"service"`
+	DataCentre     string  `json:"data_centre"`
+	Leaving        bool    `json:"leaving,omitempty"`
+	Evacuated      bool    `json:"evacuated,omitempty"`
+	Warming        bool    `json:"warming_up,omitempty"`
+	Limit          float64 `json:"limit_per_s,omitempty"` // advertised in its responses, in requests per second; 0 for none
+	LimitAgeMS     int64   `json:"limit_named,omitempty"` // ms since the last response with the limit
+	BackoffMS      int64   `json:"backoff_ms,omitempty"`  // ms for which this entry sends it no requests
+	DrainingMS     int64   `json:"draining_ms,omitempty"` // ms since the first drain signal
+	Requests       int     `json:"requests"`              // open attempts of all entries
+	BacklogMS      float64 `json:"reading_ms"`            // ms until no prompt waits for prefill
+	Slowdown       float64 `json:"factor"`                // 1 for as fast as expected
+	Failures       float64 `json:"errors"`                // decayed share of recent attempts that failed
+	CachedTokens   int     `json:"kept_tokens"`           // of prompt prefixes
+	FetchMissShare float64 `json:"missed"`                // decayed share of fetches from it that did not deliver the cached tokens
 }
 
 // States returns the state of all endpoints, sorted by service and id.
@@ -32,22 +32,22 @@
 	all := make([]EndpointState, 0, len(t.endpoints))
 	for _, e := range t.endpoints {
 		all = append(all, EndpointState{
-			ID:           e.ID,
-			Service:      e.Service,
-			DataCentre:   e.DataCentre,
-			Leaving:      e.Leaving,
-			Evacuated:    e.location.Evacuated,
-			Warming:      e.warmup.Warming(now),
-			Limit:        e.limit.PerSecond(),
-			LimitNamedMS: e.limitAge(now).Milliseconds(),
-			BackoffMS:    e.backoff.Left(now).Milliseconds(),
-			DrainingMS:   e.drainAge(now).Milliseconds(),
-			Requests:     len(e.attempts),
-			BacklogMS:    e.backlogMS(now),
-			Slowdown:     e.slowdown,
-			Failures:     e.failures,
-			CachedTokens: e.cache.Tokens(),
-			MissedMoves:  e.trust.Missing(),
+			ID:             e.ID,
+			Service:        e.Service,
+			DataCentre:     e.DataCentre,
+			Leaving:        e.Leaving,
+			Evacuated:      e.location.Evacuated,
+			Warming:        e.warmup.Warming(now),
+			Limit:          e.limit.PerSecond(),
+			LimitAgeMS:     e.limitAge(now).Milliseconds(),
+			BackoffMS:      e.backoff.Remaining(now).Milliseconds(),
+			DrainingMS:     e.drainAge(now).Milliseconds(),
+			Requests:       len(e.attempts),
+			BacklogMS:      e.backlogMS(now),
+			Slowdown:       e.slowdown,
+			Failures:       e.failures,
+			CachedTokens:   e.cache.Tokens(),
+			FetchMissShare: e.trust.Probability(),
 		})
 	}
 	slices.SortFunc(all, func(a, b EndpointState) int {
--- a/coord/placement/eligible.go
+++ b/coord/placement/eligible.go
@@ -37,7 +37,7 @@
 		before := e.location.Evacuated
 		e.location = t.locationOf(e.Endpoint)
 		if before && !e.location.Evacuated {
-			e.warmup.Cold(now, t.service(e.Service).Warmup.Duration)
+			e.warmup.Start(now, t.service(e.Service).Warmup.Duration)
 		}
 	}
 }
@@ -51,6 +51,6 @@
 // warm-up, since it may be older than the end of an evacuation.
 func (e *endpoint) applyWarmup(now time.Time, listed Endpoint) {
 	if listed.WarmupLeft != e.WarmupLeft {
-		e.warmup.Cold(now, listed.WarmupLeft)
+		e.warmup.Start(now, listed.WarmupLeft)
 	}
 }
--- a/coord/placement/eligible_test.go
+++ b/coord/placement/eligible_test.go
@@ -15,11 +15,11 @@
 func twoRegionTable() *placement.Table {
 	t := engineTable(0)
 	t.Regions = map[string]string{"zone-1": "north", "zone-2": "south"}
-	t.Group = eligibility.Group{Self: self, Entries: 1, Live: 1}
+	t.Group = eligibility.Group{Self: self, Entries: 1, Visible: 1}
 	t.SetServices([]placement.Service{{
-		Name: "pool", MemoryTokens: 500_000, EventTokens: 6, BetweenTokens: 150 * time.Millisecond,
-		MoveRate: memory.Rate{TokenBytes: 131072, LinkMbps: 370_000},
-		Warmup:   eligibility.WarmupLimit{PerSecond: 4, Duration: 3 * time.Second},
+		Name: "pool", MemoryTokens: 500_000, EventTokens: 6, InterEventTarget: 150 * time.Millisecond,
+		TransferRate: memory.Rate{TokenBytes: 131072, LinkMbps: 370_000},
+		Warmup:       eligibility.WarmupLimit{PerSecond: 4, Duration: 3 * time.Second},
 	}})
 	t.SetEndpoints(origin, twoRegionEngines())
 	return t
@@ -66,14 +66,14 @@
 	if got := choicesByDataCentre(table, origin, r); got["zone-1"] > 0 {
 		t.Errorf("after a new list requests are sent to %v", got)
 	}
-	if got := table.Obstacle(origin, r).Reason; got != eligibility.Eligible {
+	if got := table.Unavailability(origin, r).Reason; got != eligibility.Eligible {
 		t.Errorf("with eligible endpoints: %v", got)
 	}
 	table.SetEvacuated(origin, []string{"zone-1", "zone-2"})
 	if got := choicesByDataCentre(table, origin, r); len(got) > 0 {
 		t.Errorf("with all evacuated requests are sent to %v", got)
 	}
-	if got := table.Obstacle(origin, r).Reason; got != eligibility.Evacuated {
+	if got := table.Unavailability(origin, r).Reason; got != eligibility.Evacuated {
 		t.Errorf("with all evacuated: %v", got)
 	}
 }
@@ -81,15 +81,15 @@
 func TestRequestsStayInTheirRegions(t *testing.T) {
 	table := twoRegionTable()
 	r := longRequest(70, 71)
-	r.Regions = r.Regions.With([]string{"south"})
+	r.Regions = r.Regions.Intersect([]string{"south"})
 	if got := choicesByDataCentre(table, origin, r); got["zone-1"] > 0 || got["zone-2"] != 40 {
 		t.Errorf("requests are sent to %v", got)
 	}
-	r.Regions = r.Regions.With([]string{"north"})
+	r.Regions = r.Regions.Intersect([]string{"north"})
 	if got := choicesByDataCentre(table, origin, r); len(got) > 0 {
 		t.Errorf("without a common region requests are sent to %v", got)
 	}
-	if got := table.Obstacle(origin, r).Reason; got != eligibility.OutsideRegions {
+	if got := table.Unavailability(origin, r).Reason; got != eligibility.OutsideRegions {
 		t.Errorf("without a common region: %v", got)
 	}
 }
@@ -118,7 +118,7 @@
 	if fetches(func(table *placement.Table, _ *placement.Request) { table.SetEvacuated(origin, []string{"zone-1"}) }) {
 		t.Error("memory is fetched from an evacuated data centre")
 	}
-	if fetches(func(_ *placement.Table, r *placement.Request) { r.Regions = r.Regions.With([]string{"south"}) }) {
+	if fetches(func(_ *placement.Table, r *placement.Request) { r.Regions = r.Regions.Intersect([]string{"south"}) }) {
 		t.Error("memory is fetched from outside the regions")
 	}
 }
@@ -132,11 +132,11 @@
 	if sent := sendFor(table, time.Second); sent < 10 || sent > 3*4 {
 		t.Errorf("%d requests in the first second at 3 endpoints of 4 each", sent)
 	}
-	if got := table.Obstacle(origin.Add(time.Second-time.Millisecond), longRequest(70, 71)).Reason; got != eligibility.WarmingUp {
+	if got := table.Unavailability(origin.Add(time.Second-time.Millisecond), longRequest(70, 71)).Reason; got != eligibility.WarmingUp {
 		t.Errorf("when the warm-up rate is used up: %v", got)
 	}
 	late := origin.Add(4 * time.Second)
-	if got := table.Obstacle(late, longRequest(70, 71)).Reason; got != eligibility.Eligible {
+	if got := table.Unavailability(late, longRequest(70, 71)).Reason; got != eligibility.Eligible {
 		t.Errorf("after the warm-up: %v", got)
 	}
 }
--- a/coord/placement/endpoint.go
+++ b/coord/placement/endpoint.go
@@ -30,7 +30,7 @@
 	backlog     backlog
 	lastSent    time.Time // when the last prompt was sent here
 	link        memory.Link
-	trust       memory.Trust // as a source of fetches
+	trust       memory.MissRate // as a source of fetches
 	location    eligibility.Location
 	warmup      eligibility.Warmup
 	signals
@@ -98,7 +98,7 @@
 func (e *endpoint) openAfterBackoff() int {
 	n := 0
 	for _, a := range e.attempts {
-		if a.own && e.backoff.Since(a.sentAt) {
+		if a.own && e.backoff.SentAfterEnd(a.sentAt) {
 			n++
 		}
 	}
@@ -108,7 +108,7 @@
 // backoffAllows reports whether the backoff allows one more request of this entry.
 func (e *endpoint) backoffAllows(now time.Time) bool {
 	open := 0
-	if e.backoff.Ramping(now) {
+	if e.backoff.InSlowStart(now) {
 		open = e.openAfterBackoff()
 	}
 	return e.backoff.Allows(now, open)
--- a/coord/placement/example_test.go
+++ b/coord/placement/example_test.go
@@ -13,16 +13,16 @@
 // caches its prefix.
 func ExampleTable() {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	table := placement.Table{Self: 1, ReuseLife: 10 * time.Second}
-	table.SetServices([]placement.Service{{Name: "pool", BetweenTokens: 150 * time.Millisecond}})
+	table := placement.Table{Self: 1, ReuseWindow: 10 * time.Second}
+	table.SetServices([]placement.Service{{Name: "pool", InterEventTarget: 150 * time.Millisecond}})
 	table.SetEndpoints(now, []placement.Endpoint{
 		{ID: "i-1", Service: "pool", Slots: 8, Engine: true},
 		{ID: "i-2", Service: "pool", Slots: 8, Engine: true},
 	})
 	prompt := func(own uint64) memory.Prompt {
-		return memory.Prompt{Tokens: 5100, MaxOut: 100, Parts: []memory.Part{{ID: 7, Tokens: 5000}, {ID: own, Tokens: 100}}}
+		return memory.Prompt{Tokens: 5100, MaxOutputTokens: 100, Parts: []memory.Part{{ID: 7, Tokens: 5000}, {ID: own, Tokens: 100}}}
 	}
-	request := placement.Request{Service: "pool", Prompt: prompt(1), FirstToken: time.Second, BetweenTokens: 200 * time.Millisecond}
+	request := placement.Request{Service: "pool", Prompt: prompt(1), FirstEventTarget: time.Second, InterEventTarget: 200 * time.Millisecond}
 	table.Place(now, placement.AttemptID{Owner: 1, Number: 1}, "i-2", request, memory.Fetch{})
 
 	request.Prompt = prompt(2)
@@ -35,7 +35,7 @@
 // Admit rejects a prompt that would miss its target, and returns the delay before a retry.
 func ExampleChoice_Admit() {
 	choice := placement.Choice{Long: true, WaitMS: 3000, FirstMS: 3200}
-	request := placement.Request{FirstToken: 2 * time.Second}
+	request := placement.Request{FirstEventTarget: 2 * time.Second}
 	retryAfter, ok := choice.Admit(request, 15*time.Second)
 	fmt.Println(ok, retryAfter)
 	// Output: false 3s
--- a/coord/placement/fetch_test.go
+++ b/coord/placement/fetch_test.go
@@ -15,8 +15,8 @@
 func transferTable(n int) *placement.Table {
 	t := engineTable(n)
 	t.SetServices([]placement.Service{{
-		Name: "pool", MemoryTokens: 500_000, EventTokens: 6, BetweenTokens: 150 * time.Millisecond,
-		MoveRate: memory.Rate{TokenBytes: 100_000, LinkMbps: 160_000},
+		Name: "pool", MemoryTokens: 500_000, EventTokens: 6, InterEventTarget: 150 * time.Millisecond,
+		TransferRate: memory.Rate{TokenBytes: 100_000, LinkMbps: 160_000},
 	}})
 	return t
 }
@@ -43,7 +43,7 @@
 		Expect(c.Fetch.Source).To(Equal("e-0"))
 		Expect(c.Fetch.Tokens).To(Equal(5_000))
 		Expect(c.PrefillTokens).To(Equal(7_000))
-		Expect(c.RereadTokens).To(BeZero())
+		Expect(c.RecomputedTokens).To(BeZero())
 	})
 
 	It("start only after the source has computed the part", func() {
@@ -102,10 +102,10 @@
 			t.Place(now.Add(-time.Second), placement.AttemptID{Owner: self, Number: 9}, "e-0", shortRequest(9), memory.Fetch{})
 		}),
 		Entry("belongs to a service that transfers no memory", func(t *placement.Table, _ time.Time) {
-			t.SetServices([]placement.Service{{Name: "pool", MemoryTokens: 500_000, EventTokens: 6, BetweenTokens: 150 * time.Millisecond}})
+			t.SetServices([]placement.Service{{Name: "pool", MemoryTokens: 500_000, EventTokens: 6, InterEventTarget: 150 * time.Millisecond}})
 		}),
 		Entry("has evicted the part, as earlier fetches showed", func(t *placement.Table, now time.Time) {
-			f := memory.Fetch{Source: "e-0", Tokens: 5_000, MoveMS: 28}
+			f := memory.Fetch{Source: "e-0", Tokens: 5_000, TransferMS: 28}
 			for n := range 12 {
 				id := placement.AttemptID{Owner: other, Number: uint64(n + 9)}
 				t.Place(now.Add(-time.Second), id, "e-1", longRequest(uint64(n+500), uint64(n+900)), f)
@@ -119,7 +119,7 @@
 		t := transferTable(4)
 		now := compute(t)
 		before := chooseOther(t, now).Fetch.MS()
-		t.Place(now, placement.AttemptID{Owner: other, Number: 2}, "e-3", longRequest(100, 2), memory.Fetch{Source: "e-0", Tokens: 5_000, MoveMS: 28})
+		t.Place(now, placement.AttemptID{Owner: other, Number: 2}, "e-3", longRequest(100, 2), memory.Fetch{Source: "e-0", Tokens: 5_000, TransferMS: 28})
 		c, ok := t.Choose(now, longRequest(100, 3), func(id string) bool { return id != "e-2" }, rand.New(rand.NewPCG(1, 2)))
 		Expect(ok).To(BeTrue())
 		Expect(c.Fetch.MS()).To(BeNumerically("~", before+28, 1))
--- a/coord/placement/golden_test.go
+++ b/coord/placement/golden_test.go
@@ -21,7 +21,7 @@
 	const requests = 900
 	table := engineTable(12)
 	table.SetServices([]placement.Service{
-		{Name: "pool", MemoryTokens: 120_000, EventTokens: 6, BetweenTokens: 150 * time.Millisecond, MaxRequests: 40},
+		{Name: "pool", MemoryTokens: 120_000, EventTokens: 6, InterEventTarget: 150 * time.Millisecond, MaxRequests: 40},
 		{Name: "app", MaxRequests: 20},
 	})
 	endpoints := engines(12)
@@ -44,7 +44,7 @@
 		}
 		retry, admitted := c.Admit(q, q.TimeLeft)
 		fmt.Fprintf(&got, "%d %s cost=%.3f wait=%.1f first=%.1f read=%d again=%d long=%t pool=%d taken=%.3f factor=%.3f admitted=%t retry=%s terms=%.3f\n",
-			n, c.Endpoint.ID, c.Cost, c.WaitMS, c.FirstMS, c.PrefillTokens, c.RereadTokens, c.Long, c.PoolSize, c.BusyShare, c.Slowdown, admitted, retry.Round(time.Millisecond), c.Terms)
+			n, c.Endpoint.ID, c.Cost, c.WaitMS, c.FirstMS, c.PrefillTokens, c.RecomputedTokens, c.Long, c.PoolSize, c.BusyShare, c.Slowdown, admitted, retry.Round(time.Millisecond), c.Terms)
 		if !admitted {
 			continue
 		}
@@ -105,9 +105,9 @@
 		q = longRequest(uint64(50+random.IntN(4)), uint64(1000+n))
 	case 3:
 		q = shortRequest(uint64(1000 + n))
-		q.Priority, q.BetweenTokens, q.FirstToken = 5, 0, 400*time.Millisecond
+		q.Priority, q.InterEventTarget, q.FirstEventTarget = 5, 0, 400*time.Millisecond
 	default:
-		q = placement.Request{Service: "app", FirstToken: 300 * time.Millisecond}
+		q = placement.Request{Service: "app", FirstEventTarget: 300 * time.Millisecond}
 	}
 	q.TimeLeft = 12 * time.Second
 	return q
--- a/coord/placement/health.go
+++ b/coord/placement/health.go
@@ -96,7 +96,7 @@
 		if a.waiting() {
 			late := milliseconds(now.Sub(a.sentAt)) - overdueFactor*a.expectedMS - overdueSlackMS
 			worst = max(worst, late)
-		} else if a.own && a.request.BetweenTokens > 0 {
+		} else if a.own && a.request.InterEventTarget > 0 {
 			streaming = true
 		}
 	}
--- a/coord/placement/herd_test.go
+++ b/coord/placement/herd_test.go
@@ -96,13 +96,13 @@
 func (l *herdSimulation) place(now time.Time, number uint64) {
 	entry := l.random.IntN(l.entries)
 	r := placement.Request{
-		Service: "pool", FirstToken: 300 * time.Millisecond, BetweenTokens: 300 * time.Millisecond, TimeLeft: 10 * time.Second,
-		Prompt: memory.Prompt{Tokens: 800, MaxOut: 280},
+		Service: "pool", FirstEventTarget: 300 * time.Millisecond, InterEventTarget: 300 * time.Millisecond, TimeLeft: 10 * time.Second,
+		Prompt: memory.Prompt{Tokens: 800, MaxOutputTokens: 280},
 	}
 	long := number%uint64(l.longShare) == 0
 	if long {
 		r.Prompt.Tokens = l.longTokens
-		r.FirstToken, r.BetweenTokens = l.longTarget, l.longTarget
+		r.FirstEventTarget, r.InterEventTarget = l.longTarget, l.longTarget
 		l.long++
 	}
 	tokens := r.Prompt.Tokens
@@ -125,7 +125,7 @@
 	l.freeAt[engine] = starts + time.Duration(tokens)*time.Millisecond/tokensPerMS
 	first := l.freeAt[engine] + baseTime
 	crashed := l.lostEngines > 0 && engine < l.lostEngines && first > l.crashAt
-	if long && !crashed && first-at <= r.FirstToken {
+	if long && !crashed && first-at <= r.FirstEventTarget {
 		l.inTime++
 	}
 	id := placement.AttemptID{Owner: uint64(entry + 1), Number: number}
--- a/coord/placement/interval.go
+++ b/coord/placement/interval.go
@@ -44,5 +44,5 @@
 // known to come close to the target, or to miss it, during prefill.
 func (s *service) prefillInterferes() bool {
 	upper, known := s.intervalsWithPrefill.upperEstimate()
-	return known && s.BetweenTokens > 0 && upper >= harmlessIntervalShare*milliseconds(s.BetweenTokens)
+	return known && s.InterEventTarget > 0 && upper >= harmlessIntervalShare*milliseconds(s.InterEventTarget)
 }
--- a/coord/placement/limits.go
+++ b/coord/placement/limits.go
@@ -9,10 +9,10 @@
 
 // ApplyLimit records an update of an endpoint's limit from a response or another entry. It
 // returns the change, and reports whether to announce it to other entries.
-func (t *Table) ApplyLimit(now time.Time, endpointID string, u eligibility.LimitUpdate) (c eligibility.Change, announce bool) {
+func (t *Table) ApplyLimit(now time.Time, endpointID string, u eligibility.LimitUpdate) (c eligibility.LimitChange, announce bool) {
 	s := t.findSignals(endpointID)
 	if s == nil {
-		return eligibility.Unchanged, false
+		return eligibility.LimitUnchanged, false
 	}
 	c = s.limit.Apply(u)
 	return c, s.limit.Announce(now, c)
@@ -27,8 +27,8 @@
 	}
 	arrivalsPerSecond := q.service.arrivalRate.perSecond(q.now)
 	chance := min(
-		e.warmup.Chance(q.now, q.service.Warmup, arrivalsPerSecond, q.table.Group),
-		e.limit.Chance(q.now, arrivalsPerSecond, q.table.Group),
+		e.warmup.CandidateProbability(q.now, q.service.Warmup, arrivalsPerSecond, q.table.Group),
+		e.limit.CandidateProbability(q.now, arrivalsPerSecond, q.table.Group),
 	)
 	return random.Float64() < chance
 }
--- a/coord/placement/obstacle.go
+++ b/coord/placement/obstacle.go
@@ -18,9 +18,9 @@
 // endpoint gets few requests.
 const minBackoffWait = 20 * time.Millisecond
 
-// Obstacle is the reason why no endpoint can take a request now. Endpoint is the one expected
+// Unavailability is the reason why no endpoint can take a request now. Endpoint is the one expected
 // to become available first.
-type Obstacle struct {
+type Unavailability struct {
 	Reason   eligibility.Reason // Eligible if none of the reasons of package eligibility applies
 	Endpoint string             // of Limited and BackedOff
 	Wait     time.Duration      // of Limited and BackedOff: until it may be sent a request, as far as is known
@@ -30,14 +30,14 @@
 }
 
 // hasWait reports whether the remaining time is known.
-func (o Obstacle) hasWait() bool {
+func (o Unavailability) hasWait() bool {
 	return o.Reason == eligibility.Limited || o.Reason == eligibility.BackedOff
 }
 
-// Obstacle returns why none of the service's endpoints may take a request now.
-func (t *Table) Obstacle(now time.Time, r Request) Obstacle {
+// Unavailability returns why none of the service's endpoints may take a request now.
+func (t *Table) Unavailability(now time.Time, r Request) Unavailability {
 	q := query{table: t, service: t.service(r.Service), request: r, now: now}
-	var soonest Obstacle
+	var soonest Unavailability
 	for _, e := range q.service.endpoints {
 		if e.Leaving {
 			continue
@@ -55,12 +55,12 @@
 
 // obstacle returns why an endpoint may not take the request now. A rate-limited endpoint is an
 // obstacle even while it has capacity, since only a share of the requests may choose it.
-func (q *query) obstacle(e *endpoint) Obstacle {
+func (q *query) obstacle(e *endpoint) Unavailability {
 	reason := q.eligibility(e)
 	if reason == eligibility.Eligible && e.limit.Limited() {
 		reason = eligibility.Limited
 	}
-	o := Obstacle{Reason: reason}
+	o := Unavailability{Reason: reason}
 	switch reason {
 	case eligibility.Limited:
 		o.Endpoint = e.ID
@@ -68,17 +68,17 @@
 		o.Since = q.now.Sub(e.limit.AdvertisedAt())
 		o.Wait = e.limit.Wait(q.now, q.table.Group)
 	case eligibility.BackedOff:
-		asked, delay := e.backoff.Asked()
+		asked, delay := e.backoff.Requested()
 		o.Endpoint = e.ID
 		o.Since = q.now.Sub(asked)
 		o.Delay = delay
-		o.Wait = max(e.backoff.Left(q.now), minBackoffWait)
+		o.Wait = max(e.backoff.Remaining(q.now), minBackoffWait)
 	}
 	return o
 }
 
 // endsBefore reports whether the obstacle ends before another one.
-func (o Obstacle) endsBefore(other Obstacle) bool {
+func (o Unavailability) endsBefore(other Unavailability) bool {
 	if o.hasWait() && other.hasWait() {
 		return o.Wait < other.Wait
 	}
--- a/coord/placement/overload_test.go
+++ b/coord/placement/overload_test.go
@@ -84,7 +84,7 @@
 		o.servers = append(o.servers, &simulatedEndpoint{rejectedAt: map[int]time.Time{}, backoffUntil: map[int]time.Time{}})
 	}
 	for n := range o.entries {
-		t := &placement.Table{Self: uint64(n + 1), Group: eligibility.Group{Self: uint64(n + 1), Entries: o.entries, Live: o.entries}}
+		t := &placement.Table{Self: uint64(n + 1), Group: eligibility.Group{Self: uint64(n + 1), Entries: o.entries, Visible: o.entries}}
 		t.SetServices([]placement.Service{{Name: "desk"}})
 		t.SetEndpoints(o.start, list)
 		o.tables = append(o.tables, t)
@@ -116,7 +116,7 @@
 
 // request returns the placement request.
 func (q *clientRequest) request(now time.Time) placement.Request {
-	return placement.Request{Service: "desk", FirstToken: clientTarget, TimeLeft: q.deadline.Sub(now), Priority: q.priority}
+	return placement.Request{Service: "desk", FirstEventTarget: clientTarget, TimeLeft: q.deadline.Sub(now), Priority: q.priority}
 }
 
 // place chooses an endpoint at the request's entry.
@@ -141,7 +141,7 @@
 
 // reject rejects a request with a delay before a retry.
 func (o *overloadSimulation) reject(now time.Time, q *clientRequest) {
-	obstacle := o.tables[q.entry].Obstacle(now, q.request(now))
+	obstacle := o.tables[q.entry].Unavailability(now, q.request(now))
 	wait := max(obstacle.Wait, 100*time.Millisecond)
 	if obstacle.Reason != eligibility.BackedOff {
 		wait = 500 * time.Millisecond
--- a/coord/placement/placement.go
+++ b/coord/placement/placement.go
@@ -37,7 +37,7 @@
 	Slots      int    `cbor:"5,keyasint,omitempty"` // requests that run at once, 0 for unknown
 	Leaving    bool   `cbor:"6,keyasint,omitempty"` // takes no new requests
 	Engine     bool   `cbor:"7,keyasint,omitempty"` // runs a language model
-	Born       int64  `cbor:"8,keyasint,omitempty"` // start time in ms since 1970, 0 for unknown
+	StartedMS  int64  `cbor:"8,keyasint,omitempty"` // start time in ms since 1970, 0 for unknown
 
 	// WarmupLeft is the remaining warm-up time when the record was written, 0 for warm.
 	WarmupLeft time.Duration `cbor:"9,keyasint,omitempty"`
@@ -51,10 +51,10 @@
 // no state, so that tables, events and snapshots use this name: the state of the previous
 // incarnation is dropped, and late events for it have no effect.
 func (e Endpoint) Incarnation() string {
-	if e.Born == 0 {
+	if e.StartedMS == 0 {
 		return e.ID
 	}
-	return e.ID + incarnationSeparator + strconv.FormatInt(e.Born, 10)
+	return e.ID + incarnationSeparator + strconv.FormatInt(e.StartedMS, 10)
 }
 
 // Replaces reports whether this is a different incarnation of the same endpoint.
@@ -65,13 +65,13 @@
 
 // Service holds the settings for the endpoints of a service.
 type Service struct {
-	Name          string
-	MemoryTokens  int           // memory of one engine in tokens, 0 for unknown
-	MaxRequests   int           // open requests per endpoint, 0 for no bound
-	EventTokens   int           // tokens in one event of a stream
-	BetweenTokens time.Duration // strictest inter-event target among the service's classes, 0 for none
-	MoveRate      memory.Rate   // of prompt parts between its engines
-	Warmup        eligibility.WarmupLimit
+	Name             string
+	MemoryTokens     int           // memory of one engine in tokens, 0 for unknown
+	MaxRequests      int           // open requests per endpoint, 0 for no bound
+	EventTokens      int           // tokens in one event of a stream
+	InterEventTarget time.Duration // strictest inter-event target among the service's classes, 0 for none
+	TransferRate     memory.Rate   // of prompt parts between its engines
+	Warmup           eligibility.WarmupLimit
 }
 
 // AttemptID identifies one send of a request to an endpoint, among all entries.
@@ -82,19 +82,19 @@
 
 // Request holds the properties of a request that placement depends on.
 type Request struct {
-	Service       string        `cbor:"1,keyasint"`
-	Prompt        memory.Prompt `cbor:"2,keyasint"`
-	FirstToken    time.Duration `cbor:"3,keyasint,omitempty"` // target for the first event, or for a whole answer
-	BetweenTokens time.Duration `cbor:"4,keyasint,omitempty"` // target between events, 0 for no stream
-	Priority      int           `cbor:"5,keyasint,omitempty"` // 0 is the most urgent
-	TimeLeft      time.Duration `cbor:"6,keyasint,omitempty"` // until its deadline, 0 for unknown
-	NoFetch       bool          `cbor:"-"`                    // disables fetches for it; not sent to other entries
+	Service          string        `cbor:"1,keyasint"`
+	Prompt           memory.Prompt `cbor:"2,keyasint"`
+	FirstEventTarget time.Duration `cbor:"3,keyasint,omitempty"` // target for the first event, or for a whole answer
+	InterEventTarget time.Duration `cbor:"4,keyasint,omitempty"` // target between events, 0 for no stream
+	Priority         int           `cbor:"5,keyasint,omitempty"` // 0 is the most urgent
+	TimeLeft         time.Duration `cbor:"6,keyasint,omitempty"` // until its deadline, 0 for unknown
+	NoFetch          bool          `cbor:"-"`                    // disables fetches for it; not sent to other entries
 
 	Regions eligibility.Regions `cbor:"-"` // in which it may be served; not sent to other entries
 }
 
 // firstTokenMS returns the target for the first event in ms, at least 1.
-func (r Request) firstTokenMS() float64 { return max(milliseconds(r.FirstToken), 1) }
+func (r Request) firstTokenMS() float64 { return max(milliseconds(r.FirstEventTarget), 1) }
 
 // Outcome is the result of an attempt.
 type Outcome uint8
--- a/coord/placement/placement_test.go
+++ b/coord/placement/placement_test.go
@@ -28,8 +28,8 @@
 
 // engineTable returns a table of n engines.
 func engineTable(n int) *placement.Table {
-	t := &placement.Table{DataCentre: "zone-1", Self: self, ReuseLife: 10 * time.Second}
-	t.SetServices([]placement.Service{{Name: "pool", MemoryTokens: 500_000, EventTokens: 6, BetweenTokens: 150 * time.Millisecond}})
+	t := &placement.Table{DataCentre: "zone-1", Self: self, ReuseWindow: 10 * time.Second}
+	t.SetServices([]placement.Service{{Name: "pool", MemoryTokens: 500_000, EventTokens: 6, InterEventTarget: 150 * time.Millisecond}})
 	t.SetEndpoints(origin, engines(n))
 	return t
 }
@@ -47,16 +47,16 @@
 // shortRequest returns a short request with a strict inter-event target.
 func shortRequest(ownPart uint64) placement.Request {
 	return placement.Request{
-		Service: "pool", FirstToken: 250 * time.Millisecond, BetweenTokens: 150 * time.Millisecond,
-		Prompt: memory.Prompt{Tokens: 700, LikelyOut: 300, Parts: []memory.Part{{ID: 7, Tokens: 100}, {ID: ownPart, Tokens: 600}}},
+		Service: "pool", FirstEventTarget: 250 * time.Millisecond, InterEventTarget: 150 * time.Millisecond,
+		Prompt: memory.Prompt{Tokens: 700, LikelyOutputTokens: 300, Parts: []memory.Part{{ID: 7, Tokens: 100}, {ID: ownPart, Tokens: 600}}},
 	}
 }
 
 // longRequest returns a request with a long prompt.
 func longRequest(sharedPart, ownPart uint64) placement.Request {
 	return placement.Request{
-		Service: "pool", FirstToken: 2 * time.Second, BetweenTokens: 600 * time.Millisecond, Priority: 2,
-		Prompt: memory.Prompt{Tokens: 12_000, LikelyOut: 380, Parts: []memory.Part{{ID: sharedPart, Tokens: 5_000}, {ID: ownPart, Tokens: 7_000}}},
+		Service: "pool", FirstEventTarget: 2 * time.Second, InterEventTarget: 600 * time.Millisecond, Priority: 2,
+		Prompt: memory.Prompt{Tokens: 12_000, LikelyOutputTokens: 380, Parts: []memory.Part{{ID: sharedPart, Tokens: 5_000}, {ID: ownPart, Tokens: 7_000}}},
 	}
 }
 
@@ -90,7 +90,7 @@
 		c := mustChoose(t, origin.Add(time.Second), longRequest(100, 2))
 		Expect(c.Endpoint.ID).To(Equal(first))
 		Expect(c.PrefillTokens).To(Equal(7_000))
-		Expect(c.RereadTokens).To(BeZero())
+		Expect(c.RecomputedTokens).To(BeZero())
 	})
 
 	It("sends a shared part to the same endpoint after all state is lost", func() {
@@ -182,7 +182,7 @@
 		c, ok := t.Choose(origin.Add(8*time.Second), longRequest(1, 3), func(id string) bool { return id == "e-1" }, rand.New(rand.NewPCG(1, 2)))
 		Expect(ok).To(BeTrue())
 		Expect(c.WaitMS).To(BeZero())
-		Expect(c.Terms.Trouble).To(BeZero(), "no attempt is overdue")
+		Expect(c.Terms.Unreliability).To(BeZero(), "no attempt is overdue")
 	})
 
 	It("bounds the open attempts and the recorded shared parts", func() {
@@ -259,7 +259,7 @@
 		t.SetEndpoints(origin, []placement.Endpoint{{ID: "a", Service: "s", Slots: 2}, {ID: "b", Service: "s", Slots: 2}})
 		counts := map[string]int{}
 		for n := range 4 {
-			c := mustChoose(t, origin, placement.Request{Service: "s", FirstToken: time.Second})
+			c := mustChoose(t, origin, placement.Request{Service: "s", FirstEventTarget: time.Second})
 			counts[c.Endpoint.ID]++
 			t.Place(origin, placement.AttemptID{Owner: self, Number: uint64(n + 1)}, c.Endpoint.ID, placement.Request{Service: "s"}, memory.Fetch{})
 		}
@@ -300,8 +300,8 @@
 // all requests have ended, and no unlisted endpoint may be chosen.
 func TestTableRemovesEndedAttempts(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		table := &placement.Table{DataCentre: "zone-1", Self: self, ReuseLife: time.Second}
-		table.SetServices([]placement.Service{{Name: "pool", MemoryTokens: 50_000, EventTokens: 6, BetweenTokens: 150 * time.Millisecond}})
+		table := &placement.Table{DataCentre: "zone-1", Self: self, ReuseWindow: time.Second}
+		table.SetServices([]placement.Service{{Name: "pool", MemoryTokens: 50_000, EventTokens: 6, InterEventTarget: 150 * time.Millisecond}})
 		listed := rapid.IntRange(0, 6).Draw(r, "endpoints")
 		table.SetEndpoints(origin, engines(listed))
 		random := rand.New(rand.NewPCG(3, 4))
--- a/coord/placement/pool.go
+++ b/coord/placement/pool.go
@@ -80,5 +80,5 @@
 // isLong reports whether a prefill takes so long that a stream beside it would miss the
 // service's strictest inter-event target.
 func (s *service) isLong(prefillMS float64) bool {
-	return s.BetweenTokens > 0 && prefillMS > longPrefillShare*milliseconds(s.BetweenTokens)
+	return s.InterEventTarget > 0 && prefillMS > longPrefillShare*milliseconds(s.InterEventTarget)
 }
--- a/coord/placement/restart_test.go
+++ b/coord/placement/restart_test.go
@@ -15,7 +15,7 @@
 	now := origin
 	table := engineTable(0)
 	list := func(born int64) []placement.Endpoint {
-		return []placement.Endpoint{{ID: "e-0", Service: "pool", DataCentre: "zone-1", Slots: 48, Engine: true, Born: born}}
+		return []placement.Endpoint{{ID: "e-0", Service: "pool", DataCentre: "zone-1", Slots: 48, Engine: true, StartedMS: born}}
 	}
 	before, after := list(1)[0].Incarnation(), list(2)[0].Incarnation()
 	random := rand.New(rand.NewPCG(1, 2))
@@ -40,7 +40,7 @@
 	table.Place(now.Add(4*time.Second), placement.AttemptID{Owner: other, Number: 3}, before, longRequest(70, 74), memory.Fetch{})
 	table.FirstEvent(now.Add(4*time.Second), last)
 	table.End(now.Add(4*time.Second), last, placement.Broken)
-	table.TakeKept(now.Add(4*time.Second), before, []memory.Part{{ID: 70, Tokens: 5000}})
+	table.AddCached(now.Add(4*time.Second), before, []memory.Part{{ID: 70, Tokens: 5000}})
 	expectNoState(table, "after late events of the previous incarnation")
 
 	restored := engineTable(0)
@@ -49,7 +49,7 @@
 	restored.Restore(now.Add(4*time.Second), snapshot)
 	expectNoState(restored, "after a snapshot with the previous incarnation")
 
-	table.TakeKept(now.Add(4*time.Second), after, []memory.Part{{ID: 70, Tokens: 5000}})
+	table.AddCached(now.Add(4*time.Second), after, []memory.Part{{ID: 70, Tokens: 5000}})
 	if c, _ := table.Choose(now.Add(4*time.Second), longRequest(70, 75), nothingExcluded, random); c.PrefillTokens != 7_000 {
 		t.Errorf("%d tokens to compute where the new incarnation caches 5,000 of 12,000", c.PrefillTokens)
 	}
--- a/coord/placement/signals_test.go
+++ b/coord/placement/signals_test.go
@@ -17,7 +17,7 @@
 
 // nonEngineTable returns a table of endpoints without a model, and their list.
 func nonEngineTable(ids ...string) (*placement.Table, []placement.Endpoint) {
-	t := &placement.Table{Self: 1, DrainGrace: drainGrace, Group: eligibility.Group{Self: 1, Entries: 1, Live: 1}}
+	t := &placement.Table{Self: 1, DrainGrace: drainGrace, Group: eligibility.Group{Self: 1, Entries: 1, Visible: 1}}
 	t.SetServices([]placement.Service{{Name: "desk"}})
 	var list []placement.Endpoint
 	for _, id := range ids {
@@ -39,7 +39,7 @@
 		}
 		return false
 	}
-	c, _ := t.Choose(now, placement.Request{Service: "desk", FirstToken: time.Second}, tried, seededRandom())
+	c, _ := t.Choose(now, placement.Request{Service: "desk", FirstEventTarget: time.Second}, tried, seededRandom())
 	return c.Endpoint.ID
 }
 
@@ -57,7 +57,7 @@
 		t.Error("the placed request is not withdrawn")
 	}
 	table.ApplyBackoff(origin, "b", backoffDelay/2, seededRandom())
-	o := table.Obstacle(origin, placement.Request{Service: "desk"})
+	o := table.Unavailability(origin, placement.Request{Service: "desk"})
 	if o.Reason != eligibility.BackedOff || o.Endpoint != "b" || o.Wait < backoffDelay/2 || o.Delay != backoffDelay/2 {
 		t.Errorf("the obstacle is %+v", o)
 	}
@@ -66,7 +66,7 @@
 func TestBackoffEndsWithTheIncarnation(t *testing.T) {
 	table, list := nonEngineTable("a")
 	table.ApplyBackoff(origin, "a", backoffDelay, seededRandom())
-	list[0].Born = 5
+	list[0].StartedMS = 5
 	table.SetEndpoints(origin, list)
 	if got := chosenEndpoint(table, origin); got != "a" {
 		t.Errorf("%q is chosen", got)
@@ -166,7 +166,7 @@
 		table.Place(origin, placement.AttemptID{Owner: 2, Number: uint64(n + 1)}, "b", placement.Request{Service: "desk"}, memory.Fetch{})
 	}
 	table.ApplyBackoff(origin, "a", backoffDelay, seededRandom())
-	c, ok := table.Choose(origin, placement.Request{Service: "desk", FirstToken: time.Second}, func(string) bool { return false }, seededRandom())
+	c, ok := table.Choose(origin, placement.Request{Service: "desk", FirstEventTarget: time.Second}, func(string) bool { return false }, seededRandom())
 	if !ok || c.BusyShare != 1 {
 		t.Errorf("found %v, busy share %g", ok, c.BusyShare)
 	}
--- a/coord/placement/snapshot.go
+++ b/coord/placement/snapshot.go
@@ -40,14 +40,14 @@
 
 // EndpointSnapshot is the state of one endpoint.
 type EndpointSnapshot struct {
-	_        struct{} `cbor:",toarray"`
-	ID       string
-	Slowdown float64
-	Failures float64
-	Missing  float64 // share of fetches that did not deliver the parts expected in its cache
-	Kept     []int   // indexes into Parts, the most recently used first
-	Backlog  []float64
-	Attempts []AttemptSnapshot
+	_              struct{} `cbor:",toarray"`
+	ID             string
+	Slowdown       float64
+	Failures       float64
+	FetchMissShare float64 // share of fetches that did not deliver the parts expected in its cache
+	CachedParts    []int   // indexes into Parts, the most recently used first
+	Backlog        []float64
+	Attempts       []AttemptSnapshot
 }
 
 // AttemptSnapshot is an open attempt.
@@ -63,13 +63,13 @@
 
 // ServiceSnapshot is the state shared by the endpoints of a service.
 type ServiceSnapshot struct {
-	_             struct{} `cbor:",toarray"`
-	Name          string
-	Prefill       [5]float64 // weight and sums of the fit
-	Undisturbed   intervalStats
-	BesidePrefill intervalStats
-	LongMS        float64 // prefill time demanded by long prompts, decayed
-	ShortMS       float64
+	_                       struct{} `cbor:",toarray"`
+	Name                    string
+	Prefill                 [5]float64 // weight and sums of the fit
+	IntervalsWithoutPrefill intervalStats
+	IntervalsWithPrefill    intervalStats
+	LongMS                  float64 // prefill time demanded by long prompts, decayed
+	ShortMS                 float64
 }
 
 // WarmupSnapshot is the remaining warm-up time of an endpoint.
@@ -81,10 +81,10 @@
 
 // LimitSnapshot is the rate limit that an endpoint has advertised.
 type LimitSnapshot struct {
-	_         struct{} `cbor:",toarray"`
-	ID        string
-	PerSecond float64
-	NamedMS   int64 // since the last response with the limit
+	_            struct{} `cbor:",toarray"`
+	ID           string
+	PerSecond    float64
+	AdvertisedMS int64 // since the last response with the limit
 }
 
 // DrainSnapshot is the time for which an endpoint has been draining.
@@ -105,12 +105,12 @@
 		if e.Engine || len(e.attempts) > 0 {
 			s.Endpoints = append(s.Endpoints, t.endpointSnapshot(now, id, e, &s, index))
 		}
-		if left := e.warmup.Left(now); left > 0 {
+		if left := e.warmup.Remaining(now); left > 0 {
 			s.Warmups = append(s.Warmups, WarmupSnapshot{ID: id, LeftMS: left.Milliseconds()})
 		}
 		if e.limit.Limited() {
 			s.Limits = append(s.Limits, LimitSnapshot{
-				ID: id, PerSecond: e.limit.PerSecond(), NamedMS: now.Sub(e.limit.AdvertisedAt()).Milliseconds(),
+				ID: id, PerSecond: e.limit.PerSecond(), AdvertisedMS: now.Sub(e.limit.AdvertisedAt()).Milliseconds(),
 			})
 		}
 	}
@@ -119,7 +119,7 @@
 		p := v.prefill
 		s.Services = append(s.Services, ServiceSnapshot{
 			Name: name, Prefill: [5]float64{p.weight, p.sumX, p.sumY, p.sumXX, p.sumXY},
-			Undisturbed: v.intervalsWithoutPrefill, BesidePrefill: v.intervalsWithPrefill, LongMS: v.pool.longMS, ShortMS: v.pool.shortMS,
+			IntervalsWithoutPrefill: v.intervalsWithoutPrefill, IntervalsWithPrefill: v.intervalsWithPrefill, LongMS: v.pool.longMS, ShortMS: v.pool.shortMS,
 		})
 	}
 	return s
@@ -147,9 +147,9 @@
 func (t *Table) endpointSnapshot(now time.Time, id string, e *endpoint, s *Snapshot, index map[uint64]int) EndpointSnapshot {
 	e.backlog.advance(now, e.slowdown)
 	x := EndpointSnapshot{
-		ID: id, Slowdown: e.slowdown, Failures: e.failures, Missing: e.trust.Missing(), Backlog: e.backlog.prefillMS[:],
+		ID: id, Slowdown: e.slowdown, Failures: e.failures, FetchMissShare: e.trust.Probability(), Backlog: e.backlog.prefillMS[:],
 	}
-	for part := range e.cache.Settled() {
+	for part := range e.cache.Cached() {
 		if !t.computedRecently(now, part.ID) {
 			continue
 		}
@@ -163,7 +163,7 @@
 			s.Parts = append(s.Parts, part)
 			s.UsedMS = append(s.UsedMS, now.Sub(t.sharedParts[part.ID].lastUsed).Milliseconds())
 		}
-		x.Kept = append(x.Kept, n)
+		x.CachedParts = append(x.CachedParts, n)
 	}
 	for id, a := range e.attempts {
 		first := int64(noFirstEvent)
@@ -197,12 +197,12 @@
 	}
 	for _, x := range s.Warmups {
 		if e := t.endpoints[x.ID]; e != nil {
-			e.warmup.Cold(now, time.Duration(x.LeftMS)*time.Millisecond)
+			e.warmup.Start(now, time.Duration(x.LeftMS)*time.Millisecond)
 		}
 	}
 	for _, x := range s.Limits {
 		if e := t.endpoints[x.ID]; e != nil {
-			named := now.Add(-time.Duration(x.NamedMS) * time.Millisecond)
+			named := now.Add(-time.Duration(x.AdvertisedMS) * time.Millisecond)
 			e.limit.Apply(eligibility.LimitUpdate{PerSecond: x.PerSecond, Sent: named, Received: named})
 		}
 	}
@@ -218,14 +218,14 @@
 	t.ended = nil
 }
 
-// TakeKept records the parts that an engine reports as cached. The time of their last use is
+// AddCached records the parts that an engine reports as cached. The time of their last use is
 // unknown. They count as used now, so that other engines don't recompute them.
-func (t *Table) TakeKept(now time.Time, endpointID string, parts []memory.Part) {
+func (t *Table) AddCached(now time.Time, endpointID string, parts []memory.Part) {
 	e := t.endpoints[endpointID]
 	if e == nil || !e.Engine {
 		return
 	}
-	capacity := memory.Room(t.service(e.Service).MemoryTokens, e.openTokens)
+	capacity := memory.CacheSize(t.service(e.Service).MemoryTokens, e.openTokens)
 	for _, part := range parts {
 		e.cache.Add(part, capacity)
 		t.recordUseAt(part.ID, now)
@@ -250,11 +250,11 @@
 	if x.Prefill[0] > s.prefill.weight {
 		s.prefill = prefillModel{weight: x.Prefill[0], sumX: x.Prefill[1], sumY: x.Prefill[2], sumXX: x.Prefill[3], sumXY: x.Prefill[4]}
 	}
-	if x.Undisturbed.Count > s.intervalsWithoutPrefill.Count {
-		s.intervalsWithoutPrefill = x.Undisturbed
+	if x.IntervalsWithoutPrefill.Count > s.intervalsWithoutPrefill.Count {
+		s.intervalsWithoutPrefill = x.IntervalsWithoutPrefill
 	}
-	if x.BesidePrefill.Count > s.intervalsWithPrefill.Count {
-		s.intervalsWithPrefill = x.BesidePrefill
+	if x.IntervalsWithPrefill.Count > s.intervalsWithPrefill.Count {
+		s.intervalsWithPrefill = x.IntervalsWithPrefill
 	}
 	if x.LongMS+x.ShortMS > s.pool.longMS+s.pool.shortMS {
 		s.pool.longMS, s.pool.shortMS, s.pool.updatedAt = x.LongMS, x.ShortMS, now
@@ -267,11 +267,11 @@
 		e.setSlowdown(x.Slowdown)
 	}
 	e.failures = max(e.failures, min(x.Failures, 1))
-	e.trust.Restore(x.Missing)
+	e.trust.Restore(x.FetchMissShare)
 	service := t.service(e.Service)
-	capacity := memory.Room(service.MemoryTokens, e.openTokens)
-	for n := len(x.Kept) - 1; n >= 0; n-- { // the most recent one last
-		if k := x.Kept[n]; k >= 0 && k < len(parts) {
+	capacity := memory.CacheSize(service.MemoryTokens, e.openTokens)
+	for n := len(x.CachedParts) - 1; n >= 0; n-- { // the most recent one last
+		if k := x.CachedParts[n]; k >= 0 && k < len(parts) {
 			e.cache.Add(parts[k], capacity)
 			t.partUse(parts[k].ID).addEngine(e)
 		}
@@ -300,14 +300,14 @@
 		sentAt: now.Add(-time.Duration(a.SentMS) * time.Millisecond),
 	}
 	e.attempts[a.ID] = restored
-	e.openTokens += a.Request.Prompt.Tokens + a.Request.Prompt.Out()
+	e.openTokens += a.Request.Prompt.Tokens + a.Request.Prompt.ExpectedOutput()
 	if a.FirstMS != noFirstEvent {
 		restored.firstAt = now.Add(-time.Duration(a.FirstMS) * time.Millisecond)
 		restored.lastAt = restored.firstAt
 		return
 	}
 	if e.Engine {
-		restored.addedParts = e.cache.Use(a.Request.Prompt, memory.Room(t.service(e.Service).MemoryTokens, e.openTokens))
+		restored.addedParts = e.cache.Use(a.Request.Prompt, memory.CacheSize(t.service(e.Service).MemoryTokens, e.openTokens))
 	}
 }
 
--- a/coord/placement/snapshot_test.go
+++ b/coord/placement/snapshot_test.go
@@ -12,8 +12,8 @@
 
 // snapshotTable returns a table of engines of one service.
 func snapshotTable(engines int, self uint64) *placement.Table {
-	t := &placement.Table{Self: self, ReuseLife: 10 * time.Second, Restoring: true}
-	t.SetServices([]placement.Service{{Name: "pool", MemoryTokens: 400_000, EventTokens: 14, BetweenTokens: 300 * time.Millisecond}})
+	t := &placement.Table{Self: self, ReuseWindow: 10 * time.Second, Restoring: true}
+	t.SetServices([]placement.Service{{Name: "pool", MemoryTokens: 400_000, EventTokens: 14, InterEventTarget: 300 * time.Millisecond}})
 	var list []placement.Endpoint
 	for n := range engines {
 		list = append(list, placement.Endpoint{ID: fmt.Sprint("i-", n), Service: "pool", Slots: 24, Engine: true})
@@ -25,8 +25,8 @@
 // requestFor returns a request whose prompt has a shared part and one of its own.
 func requestFor(sharedPart, ownPart uint64) placement.Request {
 	return placement.Request{
-		Service: "pool", FirstToken: 2 * time.Second, BetweenTokens: time.Second, TimeLeft: 10 * time.Second,
-		Prompt: memory.Prompt{Tokens: 6000, MaxOut: 100, Parts: []memory.Part{{ID: sharedPart, Tokens: 5000}, {ID: ownPart, Tokens: 1000}}},
+		Service: "pool", FirstEventTarget: 2 * time.Second, InterEventTarget: time.Second, TimeLeft: 10 * time.Second,
+		Prompt: memory.Prompt{Tokens: 6000, MaxOutputTokens: 100, Parts: []memory.Part{{ID: sharedPart, Tokens: 5000}, {ID: ownPart, Tokens: 1000}}},
 	}
 }
 
@@ -106,7 +106,7 @@
 	table := snapshotTable(2, 2)
 	table.Restore(now, placement.Snapshot{
 		Parts:     []memory.Part{{ID: 1, Tokens: 10}},
-		Endpoints: []placement.EndpointSnapshot{{ID: "i-0", Kept: []int{7, -1, 0}, Slowdown: -4, Failures: 9, Backlog: make([]float64, 99)}, {ID: "nobody"}},
+		Endpoints: []placement.EndpointSnapshot{{ID: "i-0", CachedParts: []int{7, -1, 0}, Slowdown: -4, Failures: 9, Backlog: make([]float64, 99)}, {ID: "nobody"}},
 		Services:  []placement.ServiceSnapshot{{Name: "nothing"}},
 	})
 	if _, ok := table.Choose(now, requestFor(1, 2), func(string) bool { return false }, rand.New(rand.NewPCG(1, 2))); !ok {
@@ -120,8 +120,8 @@
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	table := snapshotTable(20, 2)
 	random := rand.New(rand.NewPCG(1, 2))
-	table.TakeKept(now, "i-7", []memory.Part{{ID: 11, Tokens: 5000}})
-	table.TakeKept(now, "nobody", []memory.Part{{ID: 12, Tokens: 5000}})
+	table.AddCached(now, "i-7", []memory.Part{{ID: 11, Tokens: 5000}})
+	table.AddCached(now, "nobody", []memory.Part{{ID: 12, Tokens: 5000}})
 	c, _ := table.Choose(now, requestFor(11, 900), func(string) bool { return false }, random)
 	if c.Endpoint.ID != "i-7" || c.PrefillTokens != 1000 {
 		t.Errorf("the prompt is sent to %s, where %d tokens are computed", c.Endpoint.ID, c.PrefillTokens)
--- a/coord/placement/source.go
+++ b/coord/placement/source.go
@@ -31,7 +31,7 @@
 // findSources returns the sources of the request's prompt, those that cache most first.
 func (q *query) findSources() []memory.Source {
 	prompt := q.request.Prompt
-	if !q.service.MoveRate.Offered() || len(prompt.Parts) == 0 {
+	if !q.service.TransferRate.Offered() || len(prompt.Parts) == 0 {
 		return nil
 	}
 	var found []memory.Source
@@ -45,10 +45,10 @@
 			continue
 		}
 		found = append(found, memory.Source{
-			ID: e.Incarnation(), Address: e.Address, DataCentre: e.DataCentre, Kept: kept, Link: &e.link, Trust: &e.trust,
+			ID: e.Incarnation(), Address: e.Address, DataCentre: e.DataCentre, CachedTokens: kept, Link: &e.link, MissRate: &e.trust,
 		})
 	}
-	slices.SortStableFunc(found, func(a, b memory.Source) int { return cmp.Compare(b.Kept, a.Kept) })
+	slices.SortStableFunc(found, func(a, b memory.Source) int { return cmp.Compare(b.CachedTokens, a.CachedTokens) })
 	return found[:min(len(found), maxSources)]
 }
 
@@ -64,6 +64,6 @@
 	if len(q.sources) == 0 || !e.Engine {
 		return memory.Fetch{}
 	}
-	to := memory.Target{ID: e.Incarnation(), DataCentre: e.DataCentre, Kept: kept, Link: &e.link, ComputeMS: perTokenMS * e.slowdown}
-	return memory.Best(q.now, q.service.MoveRate, q.sources, to)
+	to := memory.Target{ID: e.Incarnation(), DataCentre: e.DataCentre, CachedTokens: kept, Link: &e.link, ComputeMS: perTokenMS * e.slowdown}
+	return memory.Best(q.now, q.service.TransferRate, q.sources, to)
 }
--- a/coord/placement/table.go
+++ b/coord/placement/table.go
@@ -22,13 +22,13 @@
 // Table holds the state of all endpoints at one entry. The zero value is empty. A Table is not
 // safe for concurrent use.
 type Table struct {
-	DataCentre string            // of this entry
-	Self       uint64            // owner of this entry's attempts
-	ReuseLife  time.Duration     // how long after its last use recomputing a shared part has a cost
-	Restoring  bool              // a snapshot of another table is pending
-	Regions    map[string]string // of data centres, by name
-	Group      eligibility.Group // of entries that send to the same endpoints
-	DrainGrace time.Duration     // time from the drain signal of an endpoint until it gets no more requests
+	DataCentre  string            // of this entry
+	Self        uint64            // owner of this entry's attempts
+	ReuseWindow time.Duration     // how long after its last use recomputing a shared part has a cost
+	Restoring   bool              // a snapshot of another table is pending
+	Regions     map[string]string // of data centres, by name
+	Group       eligibility.Group // of entries that send to the same endpoints
+	DrainGrace  time.Duration     // time from the drain signal of an endpoint until it gets no more requests
 
 	endpoints   map[string]*endpoint
 	services    map[string]*service
@@ -142,7 +142,7 @@
 // computedRecently reports whether any endpoint has used a shared part within ReuseLife.
 func (t *Table) computedRecently(now time.Time, part uint64) bool {
 	u := t.sharedParts[part]
-	return u != nil && now.Sub(u.lastUsed) < t.ReuseLife
+	return u != nil && now.Sub(u.lastUsed) < t.ReuseWindow
 }
 
 // recordUse records the use of a prompt's shared parts at an engine.
@@ -183,7 +183,7 @@
 // sweepSharedParts removes the shared parts that were not used within ReuseLife.
 func (t *Table) sweepShared(now time.Time) {
 	for id, u := range t.sharedParts {
-		if now.Sub(u.lastUsed) > t.ReuseLife {
+		if now.Sub(u.lastUsed) > t.ReuseWindow {
 			delete(t.sharedParts, id)
 		}
 	}
--- a/coord/quarantine/bench_test.go
+++ b/coord/quarantine/bench_test.go
@@ -22,9 +22,9 @@
 		for c := range 128 {
 			k := key(fmt.Sprint(n, "/", c))
 			keys = append(keys, k)
-			runs = append(runs, quarantine.Run{Content: k, Began: at(float64(n))})
+			runs = append(runs, quarantine.Run{Content: k, Started: at(float64(n))})
 		}
-		x.Crashed(fmt.Sprint("i-", n), at(float64(n)+0.1), 0, runs...)
+		x.RecordCrash(fmt.Sprint("i-", n), at(float64(n)+0.1), 0, runs...)
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
--- a/coord/quarantine/model_test.go
+++ b/coord/quarantine/model_test.go
@@ -119,7 +119,7 @@
 		}
 	}
 	v := m.tables[entry].Verdict(m.clock(), key(content))
-	if v.Held && (v.For > 0 || len(up) == 0 || !m.startTrial(entry, content)) {
+	if v.Held && (v.Remaining > 0 || len(up) == 0 || !m.startTrial(entry, content)) {
 		m.refused[content]++
 		return
 	}
@@ -151,10 +151,10 @@
 // succeed records a successful run of a content at an entry. The entry reports it to the others
 // only if the content had crashes or a hold.
 func (m *model) succeed(entry int, content string) {
-	if !m.tables[entry].Succeeded(key(content)) {
+	if !m.tables[entry].RecordSuccess(key(content)) {
 		return
 	}
-	m.report(entry, func(*quarantine.Table) {}, func(t *quarantine.Table, _ time.Duration) { t.Succeeded(key(content)) })
+	m.report(entry, func(*quarantine.Table) {}, func(t *quarantine.Table, _ time.Duration) { t.RecordSuccess(key(content)) })
 }
 
 // startTrial starts a trial of a content and reports whether it did: no other trial may be in
@@ -164,10 +164,10 @@
 		return false
 	}
 	trials := m.tables[entry].Verdict(m.clock(), key(content)).Trials + 1
-	until := m.now + quarantine.TrialTime
+	until := m.now + quarantine.TrialInterval
 	m.nextTrial[content] = until
 	for n := range m.tables {
-		m.tables[n].Try(key(content), trials, start.Add(until))
+		m.tables[n].RecordTrial(key(content), trials, start.Add(until))
 	}
 	return true
 }
@@ -191,9 +191,9 @@
 		return cmp.Or(cmp.Compare(a.began, b.began), cmp.Compare(a.content, b.content), cmp.Compare(a.entry, b.entry))
 	})
 	for _, r := range all {
-		run := quarantine.Run{Content: key(r.content), Began: start.Add(r.began), Known: r.known}
-		m.report(r.entry, func(t *quarantine.Table) { t.Crashed(name, at, 0, run) }, func(t *quarantine.Table, age time.Duration) {
-			t.TakeCrash(m.clock(), quarantine.CrashReport{
+		run := quarantine.Run{Content: key(r.content), Started: start.Add(r.began), KnownCrashes: r.known}
+		m.report(r.entry, func(t *quarantine.Table) { t.RecordCrash(name, at, 0, run) }, func(t *quarantine.Table, age time.Duration) {
+			t.ApplyCrash(m.clock(), quarantine.CrashReport{
 				Endpoint: name, AgeMS: age.Milliseconds(), From: uint64(r.entry) + 1, Runs: []quarantine.RunReport{quarantine.ReportOf(run, at)},
 			})
 		})
--- a/coord/quarantine/quarantine.go
+++ b/coord/quarantine/quarantine.go
@@ -48,9 +48,9 @@
 	// crashes is not one of the three sends.
 	minAmbiguousHold = time.Second
 	maxAmbiguousHold = 3 * time.Second
-	// TrialTime is the time from the start of a trial until another one may start. A content that
+	// TrialInterval is the time from the start of a trial until another one may start. A content that
 	// crashes its endpoint does so within a tenth of a second.
-	TrialTime = 5 * time.Second
+	TrialInterval = 5 * time.Second
 	// holdFactor multiplies the length of each further hold, up to maxHold. Trials start 1, 5 and
 	// 21 minutes after the crash that started the first hold, then once an hour.
 	holdFactor = 4
@@ -60,23 +60,23 @@
 // Run is one run of a content at an endpoint.
 type Run struct {
 	Content Key
-	Began   time.Time
-	// Known is the number of crashes that the sender counted against the content when the run
+	Started time.Time
+	// KnownCrashes is the number of crashes that the sender counted against the content when the run
 	// began. It orders runs and crashes without a clock: a retry begins within 1 ms of the crash
 	// before it, while reports of crashes have a resolution of 1 ms and take some ms to arrive.
-	Known int
+	KnownCrashes int
 }
 
 // Verdict is the decision on a content.
 type Verdict struct {
-	Crashes int           // counted against the content
-	Trials  int           // of the content since it is held
-	Last    time.Time     // time of the last crash
-	Held    bool          // it is sent to no endpoint, except for a trial
-	For     time.Duration // time until the next trial, if held; 0 if a trial is due
-	// Doubtful is set if the crashes happened together, so that they may be one event that the
+	Crashes   int           // counted against the content
+	Trials    int           // of the content since it is held
+	LastCrash time.Time     // time of the last crash
+	Held      bool          // it is sent to no endpoint, except for a trial
+	Remaining time.Duration // time until the next trial, if held; 0 if a trial is due
+	// Correlated is set if the crashes happened together, so that they may be one event that the
 	// content did not cause.
-	Doubtful bool
+	Correlated bool
 }
 
 // Verdict returns the decision on a content.
@@ -87,7 +87,7 @@
 	}
 	v := Verdict{Crashes: max(c.counted, c.reportedCrashes)}
 	if len(c.crashes) > 0 {
-		v.Last = c.crashes[len(c.crashes)-1].at
+		v.LastCrash = c.crashes[len(c.crashes)-1].at
 	}
 	var next time.Time // next trial, by the crashes known to this process
 	switch {
@@ -97,16 +97,16 @@
 			hold = ambiguousHold(k)
 		}
 		failed := min(c.trials, v.Crashes-maxCrashes)
-		next = v.Last.Add(holdAfterTrials(hold, failed))
+		next = v.LastCrash.Add(holdAfterTrials(hold, failed))
 	case c.neverSucceeded(now):
 		v.Crashes = maxCrashes
-		v.Doubtful = true
+		v.Correlated = true
 	default:
 		return v
 	}
 	v.Held = true
 	v.Trials = c.trials
-	v.For = max(c.until.Sub(now), next.Sub(now), 0)
+	v.Remaining = max(c.until.Sub(now), next.Sub(now), 0)
 	return v
 }
 
--- a/coord/quarantine/quarantine_test.go
+++ b/coord/quarantine/quarantine_test.go
@@ -21,9 +21,9 @@
 func crash(t *quarantine.Table, endpoint string, seconds float64, contents ...string) []quarantine.Key {
 	var runs []quarantine.Run
 	for _, c := range contents {
-		runs = append(runs, quarantine.Run{Content: key(c), Began: at(seconds - 0.1)})
+		runs = append(runs, quarantine.Run{Content: key(c), Started: at(seconds - 0.1)})
 	}
-	return t.Crashed(endpoint, at(seconds), 0, runs...)
+	return t.RecordCrash(endpoint, at(seconds), 0, runs...)
 }
 
 func held(t *quarantine.Table, seconds float64, content string) bool {
@@ -34,12 +34,12 @@
 	var t quarantine.Table
 	for n, endpoint := range []string{"i-1", "i-2", "i-3"} {
 		crashed := start.Add(time.Duration(n) * time.Second)
-		t.Crashed(endpoint, crashed, 0, quarantine.Run{Content: key("/plan/7"), Began: crashed.Add(-100 * time.Millisecond)})
+		t.RecordCrash(endpoint, crashed, 0, quarantine.Run{Content: key("/plan/7"), Started: crashed.Add(-100 * time.Millisecond)})
 	}
 	now := start.Add(2 * time.Second)
 	v := t.Verdict(now, key("/plan/7"))
-	fmt.Println(v.Crashes, v.Held, v.For)
-	t.Succeeded(key("/plan/7"))
+	fmt.Println(v.Crashes, v.Held, v.Remaining)
+	t.RecordSuccess(key("/plan/7"))
 	fmt.Println(t.Verdict(now, key("/plan/7")).Held)
 	// Output:
 	// 3 true 1m0s
@@ -75,11 +75,11 @@
 	for trials, want := range []time.Duration{time.Minute, 4 * time.Minute, 16 * time.Minute, time.Hour, time.Hour} {
 		crash(&x, fmt.Sprint("trial-", trials), seconds, "bad")
 		v := x.Verdict(at(seconds), key("bad"))
-		if v.For != want {
-			t.Errorf("after %d trials: held for %v, want %v", trials, v.For, want)
+		if v.Remaining != want {
+			t.Errorf("after %d trials: held for %v, want %v", trials, v.Remaining, want)
 		}
-		seconds += v.For.Seconds()
-		x.Hold(key("bad"), v.Crashes, trials+1, at(seconds).Add(quarantine.TrialTime))
+		seconds += v.Remaining.Seconds()
+		x.Hold(key("bad"), v.Crashes, trials+1, at(seconds).Add(quarantine.TrialInterval))
 	}
 }
 
@@ -91,12 +91,12 @@
 		crash(&x, fmt.Sprint("i-", n), 2*float64(n), "one", "other")
 	}
 	for _, content := range []string{"one", "other"} {
-		if v := x.Verdict(at(4), key(content)); !v.Held || v.For < time.Second || v.For > 3*time.Second {
+		if v := x.Verdict(at(4), key(content)); !v.Held || v.Remaining < time.Second || v.Remaining > 3*time.Second {
 			t.Errorf("%s: %+v", content, v)
 		}
 	}
-	x.Succeeded(key("one"))
-	if v := x.Verdict(at(4), key("other")); !v.Held || v.For != time.Minute {
+	x.RecordSuccess(key("one"))
+	if v := x.Verdict(at(4), key("other")); !v.Held || v.Remaining != time.Minute {
 		t.Errorf("after the other content succeeded: %+v", v)
 	}
 	for n, content := range []string{"one", "one", "one", "one"} {
@@ -104,7 +104,7 @@
 	}
 	crash(&x, "trial", 20, "one", "other")
 	x.Hold(key("other"), 4, 1, at(20))
-	if v := x.Verdict(at(20), key("other")); v.For != 4*time.Minute {
+	if v := x.Verdict(at(20), key("other")); v.Remaining != 4*time.Minute {
 		t.Errorf("after a trial with the other content in progress: %+v", v)
 	}
 }
@@ -125,11 +125,11 @@
 	for n := range 3 {
 		crash(&x, fmt.Sprint("i-", n), float64(n), "bad")
 	}
-	if v := x.Verdict(at(62), key("bad")); !v.Held || v.For != 0 {
+	if v := x.Verdict(at(62), key("bad")); !v.Held || v.Remaining != 0 {
 		t.Errorf("after a minute: %+v", v)
 	}
-	x.Hold(key("bad"), 3, 1, at(62).Add(quarantine.TrialTime))
-	if v := x.Verdict(at(63), key("bad")); !v.Held || v.For != 4*time.Second {
+	x.Hold(key("bad"), 3, 1, at(62).Add(quarantine.TrialInterval))
+	if v := x.Verdict(at(63), key("bad")); !v.Held || v.Remaining != 4*time.Second {
 		t.Errorf("during a trial: %+v", v)
 	}
 }
@@ -139,7 +139,7 @@
 func TestCorrelatedCrashesCountOnce(t *testing.T) {
 	var x quarantine.Table
 	for n := range 20 {
-		x.Crashed(fmt.Sprint("i-", n), at(10+float64(n)*0.04), 0, quarantine.Run{Content: key("popular"), Began: at(9)})
+		x.RecordCrash(fmt.Sprint("i-", n), at(10+float64(n)*0.04), 0, quarantine.Run{Content: key("popular"), Started: at(9)})
 	}
 	if v := x.Verdict(at(11), key("popular")); v.Held || v.Crashes != 1 {
 		t.Errorf("20 endpoints that crash within 0.8 s: %+v", v)
@@ -154,9 +154,9 @@
 	for _, delay := range []float64{0, 0.01, 0.05} {
 		for n := range 3 {
 			r := quarantine.CrashReport{Endpoint: fmt.Sprint("i-", n), From: 7, Runs: []quarantine.RunReport{
-				quarantine.ReportOf(quarantine.Run{Content: key("popular"), Began: at(9.99)}, at(10)),
+				quarantine.ReportOf(quarantine.Run{Content: key("popular"), Started: at(9.99)}, at(10)),
 			}}
-			x.TakeCrash(at(10+delay+0.001*float64(n)), r)
+			x.ApplyCrash(at(10+delay+0.001*float64(n)), r)
 		}
 	}
 	if v := x.Verdict(at(10.1), key("popular")); v.Crashes != 1 {
@@ -171,7 +171,7 @@
 	crashTogether := func(endpoints int) *quarantine.Table {
 		x := &quarantine.Table{}
 		for n := range endpoints {
-			x.Crashed(fmt.Sprint("i-", n), at(10+float64(n)*0.01), 0, quarantine.Run{Content: key("doubtful"), Began: at(9.9)})
+			x.RecordCrash(fmt.Sprint("i-", n), at(10+float64(n)*0.01), 0, quarantine.Run{Content: key("doubtful"), Started: at(9.9)})
 		}
 		return x
 	}
@@ -179,22 +179,22 @@
 	if held(x, 11, "doubtful") {
 		t.Error("held within a second")
 	}
-	if v := x.Verdict(at(11.02), key("doubtful")); !v.Held || !v.Doubtful || v.For != 0 || v.Crashes != 3 {
+	if v := x.Verdict(at(11.02), key("doubtful")); !v.Held || !v.Correlated || v.Remaining != 0 || v.Crashes != 3 {
 		t.Errorf("after a second: %+v", v)
 	}
-	x.Try(key("doubtful"), 1, at(11.02).Add(quarantine.TrialTime))
-	if v := x.Verdict(at(12.02), key("doubtful")); !v.Held || v.For != 4*time.Second {
+	x.RecordTrial(key("doubtful"), 1, at(11.02).Add(quarantine.TrialInterval))
+	if v := x.Verdict(at(12.02), key("doubtful")); !v.Held || v.Remaining != 4*time.Second {
 		t.Errorf("during the trial: %+v", v)
 	}
-	x.Crashed("trial", at(12.1), 0, quarantine.Run{Content: key("doubtful"), Began: at(12), Known: 3})
-	if v := x.Verdict(at(12.1), key("doubtful")); v.Doubtful || v.Crashes != 4 || v.For < time.Minute {
+	x.RecordCrash("trial", at(12.1), 0, quarantine.Run{Content: key("doubtful"), Started: at(12), KnownCrashes: 3})
+	if v := x.Verdict(at(12.1), key("doubtful")); v.Correlated || v.Crashes != 4 || v.Remaining < time.Minute {
 		t.Errorf("after a failed trial: %+v", v)
 	}
 	if held(crashTogether(2), 60, "doubtful") {
 		t.Error("held after two crashes")
 	}
 	x = crashTogether(3)
-	x.Succeeded(key("doubtful"))
+	x.RecordSuccess(key("doubtful"))
 	if held(x, 60, "doubtful") {
 		t.Error("held after a success")
 	}
@@ -205,7 +205,7 @@
 func TestLongRunsCountSeparately(t *testing.T) {
 	var x quarantine.Table
 	for n := range 3 {
-		x.Crashed(fmt.Sprint("i-", n), at(5+1.2*float64(n)), 0, quarantine.Run{Content: key("slow"), Began: at(float64(n) * 0.1)})
+		x.RecordCrash(fmt.Sprint("i-", n), at(5+1.2*float64(n)), 0, quarantine.Run{Content: key("slow"), Started: at(float64(n) * 0.1)})
 	}
 	if !held(&x, 8, "slow") {
 		t.Error("not held after three crashes, 1.2 s apart")
@@ -235,7 +235,7 @@
 				crash(&x, fmt.Sprint("i-", n), float64(n), contents...)
 			}
 			for content, want := range c.held {
-				if got := x.Verdict(at(float64(len(c.crashes)-1)), key(content)).For; got != want {
+				if got := x.Verdict(at(float64(len(c.crashes)-1)), key(content)).Remaining; got != want {
 					t.Errorf("%s: held for %v, want %v", content, got, want)
 				}
 			}
@@ -253,14 +253,14 @@
 		}
 	}
 	reportAll()
-	if !x.Succeeded(key("popular")) || held(&x, 3, "popular") || !x.Empty() {
+	if !x.RecordSuccess(key("popular")) || held(&x, 3, "popular") || !x.Empty() {
 		t.Error("not cleared")
 	}
 	reportAll()
 	if held(&x, 3, "popular") || !x.Empty() {
 		t.Error("held after repeated reports of cleared crashes")
 	}
-	if x.Succeeded(key("popular")) {
+	if x.RecordSuccess(key("popular")) {
 		t.Error("a second success clears something")
 	}
 	for n := range 3 {
@@ -276,7 +276,7 @@
 func TestSameCrashFromManyEntries(t *testing.T) {
 	var x quarantine.Table
 	for n := range 10 {
-		x.Crashed("i-1", at(1+float64(n)*0.01), uint64(n), quarantine.Run{Content: key("bad"), Began: at(0.9)})
+		x.RecordCrash("i-1", at(1+float64(n)*0.01), uint64(n), quarantine.Run{Content: key("bad"), Started: at(0.9)})
 	}
 	if v := x.Verdict(at(2), key("bad")); v.Crashes != 1 {
 		t.Errorf("one crash of an endpoint counts %d times", v.Crashes)
@@ -285,10 +285,10 @@
 
 func TestUnansweredRuns(t *testing.T) {
 	var x quarantine.Table
-	run := func(name string) quarantine.Run { return quarantine.Run{Content: key(name), Began: at(0)} }
-	x.Unanswered(at(1), "i-1", run("old"))
-	x.Unanswered(at(5), "i-1", run("left"))
-	x.Unanswered(at(5), "i-2", run("elsewhere"))
+	run := func(name string) quarantine.Run { return quarantine.Run{Content: key(name), Started: at(0)} }
+	x.RecordUnanswered(at(1), "i-1", run("old"))
+	x.RecordUnanswered(at(5), "i-1", run("left"))
+	x.RecordUnanswered(at(5), "i-2", run("elsewhere"))
 	if got := x.UnansweredAt(at(6)); len(got) != 2 {
 		t.Errorf("runs without a response at %v", got)
 	}
--- a/coord/quarantine/report.go
+++ b/coord/quarantine/report.go
@@ -9,13 +9,13 @@
 
 // State is the state of one content, for operators.
 type State struct {
-	Content   Key      `json:"content"`
-	Crashes   int      `json:"crashes"`           // counted against the content
-	LastMS    int64    `json:"last_ms_ago"`       // ms since the last of the crashes, 0 if none
-	Held      bool     `json:"held"`              // it is sent to no endpoint, except for a trial
-	ForMS     int64    `json:"held_for_ms"`       // ms until the next trial
-	Endpoints []string `json:"crashed_endpoints"` // endpoints of the crashes
-	ToldBy    []uint64 `json:"told_by"`           // incarnations of the entries that reported the crashes, 0 for this one
+	Content    Key      `json:"content"`
+	Crashes    int      `json:"crashes"`           // counted against the content
+	LastMS     int64    `json:"last_ms_ago"`       // ms since the last of the crashes, 0 if none
+	Held       bool     `json:"held"`              // it is sent to no endpoint, except for a trial
+	ForMS      int64    `json:"held_for_ms"`       // ms until the next trial
+	Endpoints  []string `json:"crashed_endpoints"` // endpoints of the crashes
+	ReportedBy []uint64 `json:"told_by"`           // incarnations of the entries that reported the crashes, 0 for this one
 }
 
 // maxStates bounds the contents that States returns.
@@ -59,13 +59,13 @@
 
 func (t *Table) state(now time.Time, k Key, c *content) State {
 	v := t.Verdict(now, k)
-	s := State{Content: k, Crashes: v.Crashes, Held: v.Held, ForMS: v.For.Milliseconds()}
-	if !v.Last.IsZero() {
-		s.LastMS = now.Sub(v.Last).Milliseconds()
+	s := State{Content: k, Crashes: v.Crashes, Held: v.Held, ForMS: v.Remaining.Milliseconds()}
+	if !v.LastCrash.IsZero() {
+		s.LastMS = now.Sub(v.LastCrash).Milliseconds()
 	}
 	for _, x := range c.crashes {
 		s.Endpoints = append(s.Endpoints, x.endpoint)
-		s.ToldBy = append(s.ToldBy, x.from)
+		s.ReportedBy = append(s.ReportedBy, x.from)
 	}
 	return s
 }
@@ -114,39 +114,39 @@
 
 // ReportOf returns the report of a run at an endpoint that crashed at a time.
 func ReportOf(r Run, at time.Time) RunReport {
-	return RunReport{Content: r.Content[:], RanMS: at.Sub(r.Began).Milliseconds(), Known: r.Known}
+	return RunReport{Content: r.Content[:], RanMS: at.Sub(r.Started).Milliseconds(), Known: r.KnownCrashes}
 }
 
-// KeyFrom returns the key in a report. It returns false if its length is wrong.
-func KeyFrom(data []byte) (Key, bool) {
+// KeyFromBytes returns the key in a report. It returns false if its length is wrong.
+func KeyFromBytes(data []byte) (Key, bool) {
 	if len(data) != keyBytes {
 		return Key{}, false
 	}
 	return Key(data), true
 }
 
-// TakeCrash applies another process's report of a crash like Crashed. It ignores invalid and
+// ApplyCrash applies another process's report of a crash like Crashed. It ignores invalid and
 // expired data.
-func (t *Table) TakeCrash(now time.Time, r CrashReport) []Key {
+func (t *Table) ApplyCrash(now time.Time, r CrashReport) []Key {
 	at := ago(now, r.AgeMS)
 	if r.AgeMS < 0 || now.Sub(at) >= retention {
 		return nil
 	}
 	var runs []Run
 	for _, x := range r.Runs {
-		if k, ok := KeyFrom(x.Content); ok && x.RanMS >= 0 {
-			runs = append(runs, Run{Content: k, Began: ago(at, x.RanMS), Known: x.Known})
+		if k, ok := KeyFromBytes(x.Content); ok && x.RanMS >= 0 {
+			runs = append(runs, Run{Content: k, Started: ago(at, x.RanMS), KnownCrashes: x.Known})
 		}
 	}
 	if len(runs) == 0 {
 		return nil
 	}
-	return t.Crashed(r.Endpoint, at, r.From, runs...)
+	return t.RecordCrash(r.Endpoint, at, r.From, runs...)
 }
 
-// TakeHold applies another process's report of a hold like Hold. It ignores invalid reports.
-func (t *Table) TakeHold(now time.Time, r HoldReport) {
-	k, ok := KeyFrom(r.Content)
+// ApplyHold applies another process's report of a hold like Hold. It ignores invalid reports.
+func (t *Table) ApplyHold(now time.Time, r HoldReport) {
+	k, ok := KeyFromBytes(r.Content)
 	if ok && r.Crashes >= maxCrashes && r.ForMS <= maxHold.Milliseconds() {
 		t.Hold(k, r.Crashes, max(r.Trials, 0), r.until(now))
 	}
@@ -161,7 +161,7 @@
 		x := CrashReport{Endpoint: name, AgeMS: now.Sub(known.at).Milliseconds(), From: cmp.Or(known.from, self)}
 		for k, r := range known.runs {
 			if !r.cleared {
-				x.Runs = append(x.Runs, ReportOf(Run{Content: k, Began: r.began, Known: r.known}, known.at))
+				x.Runs = append(x.Runs, ReportOf(Run{Content: k, Started: r.began, KnownCrashes: r.known}, known.at))
 			}
 		}
 		if len(x.Runs) > 0 {
@@ -176,26 +176,26 @@
 	return s
 }
 
-// Learn merges a snapshot of another process. It returns the contents that are held as a result
+// Merge merges a snapshot of another process. It returns the contents that are held as a result
 // of its crashes, and the part of the snapshot that was new, for forwarding. That part excludes
 // known and invalid data, so that forwarding between processes ends.
-func (t *Table) Learn(now time.Time, s Snapshot) (held []Key, added Snapshot) {
+func (t *Table) Merge(now time.Time, s Snapshot) (held []Key, added Snapshot) {
 	for _, r := range s.Crashes[:min(len(s.Crashes), maxKnownCrashes)] {
 		known := t.hasCrash(r)
-		held = append(held, t.TakeCrash(now, r)...)
+		held = append(held, t.ApplyCrash(now, r)...)
 		if !known && t.hasCrash(r) {
 			added.Crashes = append(added.Crashes, r)
 		}
 	}
 	for _, h := range s.Holds[:min(len(s.Holds), maxKnownCrashes)] {
 		known := t.hasHold(now, h)
-		t.TakeHold(now, h)
+		t.ApplyHold(now, h)
 		if !known && t.hasHold(now, h) {
 			added.Holds = append(added.Holds, h)
 		}
 	}
 	for _, data := range s.Cleared[:min(len(s.Cleared), maxKnownCrashes)] {
-		if k, ok := KeyFrom(data); ok && t.Succeeded(k) {
+		if k, ok := KeyFromBytes(data); ok && t.RecordSuccess(k) {
 			added.Cleared = append(added.Cleared, data)
 		}
 	}
@@ -209,7 +209,7 @@
 		return false
 	}
 	for _, run := range r.Runs {
-		if k, ok := KeyFrom(run.Content); ok {
+		if k, ok := KeyFromBytes(run.Content); ok {
 			if _, known := x.runs[k]; !known {
 				return false
 			}
@@ -225,7 +225,7 @@
 
 // hasHold reports whether a reported hold ends at the same time as the stored one.
 func (t *Table) hasHold(now time.Time, h HoldReport) bool {
-	k, ok := KeyFrom(h.Content)
+	k, ok := KeyFromBytes(h.Content)
 	c := t.contents[k]
 	return ok && c != nil && h.until(now).Sub(c.until).Abs() < holdTolerance
 }
--- a/coord/quarantine/report_test.go
+++ b/coord/quarantine/report_test.go
@@ -16,9 +16,9 @@
 	for n := range 3 {
 		crash(&from, fmt.Sprint("i-", n), float64(n), "bad", fmt.Sprint("beside-", n))
 	}
-	from.Succeeded(key("beside-1"))
+	from.RecordSuccess(key("beside-1"))
 	from.Hold(key("told"), 4, 1, at(100))
-	to.Learn(at(10), from.Snapshot(at(10), 7))
+	to.Merge(at(10), from.Snapshot(at(10), 7))
 	for _, content := range []string{"bad", "beside-0", "beside-1", "told"} {
 		want, got := from.Verdict(at(10), key(content)), to.Verdict(at(10), key(content))
 		if got != want {
@@ -26,8 +26,8 @@
 		}
 	}
 	for _, s := range to.States(at(10)) {
-		if s.Content == key("bad") && !slices.Equal(s.ToldBy, []uint64{7, 7, 7}) {
-			t.Errorf("the crashes were reported by %v", s.ToldBy)
+		if s.Content == key("bad") && !slices.Equal(s.ReportedBy, []uint64{7, 7, 7}) {
+			t.Errorf("the crashes were reported by %v", s.ReportedBy)
 		}
 	}
 }
@@ -42,15 +42,15 @@
 		for n := range 3 {
 			began := now.Add(time.Duration(rapid.IntRange(50, 900).Draw(t, "us after the crash")) * time.Microsecond)
 			now = began.Add(time.Duration(rapid.IntRange(20, 200).Draw(t, "ms from start to crash")) * time.Millisecond)
-			r := quarantine.Run{Content: key("bad"), Began: began, Known: own.Verdict(began, key("bad")).Crashes}
-			own.Crashed(fmt.Sprint("i-", n), now, 0, r)
+			r := quarantine.Run{Content: key("bad"), Started: began, KnownCrashes: own.Verdict(began, key("bad")).Crashes}
+			own.RecordCrash(fmt.Sprint("i-", n), now, 0, r)
 			transit := time.Duration(rapid.IntRange(1, 40).Draw(t, "ms of transit")) * time.Millisecond
-			other.TakeCrash(now.Add(transit), quarantine.CrashReport{
+			other.ApplyCrash(now.Add(transit), quarantine.CrashReport{
 				Endpoint: fmt.Sprint("i-", n), Runs: []quarantine.RunReport{quarantine.ReportOf(r, now)},
 			})
 		}
 		var fromSnapshot quarantine.Table
-		fromSnapshot.Learn(now, own.Snapshot(now, 1))
+		fromSnapshot.Merge(now, own.Snapshot(now, 1))
 		for name, x := range map[string]*quarantine.Table{"own": &own, "other": &other, "snapshot": &fromSnapshot} {
 			if n := x.Verdict(now, key("bad")).Crashes; n != 3 {
 				t.Errorf("%s: %d crashes are counted", name, n)
@@ -102,25 +102,25 @@
 	crash(&from, "i-1", 1, "bad")
 	from.Hold(key("told"), 3, 1, at(100))
 	snapshot := from.Snapshot(at(2), 7)
-	if _, added := to.Learn(at(2), snapshot); len(added.Crashes) != 1 || len(added.Holds) != 1 {
+	if _, added := to.Merge(at(2), snapshot); len(added.Crashes) != 1 || len(added.Holds) != 1 {
 		t.Errorf("new data: %+v", added)
 	}
-	if _, added := to.Learn(at(2.1), snapshot); !added.Empty() {
+	if _, added := to.Merge(at(2.1), snapshot); !added.Empty() {
 		t.Errorf("known data returned as new: %+v", added)
 	}
 	crash(&from, "i-1", 1, "beside")
-	if _, added := to.Learn(at(3), from.Snapshot(at(3), 7)); len(added.Crashes) != 1 {
+	if _, added := to.Merge(at(3), from.Snapshot(at(3), 7)); len(added.Crashes) != 1 {
 		t.Errorf("new run at a known crash: %+v", added)
 	}
 	k := key("bad")
 	cleared := quarantine.Snapshot{Cleared: [][]byte{k[:], []byte("no key")}}
-	if _, added := to.Learn(at(4), cleared); len(added.Cleared) != 1 {
+	if _, added := to.Merge(at(4), cleared); len(added.Cleared) != 1 {
 		t.Errorf("cleared content: %+v", added)
 	}
-	if _, added := to.Learn(at(4), cleared); !added.Empty() {
+	if _, added := to.Merge(at(4), cleared); !added.Empty() {
 		t.Errorf("content cleared again: %+v", added)
 	}
-	if _, added := to.Learn(at(5), from.Snapshot(at(5), 7)); len(added.Crashes) != 0 || held(&to, 5, "bad") {
+	if _, added := to.Merge(at(5), from.Snapshot(at(5), 7)); len(added.Crashes) != 0 || held(&to, 5, "bad") {
 		t.Errorf("crashes of a cleared content returned as new: %+v", added)
 	}
 }
@@ -136,8 +136,8 @@
 			Crashes: []quarantine.CrashReport{{Endpoint: "i-1", AgeMS: age, Runs: []quarantine.RunReport{{Content: content, RanMS: ran}}}},
 			Holds:   []quarantine.HoldReport{{Content: content, Crashes: crashes, ForMS: age}},
 		}
-		x.Learn(at(0), snapshot)
-		if _, again := x.Learn(at(0), snapshot); !again.Empty() {
+		x.Merge(at(0), snapshot)
+		if _, again := x.Merge(at(0), snapshot); !again.Empty() {
 			t.Errorf("known data returned as new: %+v", again)
 		}
 		for _, s := range x.States(at(0)) {
--- a/coord/quarantine/table.go
+++ b/coord/quarantine/table.go
@@ -68,16 +68,16 @@
 // Empty reports whether there is no crash or hold of any content.
 func (t *Table) Empty() bool { return len(t.contents) == 0 }
 
-// Crashed records a crash of an endpoint with runs in progress. from is the incarnation of the
+// RecordCrash records a crash of an endpoint with runs in progress. from is the incarnation of the
 // process that reported it, 0 for this one. It returns the contents that are held as a result.
-func (t *Table) Crashed(endpoint string, at time.Time, from uint64, runs ...Run) []Key {
+func (t *Table) RecordCrash(endpoint string, at time.Time, from uint64, runs ...Run) []Key {
 	x := t.crashes[endpoint]
 	if x == nil {
 		x = t.addCrash(endpoint, at, from)
 	}
 	var held []Key
 	for _, r := range runs {
-		r.Began = r.Began.Add(x.at.Sub(at)) // a repeated report has a later crash time, so its runs are shifted by the difference
+		r.Started = r.Started.Add(x.at.Sub(at)) // a repeated report has a later crash time, so its runs are shifted by the difference
 		before := t.Verdict(at, r.Content).Held
 		t.addRun(x, r)
 		if !before && t.Verdict(at, r.Content).Held {
@@ -111,10 +111,10 @@
 	case former.cleared:
 		return
 	}
-	if former.began.After(r.Began) {
-		r.Began = former.began
+	if former.began.After(r.Started) {
+		r.Started = former.began
 	}
-	x.runs[r.Content] = run{began: r.Began, known: max(former.known, r.Known)}
+	x.runs[r.Content] = run{began: r.Started, known: max(former.known, r.KnownCrashes)}
 	c := t.content(r.Content)
 	if !ok {
 		at, _ := slices.BinarySearchFunc(c.crashes, x.at, func(x *crash, t time.Time) int { return x.at.Compare(t) })
@@ -136,9 +136,9 @@
 	return c
 }
 
-// Succeeded records a successful run of a content, and clears its crashes and hold. It reports
+// RecordSuccess records a successful run of a content, and clears its crashes and hold. It reports
 // whether there were any.
-func (t *Table) Succeeded(k Key) bool {
+func (t *Table) RecordSuccess(k Key) bool {
 	c := t.contents[k]
 	if c == nil {
 		return false
@@ -159,17 +159,17 @@
 	c.until = until
 }
 
-// Try records a trial of a held content. trials is the number of its trials, this one included;
+// RecordTrial records a trial of a held content. trials is the number of its trials, this one included;
 // another trial may start at the time until.
-func (t *Table) Try(k Key, trials int, until time.Time) {
+func (t *Table) RecordTrial(k Key, trials int, until time.Time) {
 	c := t.content(k)
 	c.trials = trials
 	c.until = until
 }
 
-// Unanswered records a run that ended without a response, or whose caller disconnected. If the
+// RecordUnanswered records a run that ended without a response, or whose caller disconnected. If the
 // endpoint turns out to have crashed, the run was in progress there.
-func (t *Table) Unanswered(now time.Time, endpoint string, r Run) {
+func (t *Table) RecordUnanswered(now time.Time, endpoint string, r Run) {
 	t.unanswered = t.unanswered[t.expired(now):]
 	if len(t.unanswered) >= maxUnanswered {
 		t.unanswered = t.unanswered[1:]
--- a/coord/queue/example_test.go
+++ b/coord/queue/example_test.go
@@ -20,7 +20,7 @@
 			Deadline: now.Add(time.Second),
 		}, now)
 	}
-	next := q.Peek(now, queue.Room{Slots: 1})
+	next := q.Peek(now, queue.Capacity{Slots: 1})
 	q.Take(next)
 	fmt.Println(next.Offer.Terms.Class, q.Len())
 	// Output: tier-0 1
--- a/coord/queue/queue.go
+++ b/coord/queue/queue.go
@@ -20,8 +20,8 @@
 	byTier  map[int]*list.List // items of each tier, in the order of Push
 }
 
-// Room is the capacity of the endpoints, an input of the starvation guard.
-type Room struct {
+// Capacity is the capacity of the endpoints, an input of the starvation guard.
+type Capacity struct {
 	Slots    int                    // most concurrent work of the endpoints
 	NextFree time.Duration          // expected time between two slots becoming free
 	Running  func(class string) int // running work of the class, including held slots
@@ -141,7 +141,7 @@
 }
 
 // Peek returns the item to serve next, or nil.
-func (q *Queue) Peek(now time.Time, r Room) *Item {
+func (q *Queue) Peek(now time.Time, r Capacity) *Item {
 	for _, c := range q.classes {
 		c.expire(now)
 	}
@@ -203,7 +203,7 @@
 // starving returns the item past its class's starvation bound that is most overdue. Its class must
 // not use its full floor share, and either no queued item of a higher tier misses its target by it,
 // or the wait has reached twice the bound.
-func (q *Queue) starving(now time.Time, r Room) *Item {
+func (q *Queue) starving(now time.Time, r Capacity) *Item {
 	var mostOverdue *Item
 	for _, c := range q.classes {
 		if c.len() == 0 {
@@ -226,7 +226,7 @@
 
 // floorUsed reports whether the class uses its full floor share. A class without running work may
 // always start one request.
-func (r Room) floorUsed(i *Item) bool {
+func (r Capacity) floorUsed(i *Item) bool {
 	if r.Running == nil {
 		return false
 	}
--- a/coord/queue/queue_test.go
+++ b/coord/queue/queue_test.go
@@ -51,7 +51,7 @@
 		}
 		var tiers []int
 		for q.Len() > 0 {
-			i := q.Peek(start, queue.Room{Slots: 4})
+			i := q.Peek(start, queue.Capacity{Slots: 4})
 			tiers = append(tiers, i.Offer.Terms.Tier)
 			q.Take(i)
 		}
@@ -64,9 +64,9 @@
 		onTime := item(2, class(0), start)
 		q.Push(late, start)
 		q.Push(onTime, start)
-		Expect(q.Peek(start, queue.Room{Slots: 4})).To(BeIdenticalTo(onTime))
+		Expect(q.Peek(start, queue.Capacity{Slots: 4})).To(BeIdenticalTo(onTime))
 		q.Take(onTime)
-		Expect(q.Peek(start, queue.Room{Slots: 4})).To(BeIdenticalTo(late))
+		Expect(q.Peek(start, queue.Capacity{Slots: 4})).To(BeIdenticalTo(late))
 	})
 
 	It("never evicts a tier for the same or a lower one", func() {
@@ -109,7 +109,7 @@
 			served := make([]int, len(weights))
 			const picks = 1000
 			for range picks {
-				i := q.Peek(start, queue.Room{Slots: 4})
+				i := q.Peek(start, queue.Capacity{Slots: 4})
 				team := 0
 				if _, err := fmt.Sscan(i.Offer.Terms.Team, &team); err != nil {
 					t.Fatal(err)
@@ -137,7 +137,7 @@
 			now := start
 			for n := 1; ; n++ {
 				q.Push(item(n, class(0), now), now)
-				i := q.Peek(now, queue.Room{Slots: 8, NextFree: step, Running: func(string) int { return 0 }})
+				i := q.Peek(now, queue.Capacity{Slots: 8, NextFree: step, Running: func(string) int { return 0 }})
 				if i == starved {
 					break
 				}
@@ -155,7 +155,7 @@
 		q.Push(item(1, class(2), start.Add(-time.Minute)), start)
 		high := item(2, class(0), start)
 		q.Push(high, start)
-		busy := queue.Room{Slots: 8, Running: func(string) int { return 1 }}
+		busy := queue.Capacity{Slots: 8, Running: func(string) int { return 1 }}
 		Expect(q.Peek(start, busy)).To(BeIdenticalTo(high))
 	})
 
@@ -174,7 +174,7 @@
 					q.Push(i, now)
 					want[i.Key] = true
 				case 1:
-					if i := q.Peek(now, queue.Room{Slots: 4}); i != nil {
+					if i := q.Peek(now, queue.Capacity{Slots: 4}); i != nil {
 						q.Take(i)
 						delete(want, i.Key)
 					}
--- a/coord/result/code.go
+++ b/coord/result/code.go
@@ -71,18 +71,18 @@
 	FileField      Code = 1703
 )
 
-// Run is whether a request was executed at an endpoint.
-type Run uint8
+// Execution is whether a request was executed at an endpoint.
+type Execution uint8
 
 // The values. The zero value makes no assumption.
 const (
-	Unknown Run = iota
+	Unknown Execution = iota
 	NotRun
 	Ran
 )
 
 // String returns the text for callers.
-func (r Run) String() string {
+func (r Execution) String() string {
 	switch r {
 	case NotRun:
 		return "not run"
@@ -117,7 +117,7 @@
 // Error is an error with a code and whether the request was executed.
 type Error struct {
 	Code       Code
-	Run        Run
+	Run        Execution
 	Reason     string
 	RetryAfter time.Duration // time after which to retry, 0 if unknown
 }
--- a/coord/settings/fields.go
+++ b/coord/settings/fields.go
@@ -76,8 +76,8 @@
 	IdleTimeoutMS      *int      `json:"idle_timeout_ms,omitempty"`
 }
 
-// Over returns the fields with those that the child sets replaced by the child's.
-func (f Fields) Over(child Fields) Fields {
+// Override returns the fields with those that the child sets replaced by the child's.
+func (f Fields) Override(child Fields) Fields {
 	merged := f
 	target := reflect.ValueOf(&merged).Elem()
 	source := reflect.ValueOf(child)
--- a/coord/settings/route.go
+++ b/coord/settings/route.go
@@ -20,8 +20,8 @@
 	Regions     []string // regions that may serve its requests, empty for all
 }
 
-// Has reports whether the class is a route.
-func (r RouteInfo) Has() bool { return len(r.Matches) > 0 }
+// IsRoute reports whether the class is a route.
+func (r RouteInfo) IsRoute() bool { return len(r.Matches) > 0 }
 
 // MayRepeat reports whether a request of the class may run more than once.
 func (c ClassInfo) MayRepeat() bool {
--- a/coord/settings/schema.go
+++ b/coord/settings/schema.go
@@ -50,12 +50,12 @@
 	if !errors.As(err, &invalid) {
 		return result.Errorf(result.SettingsInvalid, "settings tree: %v", err)
 	}
-	field, reason := Explain(invalid)
+	field, reason := DescribeError(invalid)
 	return result.Errorf(result.SettingsInvalid, "settings tree: %s: %s", field, reason)
 }
 
-// Explain returns the field and the reason of the innermost first cause of a validation error.
-func Explain(invalid *jsonschema.ValidationError) (field, reason string) {
+// DescribeError returns the field and the reason of the innermost first cause of a validation error.
+func DescribeError(invalid *jsonschema.ValidationError) (field, reason string) {
 	for len(invalid.Causes) > 0 {
 		invalid = invalid.Causes[0]
 	}
--- a/coord/settings/snapshot.go
+++ b/coord/settings/snapshot.go
@@ -225,7 +225,7 @@
 		return err
 	}
 	switch {
-	case class.Route.Has():
+	case class.Route.IsRoute():
 		s.routes.add(class)
 	case class.Service != "":
 		s.byService[class.Service] = append(s.byService[class.Service], class.Name)
@@ -271,7 +271,7 @@
 		},
 	}
 	c.Route = routeOf(f, *c)
-	if !c.Route.Has() && c.Service != "" {
+	if !c.Route.IsRoute() && c.Service != "" {
 		c.Terms.BetweenTokens = 0 // the answer of a plain service has no tokens
 	}
 	return c
@@ -282,7 +282,7 @@
 	switch {
 	case isDuplicate:
 		return result.Errorf(result.SettingsInvalid, "class %q: another class has the name %q", path, c.Name)
-	case c.Route.Has():
+	case c.Route.IsRoute():
 		return c.Route.check(path)
 	case c.Model == "" && c.Service == "":
 		return result.Errorf(result.SettingsInvalid, "class %q: neither model nor service is set", path)
--- a/coord/settings/tree.go
+++ b/coord/settings/tree.go
@@ -102,14 +102,14 @@
 func (r *resolver) resolve(path string) Fields {
 	parentPath, ok := parent(path)
 	if !ok {
-		return Defaults.Over(r.tree.nodes[""].Set)
+		return Defaults.Override(r.tree.nodes[""].Set)
 	}
 	inherited, known := r.groups[parentPath]
 	if !known {
 		inherited = r.resolve(parentPath)
 		r.groups[parentPath] = inherited
 	}
-	return inherited.Over(r.tree.nodes[path].Set)
+	return inherited.Override(r.tree.nodes[path].Set)
 }
 
 // Parse parses the nested form and validates it against the schema. Compile
--- a/coord/settings/urgency.go
+++ b/coord/settings/urgency.go
@@ -31,7 +31,7 @@
 	seen := map[int]bool{} // priorities of classes
 	for _, name := range s.names {
 		c := s.classes[name]
-		if !c.Route.Has() || seen[c.Route.Priority] {
+		if !c.Route.IsRoute() || seen[c.Route.Priority] {
 			continue
 		}
 		seen[c.Route.Priority] = true
--- a/internal/command/entry.go
+++ b/internal/command/entry.go
@@ -37,8 +37,8 @@
 
 // Explain reports from a log how a request was handled.
 type Explain struct {
-	Log string `long:"log" short:"l" description:"file with the log of an entry, standard input if none"`
-	Of  struct {
+	Log       string `long:"log" short:"l" description:"file with the log of an entry, standard input if none"`
+	Arguments struct {
 		Request string `positional-arg-name:"ID" required:"yes" description:"id of the request"`
 	} `positional-args:"yes"`
 }
@@ -54,9 +54,9 @@
 		defer func() { _ = f.Close() }() // the file was only read
 		log = f
 	}
-	found, err := explain.Story(output, log, c.Of.Request)
+	found, err := explain.Report(output, log, c.Arguments.Request)
 	if err == nil && !found {
-		err = result.Errorf(result.NotFound, "the log doesn't name request %q", c.Of.Request)
+		err = result.Errorf(result.NotFound, "the log doesn't name request %q", c.Arguments.Request)
 	}
 	return err
 }
--- a/internal/command/keys.go
+++ b/internal/command/keys.go
@@ -61,7 +61,7 @@
 	if err != nil {
 		return err
 	}
-	a, err := keys.LoadAuthority(keys.Pair{Certificate: certificate, Key: key})
+	a, err := keys.LoadAuthority(keys.KeyPair{Certificate: certificate, Key: key})
 	if err != nil {
 		return err
 	}
@@ -72,7 +72,7 @@
 	return writePair(c.Folder, c.Name, p)
 }
 
-func writePair(folder, name string, p keys.Pair) error {
+func writePair(folder, name string, p keys.KeyPair) error {
 	if err := os.MkdirAll(folder, directoryMode); err != nil {
 		return err
 	}
--- a/internal/command/tree.go
+++ b/internal/command/tree.go
@@ -77,7 +77,7 @@
 }
 
 func responseError(status string, data []byte) error {
-	var f admin.Failure
+	var f admin.ErrorResponse
 	if err := json.Unmarshal(data, &f); err != nil {
 		return fmt.Errorf("the entry answered %s", status)
 	}
--- a/internal/direct/directory/behind.go
+++ b/internal/direct/directory/behind.go
@@ -13,15 +13,15 @@
 	outstanding int64     // remaining bytes of the current transfer
 }
 
-// Behind is how far the settings of this process lag behind those of its peers.
-type Behind struct {
-	Newest      uint64        // highest version announced by a peer, 0 if none is newer
-	For         time.Duration // time since a newer version was first announced
-	Outstanding int64         // remaining bytes of the current transfer
+// SettingsLag is how far the settings of this process lag behind those of its peers.
+type SettingsLag struct {
+	Newest           uint64        // highest version announced by a peer, 0 if none is newer
+	Duration         time.Duration // time since a newer version was first announced
+	OutstandingBytes int64         // remaining bytes of the current transfer
 }
 
-// SettingsTold records that a version is active at a peer.
-func (d *Directory) SettingsTold(version uint64) {
+// SettingsAnnounced records that a version is active at a peer.
+func (d *Directory) SettingsAnnounced(version uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	own := d.version()
@@ -34,20 +34,20 @@
 	d.lag.newest = max(d.lag.newest, version)
 }
 
-// SetOutstanding records the remaining bytes of a transfer of settings.
-func (d *Directory) SetOutstanding(bytes int64) {
+// SetOutstandingBytes records the remaining bytes of a transfer of settings.
+func (d *Directory) SetOutstandingBytes(bytes int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.lag.outstanding = bytes
 }
 
-// Behind returns how far the settings lag behind those of the peers. It returns the zero
+// SettingsLag returns how far the settings lag behind those of the peers. It returns the zero
 // value if no peer has newer ones.
-func (d *Directory) Behind() Behind {
+func (d *Directory) SettingsLag() SettingsLag {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.lag.newest <= d.version() {
-		return Behind{}
+		return SettingsLag{}
 	}
-	return Behind{Newest: d.lag.newest, For: steady.Since(d.lag.since), Outstanding: d.lag.outstanding}
+	return SettingsLag{Newest: d.lag.newest, Duration: steady.Since(d.lag.since), OutstandingBytes: d.lag.outstanding}
 }
--- a/internal/direct/directory/bench_test.go
+++ b/internal/direct/directory/bench_test.go
@@ -22,7 +22,7 @@
 	}
 	versions := []settings.Tree{routes(0, numbers...), routes(0, numbers[1:]...)}
 	d := empty()
-	d.TakeSettings(1, versions[0], "test")
+	d.ApplySettings(1, versions[0], "test")
 	version := uint64(1)
 	longest := time.Duration(0)
 	for b.Loop() {
@@ -30,7 +30,7 @@
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			d.TakeSettings(version, versions[version%2], "test")
+			d.ApplySettings(version, versions[version%2], "test")
 		}()
 		for waiting := true; waiting; {
 			began := time.Now()
--- a/internal/direct/directory/contact.go
+++ b/internal/direct/directory/contact.go
@@ -51,8 +51,8 @@
 	return d.store.recovery
 }
 
-// Following reports whether the store responded to the last call.
-func (d *Directory) Following() bool {
+// StoreResponds reports whether the store responded to the last call.
+func (d *Directory) StoreResponds() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.store.responding
@@ -67,14 +67,14 @@
 	}
 }
 
-// StoreProgressed records that part of a response of the store has arrived. A process whose
+// RecordStoreProgress records that part of a response of the store has arrived. A process whose
 // responses take long over a slow link is in contact with the store. A standby that read in
 // its place would only add the same load to the store.
-func (d *Directory) StoreProgressed() { d.setLastContact(steady.Now()) }
+func (d *Directory) RecordStoreProgress() { d.setLastContact(steady.Now()) }
 
-// LastContact returns when the last call to which the store responded was made, or when part
+// LastStoreContact returns when the last call to which the store responded was made, or when part
 // of a response last arrived.
-func (d *Directory) LastContact() time.Time {
+func (d *Directory) LastStoreContact() time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.store.lastContact
--- a/internal/direct/directory/directory.go
+++ b/internal/direct/directory/directory.go
@@ -29,13 +29,13 @@
 // Directory holds the settings and the endpoint list. Create it with New. It is safe for
 // concurrent use.
 type Directory struct {
-	onSettings    func(InForce)
+	onSettings    func(ActiveSettings)
 	onEndpoints   func([]placement.Endpoint)
 	onEvacuations func([]string)
 
-	applyMu         sync.Mutex              // held while a version is activated
-	settings        atomic.Pointer[InForce] // read by each request without a lock
-	settingsHistory settingsHistory         // guarded by applyMu
+	applyMu         sync.Mutex                     // held while a version is activated
+	settings        atomic.Pointer[ActiveSettings] // read by each request without a lock
+	settingsHistory settingsHistory                // guarded by applyMu
 
 	evacuations atomic.Pointer[driver.Evacuations] // stored with mu held
 
@@ -58,7 +58,7 @@
 // New returns an empty directory. The functions are called on changes, each one at a time
 // and with the directory locked, so they must not call it. onSettings is called before the
 // version is active. onEvacuations is called with the evacuated data centres.
-func New(onSettings func(InForce), onEndpoints func([]placement.Endpoint), onEvacuations func([]string)) *Directory {
+func New(onSettings func(ActiveSettings), onEndpoints func([]placement.Endpoint), onEvacuations func([]string)) *Directory {
 	return &Directory{
 		onSettings:    onSettings,
 		onEndpoints:   onEndpoints,
@@ -69,16 +69,16 @@
 	}
 }
 
-// TakeEndpoints replaces the endpoint list unless the current one is at least as new.
-func (d *Directory) TakeEndpoints(list driver.Endpoints, source string) {
+// ReplaceEndpoints replaces the endpoint list unless the current one is at least as new.
+func (d *Directory) ReplaceEndpoints(list driver.Endpoints, source string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.replaceEndpoints(list, source, d.retention)
 }
 
-// TakeFromPeer is TakeEndpoints for a list that a peer read. retained holds the endpoints
+// ReplaceEndpointsFromPeer is TakeEndpoints for a list that a peer read. retained holds the endpoints
 // that the peer retains, by ID, with the remaining time.
-func (d *Directory) TakeFromPeer(list driver.Endpoints, retained map[string]time.Duration) {
+func (d *Directory) ReplaceEndpointsFromPeer(list driver.Endpoints, retained map[string]time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.replaceEndpoints(list, "peer", peerRetention(retained))
@@ -171,9 +171,9 @@
 	}
 }
 
-// Since returns the changes of the endpoint list after a revision. It returns false if they
+// EndpointChangesSince returns the changes of the endpoint list after a revision. It returns false if they
 // are no longer kept. Lapsed returns the endpoints that are retained outside the list.
-func (d *Directory) Since(revision uint64) (driver.Change, bool) {
+func (d *Directory) EndpointChangesSince(revision uint64) (driver.Change, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !d.listed {
@@ -189,8 +189,8 @@
 	return driver.Endpoints{Revision: d.revision, List: d.list()}
 }
 
-// Listed reports whether an endpoint list has been received.
-func (d *Directory) Listed() bool {
+// HasEndpoints reports whether an endpoint list has been received.
+func (d *Directory) HasEndpoints() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.listed
--- a/internal/direct/directory/directory_test.go
+++ b/internal/direct/directory/directory_test.go
@@ -50,7 +50,7 @@
 	return driver.Endpoints{Revision: s.revision, List: s.list}, nil
 }
 
-func (s *fakeStore) WaitEndpoints(ctx context.Context, after uint64, maxWait time.Duration) (driver.Change, error) {
+func (s *fakeStore) WatchEndpoints(ctx context.Context, after uint64, maxWait time.Duration) (driver.Change, error) {
 	s.set(func() { s.watchedAfter = after })
 	revision, err := s.wait(ctx, after, maxWait, &s.endpointsHistoryGone)
 	if err != nil || revision == after {
@@ -61,7 +61,7 @@
 	return driver.Change{Revision: revision, Changed: s.list}, nil
 }
 
-func (s *fakeStore) WaitSettings(ctx context.Context, after uint64, maxWait time.Duration) (driver.SettingsChange, error) {
+func (s *fakeStore) WatchSettings(ctx context.Context, after uint64, maxWait time.Duration) (driver.SettingsChange, error) {
 	revision, err := s.wait(ctx, after, maxWait, &s.settingsHistoryGone)
 	if err != nil || revision == after {
 		return driver.SettingsChange{Revision: after}, err
@@ -86,7 +86,7 @@
 		case down:
 			return 0, errDown
 		case gone:
-			return 0, driver.ErrHistoryGone
+			return 0, driver.ErrCompacted
 		case revision > after:
 			return revision, nil
 		}
@@ -128,7 +128,7 @@
 func tree() settings.Tree { return settings.NewTree(map[string]settings.Node{"": {}}) }
 
 func empty() *directory.Directory {
-	return directory.New(func(directory.InForce) {}, func([]placement.Endpoint) {}, func([]string) {})
+	return directory.New(func(directory.ActiveSettings) {}, func([]placement.Endpoint) {}, func([]string) {})
 }
 
 // withFollowing runs the test in virtual time with a directory that follows a store.
@@ -170,7 +170,7 @@
 	s := &fakeStore{revision: 3}
 	withFollowing(t, s, func(d *directory.Directory) {
 		time.Sleep(time.Second)
-		if d.Known() {
+		if d.Ready() {
 			t.Error("Known reports true before the first settings")
 		}
 		s.set(func() { s.version, s.revision = 1, 4 })
@@ -216,7 +216,7 @@
 		if s.watchCount() != calls {
 			t.Errorf("a follower made %d calls", s.watchCount()-calls)
 		}
-		d.TakeFromPeer(driver.Endpoints{Revision: 8, List: endpointsOf("a")}, nil)
+		d.ReplaceEndpointsFromPeer(driver.Endpoints{Revision: 8, List: endpointsOf("a")}, nil)
 		s.set(func() { s.version, s.revision = 2, 9 })
 		time.Sleep(time.Second)
 		expectVersions(t, d, 1, 8)
@@ -280,10 +280,10 @@
 
 func TestOlderStateIsIgnored(t *testing.T) {
 	d := empty()
-	d.TakeSettings(5, tree(), "test")
-	d.TakeSettings(4, tree(), "test")
-	d.TakeEndpoints(driver.Endpoints{Revision: 8, List: []placement.Endpoint{{ID: "new"}}}, "test")
-	d.TakeEndpoints(driver.Endpoints{Revision: 7, List: []placement.Endpoint{{ID: "old"}}}, "test")
+	d.ApplySettings(5, tree(), "test")
+	d.ApplySettings(4, tree(), "test")
+	d.ReplaceEndpoints(driver.Endpoints{Revision: 8, List: []placement.Endpoint{{ID: "new"}}}, "test")
+	d.ReplaceEndpoints(driver.Endpoints{Revision: 7, List: []placement.Endpoint{{ID: "old"}}}, "test")
 	d.Apply(driver.Change{Revision: 8, Gone: []string{"new"}})
 	expectVersions(t, d, 5, 8)
 	if list := d.Endpoints().List; len(list) != 1 || list[0].ID != "new" {
@@ -293,37 +293,37 @@
 
 func TestInvalidSettingsAreRejected(t *testing.T) {
 	d := empty()
-	d.TakeSettings(1, tree(), "test")
-	d.TakeSettings(2, settings.NewTree(map[string]settings.Node{"a/b": {}}), "test") // no parent
+	d.ApplySettings(1, tree(), "test")
+	d.ApplySettings(2, settings.NewTree(map[string]settings.Node{"a/b": {}}), "test") // no parent
 	expectVersions(t, d, 1, 0)
 }
 
 func TestSince(t *testing.T) {
 	d := empty()
-	if _, ok := d.Since(0); ok {
+	if _, ok := d.EndpointChangesSince(0); ok {
 		t.Error("Since returns changes before the first list")
 	}
-	d.TakeEndpoints(driver.Endpoints{Revision: 5, List: endpointsOf("a", "b")}, "test")
-	if _, ok := d.Since(4); ok {
+	d.ReplaceEndpoints(driver.Endpoints{Revision: 5, List: endpointsOf("a", "b")}, "test")
+	if _, ok := d.EndpointChangesSince(4); ok {
 		t.Error("Since returns changes before the revision of the list")
 	}
 	d.Apply(driver.Change{Revision: 6, Changed: endpointsOf("c"), Gone: []string{"a"}})
 	d.Apply(driver.Change{Revision: 7}) // no change of endpoints
 	d.Apply(driver.Change{Revision: 8, Changed: endpointsOf("a"), Gone: []string{"c"}})
-	c, ok := d.Since(5)
+	c, ok := d.EndpointChangesSince(5)
 	if !ok || c.Revision != 8 || len(c.Changed) != 1 || c.Changed[0].ID != "a" || len(c.Gone) != 1 || c.Gone[0] != "c" {
 		t.Errorf("got %+v, %v", c, ok)
 	}
-	if c, ok = d.Since(6); !ok || len(c.Gone) != 1 {
+	if c, ok = d.EndpointChangesSince(6); !ok || len(c.Gone) != 1 {
 		t.Errorf("got %+v, %v", c, ok)
 	}
 	for n := range uint64(300) {
 		d.Apply(driver.Change{Revision: 10 + n, Changed: endpointsOf("d")})
 	}
-	if _, ok = d.Since(5); ok {
+	if _, ok = d.EndpointChangesSince(5); ok {
 		t.Error("the endpoint history has no bound")
 	}
-	if c, ok = d.Since(200); !ok || len(c.Changed) != 1 {
+	if c, ok = d.EndpointChangesSince(200); !ok || len(c.Changed) != 1 {
 		t.Errorf("got %+v, %v", c, ok)
 	}
 }
--- a/internal/direct/directory/evacuations.go
+++ b/internal/direct/directory/evacuations.go
@@ -22,8 +22,8 @@
 	return driver.Evacuations{}
 }
 
-// TakeEvacuations replaces the evacuations unless the current ones are at least as new.
-func (d *Directory) TakeEvacuations(e driver.Evacuations, source string) {
+// ApplyEvacuations replaces the evacuations unless the current ones are at least as new.
+func (d *Directory) ApplyEvacuations(e driver.Evacuations, source string) {
 	if e.Revision <= d.Evacuations().Revision {
 		return
 	}
--- a/internal/direct/directory/evacuations_test.go
+++ b/internal/direct/directory/evacuations_test.go
@@ -35,13 +35,13 @@
 	for _, c := range s.changes {
 		state = state.With(c)
 	}
-	read.Evacuated = state.DataCentres
+	read.EvacuatedDataCentres = state.DataCentres
 	return read, err
 }
 
-// WaitSettings implements driver.Store.
-func (s *evacuationStore) WaitSettings(ctx context.Context, after uint64, maxWait time.Duration) (driver.SettingsChange, error) {
-	c, err := s.fakeStore.WaitSettings(ctx, after, maxWait)
+// WatchSettings implements driver.Store.
+func (s *evacuationStore) WatchSettings(ctx context.Context, after uint64, maxWait time.Duration) (driver.SettingsChange, error) {
+	c, err := s.fakeStore.WatchSettings(ctx, after, maxWait)
 	c.Settings = nil
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -83,7 +83,7 @@
 // TestOlderEvacuationsAreIgnored applies evacuations of two peers out of order.
 func TestOlderEvacuationsAreIgnored(t *testing.T) {
 	calls := [][]string{}
-	d := directory.New(func(directory.InForce) {}, func([]placement.Endpoint) {}, func(all []string) { calls = append(calls, all) })
+	d := directory.New(func(directory.ActiveSettings) {}, func([]placement.Endpoint) {}, func(all []string) { calls = append(calls, all) })
 	for _, e := range []driver.Evacuations{
 		{Revision: 7, DataCentres: []string{"a"}},
 		{Revision: 6},
@@ -91,7 +91,7 @@
 		{Revision: 9},
 		{Revision: 8, DataCentres: []string{"a"}},
 	} {
-		d.TakeEvacuations(e, "peer")
+		d.ApplyEvacuations(e, "peer")
 	}
 	expectEvacuated(t, d, "at the end")
 	if d.Evacuations().Revision != 9 || len(calls) != 2 {
@@ -111,7 +111,7 @@
 		go d.Follow(ctx, s)
 		time.Sleep(200 * time.Millisecond)
 		s.evacuate("a", false)
-		d.Settle(1, 1000)
+		d.ConfirmRevision(1, 1000)
 		time.Sleep(5 * time.Second)
 		expectEvacuated(t, d, "with settings known at a later revision", "a")
 		cancel()
--- a/internal/direct/directory/follow.go
+++ b/internal/direct/directory/follow.go
@@ -76,7 +76,7 @@
 		}
 		changed, err := p.poll(ctx)
 		switch {
-		case errors.Is(err, driver.ErrHistoryGone):
+		case errors.Is(err, driver.ErrCompacted):
 			log.Info("The store's history no longer covers the last known revision; reading the full state.")
 			p.reset()
 		case err != nil:
@@ -121,7 +121,7 @@
 	}
 	d := p.directory
 	d.storeResponded()
-	d.TakeEndpoints(list, "store")
+	d.ReplaceEndpoints(list, "store")
 	d.setLastContact(sentAt)
 	p.fullyRead = true
 	p.revision = list.Revision
@@ -132,7 +132,7 @@
 	sentAt := steady.Now()
 	d := p.directory
 	_, current := d.Versions()
-	c, err := p.store.WaitEndpoints(ctx, max(p.revision, current), endpointsWatchTimeout)
+	c, err := p.store.WatchEndpoints(ctx, max(p.revision, current), endpointsWatchTimeout)
 	if err != nil {
 		return false, err
 	}
@@ -184,7 +184,7 @@
 		return false, err
 	}
 	newer = p.apply(s, s.Revision, sentAt, "store")
-	p.directory.TakeEvacuations(driver.Evacuations{Revision: s.Revision, DataCentres: s.Evacuated}, "store")
+	p.directory.ApplyEvacuations(driver.Evacuations{Revision: s.Revision, DataCentres: s.EvacuatedDataCentres}, "store")
 	p.lagging = p.lagging && newer
 	p.fullyRead = !p.lagging
 	p.revision = s.Revision
@@ -193,7 +193,7 @@
 
 func (p *settingsPoller) readChanges(ctx context.Context) (changed bool, err error) {
 	sentAt := steady.Now()
-	c, err := p.store.WaitSettings(ctx, max(p.revision, p.peerRevision()), settingsWatchTimeout)
+	c, err := p.store.WatchSettings(ctx, max(p.revision, p.peerRevision()), settingsWatchTimeout)
 	if err != nil {
 		return false, err
 	}
@@ -202,7 +202,7 @@
 	if c.Settings == nil {
 		p.failing = false
 		p.directory.Confirm(p.directory.version(), sentAt)
-		p.directory.Settle(p.directory.version(), c.Revision)
+		p.directory.ConfirmRevision(p.directory.version(), c.Revision)
 		return len(c.Evacuations) > 0, nil
 	}
 	p.apply(*c.Settings, c.Revision, sentAt, "watch")
@@ -214,7 +214,7 @@
 // peerRevision returns the revision up to which peers have sent everything that the watch
 // returns.
 func (p *settingsPoller) peerRevision() uint64 {
-	_, confirmed := p.directory.Settled()
+	_, confirmed := p.directory.ConfirmedRevision()
 	return min(confirmed, p.directory.Evacuations().Revision)
 }
 
@@ -226,10 +226,10 @@
 	newer = s.Version > max(p.newestSeen, d.version())
 	p.newestSeen = max(p.newestSeen, s.Version)
 	if newer {
-		d.TakeSettings(s.Version, s.Tree, source)
+		d.ApplySettings(s.Version, s.Tree, source)
 	}
 	d.Confirm(s.Version, sentAt)
-	d.Settle(s.Version, revision)
+	d.ConfirmRevision(s.Version, revision)
 	return newer
 }
 
@@ -245,7 +245,7 @@
 		log.With("reason", err.Error()).With("version", p.directory.version()).
 			Warnf("Reading the settings from the store failed; the active version stays in use.")
 	}
-	if p.directory.Following() {
+	if p.directory.StoreResponds() {
 		return nil
 	}
 	return p.directory.storeRecovery()
--- a/internal/direct/directory/lapse.go
+++ b/internal/direct/directory/lapse.go
@@ -112,8 +112,8 @@
 	return listed && !e.Leaving || retained
 }
 
-// Lapsed returns the remaining time of each retained endpoint, by ID.
-func (d *Directory) Lapsed() map[string]time.Duration {
+// Retained returns the remaining time of each retained endpoint, by ID.
+func (d *Directory) Retained() map[string]time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := steady.Now()
--- a/internal/direct/directory/lapse_test.go
+++ b/internal/direct/directory/lapse_test.go
@@ -51,7 +51,7 @@
 func withRetention(t *testing.T, s *fakeStore, leaveWithin time.Duration, test func(r *endpointRecorder)) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &endpointRecorder{}
-		d := directory.New(func(directory.InForce) {}, r.record, func([]string) {})
+		d := directory.New(func(directory.ActiveSettings) {}, r.record, func([]string) {})
 		d.SetBounds(driver.Bounds{LeaveWithin: leaveWithin})
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
@@ -130,9 +130,9 @@
 func TestEndpointsRetainedByPeer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &endpointRecorder{}
-		d := directory.New(func(directory.InForce) {}, r.record, func([]string) {})
-		d.TakeFromPeer(driver.Endpoints{Revision: 1, List: endpointsOf("a", "b", "c")}, nil)
-		d.TakeFromPeer(driver.Endpoints{Revision: 2, List: endpointsOf("a")}, map[string]time.Duration{"b": time.Second})
+		d := directory.New(func(directory.ActiveSettings) {}, r.record, func([]string) {})
+		d.ReplaceEndpointsFromPeer(driver.Endpoints{Revision: 1, List: endpointsOf("a", "b", "c")}, nil)
+		d.ReplaceEndpointsFromPeer(driver.Endpoints{Revision: 2, List: endpointsOf("a")}, map[string]time.Duration{"b": time.Second})
 		r.expect(t, "the peer retains one endpoint", "a", "b")
 		if list := d.Endpoints().List; len(list) != 1 {
 			t.Errorf("endpoint list %v, want one endpoint", list)
