--- a/internal/testing/growth/cost.go
+++ b/internal/testing/growth/cost.go
@@ -130,7 +130,7 @@
 }
 
 func newDirectory() *directory.Directory {
-	return directory.New(func(directory.InForce) {}, func([]placement.Endpoint) {}, func([]string) {})
+	return directory.New(func(directory.ActiveSettings) {}, func([]placement.Endpoint) {}, func([]string) {})
 }
 
 // readFromStore reads the settings from the store and puts them in force as an entry does.
@@ -144,7 +144,7 @@
 	if err != nil {
 		return err
 	}
-	d.TakeSettings(s.Version, s.Tree, "store")
+	d.ApplySettings(s.Version, s.Tree, "store")
 	if d.Settings() == nil || d.Settings().Version != s.Version {
 		return fmt.Errorf("version %d is not in force", s.Version)
 	}
--- a/internal/testing/history/history.go
+++ b/internal/testing/history/history.go
@@ -37,7 +37,7 @@
 type Answered struct {
 	ID   string
 	Code result.Code
-	Run  result.Run
+	Run  result.Execution
 	Body string
 	At   time.Time
 }
--- a/internal/testing/memlink/memlink.go
+++ b/internal/testing/memlink/memlink.go
@@ -189,7 +189,7 @@
 }
 
 func (s *session) Control() link.Stream { return s.control }
-func (s *session) Trip() time.Duration  { return 2 * s.network.Delay }
+func (s *session) RTT() time.Duration   { return 2 * s.network.Delay }
 
 func (s *session) Done() <-chan struct{} { return s.done }
 func (s *session) Close()                { s.once.Do(func() { close(s.done) }) }
--- a/internal/testing/simulation/faults_test.go
+++ b/internal/testing/simulation/faults_test.go
@@ -227,7 +227,7 @@
 func (c *faultRun) changeWeight(e *simulation.Entry, path string, weight int) {
 	s := e.Store.Holder.State()
 	n, _ := s.Tree.Node(path)
-	n.Set = n.Set.Over(settings.Fields{Weight: &weight})
+	n.Set = n.Set.Override(settings.Fields{Weight: &weight})
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	root, err := e.Store.Commit(ctx, versions.Change{Base: s.Root.Version, Tree: s.Tree.With(path, n)})
--- a/internal/testing/simulation/settings_test.go
+++ b/internal/testing/simulation/settings_test.go
@@ -67,7 +67,7 @@
 				s := e.Store.Holder.State()
 				tier := n % 2
 				node, _ := s.Tree.Node("classes/language/firing-plan")
-				node.Set = node.Set.Over(settings.Fields{Tier: &tier})
+				node.Set = node.Set.Override(settings.Fields{Tier: &tier})
 				root, err := e.Store.Commit(background, versions.Change{Base: s.Root.Version, Tree: s.Tree.With("classes/language/firing-plan", node)})
 				if err != nil {
 					t.Error(err)
--- a/internal/testing/simulation/simulation.go
+++ b/internal/testing/simulation/simulation.go
@@ -98,7 +98,7 @@
 	o := agent.Options{Name: name}
 	for n, e := range engines {
 		e.OnStart = func(prompt string) { t.recordExecution(prompt, name) }
-		o.Locals = append(o.Locals, agent.Local{
+		o.Endpoints = append(o.Endpoints, agent.LocalEndpoint{
 			Description: dispatch.Endpoint{Name: fmt.Sprintf("%s-%d", name, n), Target: model},
 			Driver:      e,
 		})
@@ -109,7 +109,7 @@
 // AddService starts an agent that serves a plain service.
 func (t *Simulation) AddService(name, service string, s *standin.Service) *Agent {
 	s.OnStart = func(call string) { t.recordExecution(call, name) }
-	return t.startAgent(agent.Options{Name: name, Locals: []agent.Local{{
+	return t.startAgent(agent.Options{Name: name, Endpoints: []agent.LocalEndpoint{{
 		Description: dispatch.Endpoint{Name: name + "-0", Target: settings.ServiceTarget(service)},
 		Driver:      endpoint.Driver(s),
 	}}}, nil)
@@ -118,7 +118,7 @@
 func (t *Simulation) startAgent(o agent.Options, engines []*standin.Engine) *Agent {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	h := &versions.Holder{Carry: true}
+	h := &versions.Holder{ForwardOnly: true}
 	t.agentStarts++
 	t.recordVersions(fmt.Sprintf("%s.%d", o.Name, t.agentStarts), h)
 	o.Versions = h
@@ -210,18 +210,18 @@
 	t.recordVersions(name, h)
 	ctx, cancel := context.WithCancel(t.ctx)
 	e := &Entry{Name: name, Store: t.Store.Settings(name, h), ctx: ctx, cancel: cancel}
-	batcher := claims.New(claims.Options{KeyValue: &t.Store, Owner: name, Entries: func() int { return e.Entries() }})
+	batcher := claims.New(claims.Options{KeyValue: &t.Store, Owner: name, Entries: func() int { return e.LiveEntries() }})
 	o := entry.Options{
-		Name:     name,
-		Dialer:   t.Network.From(name),
-		Members:  &t.Store,
-		Settings: h,
-		Seed:     uint64(len(t.entries) + 1),
-		Claims:   batcher,
-		Agents:   t.Kept,
+		Name:      name,
+		Dialer:    t.Network.From(name),
+		Members:   &t.Store,
+		Settings:  h,
+		Seed:      uint64(len(t.entries) + 1),
+		Claims:    batcher,
+		MaxAgents: t.Kept,
 	}
 	e.Entry = entry.New(o)
-	e.Store.Watches = e.Watches
+	e.Store.IsWatcher = e.IsWatcher
 	e.Caller = caller.Caller{URL: "http://" + name, Client: caller.Direct(e.Handler())}
 	go e.Store.Watch(ctx)
 	go batcher.Run(ctx)
--- a/internal/workers/pool.go
+++ b/internal/workers/pool.go
@@ -6,8 +6,8 @@
 	"sync"
 )
 
-// DefaultMost is the maximum number of workers of a zero Pool.
-const DefaultMost = 4096
+// DefaultMaxWorkers is the maximum number of workers of a zero Pool.
+const DefaultMaxWorkers = 4096
 
 // ErrFull means that every worker is busy or the pool is closed.
 var ErrFull = errors.New("workers: no worker is free")
@@ -15,7 +15,7 @@
 // Pool starts workers on demand and reuses idle ones. The zero value is ready to
 // use. It is safe for concurrent use.
 type Pool struct {
-	Most int // maximum number of workers; DefaultMost if not positive
+	MaxWorkers int // maximum number of workers; DefaultMost if not positive
 
 	mu     sync.Mutex
 	idle   []chan func()
@@ -44,10 +44,10 @@
 }
 
 func (p *Pool) maxWorkers() int {
-	if p.Most > 0 {
-		return p.Most
+	if p.MaxWorkers > 0 {
+		return p.MaxWorkers
 	}
-	return DefaultMost
+	return DefaultMaxWorkers
 }
 
 // work runs jobs until the worker can't become idle.
--- a/internal/workers/signal.go
+++ b/internal/workers/signal.go
@@ -11,9 +11,9 @@
 	}
 }
 
-// Await returns once the condition holds. It checks the condition at the start and after each
+// WaitFor returns once the condition holds. It checks the condition at the start and after each
 // signal. It returns the error of ctx if ctx is done first.
-func Await(ctx context.Context, signals <-chan struct{}, condition func() bool) error {
+func WaitFor(ctx context.Context, signals <-chan struct{}, condition func() bool) error {
 	for !condition() {
 		select {
 		case <-ctx.Done():
--- a/internal/workers/signal_test.go
+++ b/internal/workers/signal_test.go
@@ -17,12 +17,12 @@
 		workers.Signal(signals) // does not block
 		return remaining < 0
 	}
-	if err := workers.Await(context.Background(), signals, condition); err != nil || remaining >= 0 {
+	if err := workers.WaitFor(context.Background(), signals, condition); err != nil || remaining >= 0 {
 		t.Errorf("%v, remaining %d", err, remaining)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	if err := workers.Await(ctx, nil, func() bool { return false }); !errors.Is(err, context.Canceled) {
+	if err := workers.WaitFor(ctx, nil, func() bool { return false }); !errors.Is(err, context.Canceled) {
 		t.Errorf("got %v", err)
 	}
 }
