--- a/internal/direct/directory/directory.go
+++ b/internal/direct/directory/directory.go
@@ -4,9 +4,9 @@
 //
 // settings.go activates versions of the settings. evacuations.go applies the evacuations of
 // data centres. follow.go polls the store, and role.go decides whether this process does.
-// contact.go records whether the store responds. lapse.go retains endpoints whose leases
+// contact.go records whether the store responds. retention.go retains endpoints whose leases
 // expired in an outage. changes.go and versions.go keep recent changes for peers that lack
-// only these. behind.go compares the version of the settings with that of the peers.
+// only these. settingslag.go compares the version of the settings with that of the peers.
 //
 // Locks: Directory.applyMu may be held when Directory.mu is acquired, not the other way round.
 package directory
@@ -76,8 +76,8 @@
 	d.replaceEndpoints(list, source, d.retention)
 }
 
-// ReplaceEndpointsFromPeer is TakeEndpoints for a list that a peer read. retained holds the endpoints
-// that the peer retains, by ID, with the remaining time.
+// ReplaceEndpointsFromPeer is ReplaceEndpoints for a list that a peer read. retained holds the
+// endpoints that the peer retains, by ID, with the remaining time.
 func (d *Directory) ReplaceEndpointsFromPeer(list driver.Endpoints, retained map[string]time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -163,7 +163,7 @@
 	}
 	for _, e := range c.Changed {
 		if e.Leaving || others <= maxLoggedEndpoints {
-			log.With("endpoint", e.ID).With("service", e.Service).With("leaving", e.Leaving).With("revision", c.Revision).Info("An endpoint changed or came.")
+			log.With("endpoint", e.ID).With("service", e.Service).With("leaving", e.Leaving).With("revision", c.Revision).Info("An endpoint was added or changed.")
 		}
 	}
 	if others > maxLoggedEndpoints {
@@ -171,8 +171,8 @@
 	}
 }
 
-// EndpointChangesSince returns the changes of the endpoint list after a revision. It returns false if they
-// are no longer kept. Lapsed returns the endpoints that are retained outside the list.
+// EndpointChangesSince returns the changes of the endpoint list after a revision. It returns false
+// if they are no longer kept. Retained returns the endpoints that are retained outside the list.
 func (d *Directory) EndpointChangesSince(revision uint64) (driver.Change, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/direct/directory/settings.go
+++ b/internal/direct/directory/settings.go
@@ -9,7 +9,7 @@
 	"foxcross.dev/foxcross/internal/steady"
 )
 
-// Errors of TakeChanges.
+// Errors of ApplySettingsChanges.
 var (
 	// ErrBaseMismatch means that the changes are based on another version than the active one.
 	ErrBaseMismatch = errors.New("directory: the changes are based on another version")
@@ -98,7 +98,7 @@
 }
 
 // ApplySettingsChanges applies changes to the active version and activates the result. It returns
-// ErrOtherBase if they are based on another version, and ErrDigest if the digest of the
+// ErrBaseMismatch if they are based on another version, and ErrDigestMismatch if the digest of the
 // changed tree differs. Changes to a version no newer than the active one are ignored.
 func (d *Directory) ApplySettingsChanges(base, version uint64, changes []settings.Difference, digest uint64, source string) error {
 	d.applyMu.Lock()
@@ -155,7 +155,7 @@
 	d.mu.Unlock()
 	log.With("version", version).With("before", before.Version).With("from", source).
 		With("changed", len(changes)).With("nodes", tree.Len()).With("ms", steady.Since(began).Milliseconds()).
-		Info("Settings are in force.")
+		Info("Settings are active.")
 	return nil
 }
 
--- a/internal/direct/gateway/signals.go
+++ b/internal/direct/gateway/signals.go
@@ -68,9 +68,9 @@
 	l := log.With("endpoint", endpoint).With("from", from)
 	switch c {
 	case eligibility.LimitSet:
-		l.With("limit", perSecond).Info("An endpoint names a limit.")
+		l.With("limit", perSecond).Info("An endpoint advertises a rate limit.")
 	case eligibility.LimitRemoved:
-		l.Info("An endpoint names no limit any more.")
+		l.Info("An endpoint no longer advertises a rate limit.")
 	}
 }
 
--- a/internal/direct/peers/member.go
+++ b/internal/direct/peers/member.go
@@ -126,7 +126,7 @@
 	g.mu.Lock()
 	for address, m := range g.members {
 		if !m.alive(now) && m.owner != 0 {
-			log.With("peer", m.name).Info("An entry is lost: nothing was heard of it.")
+			log.With("peer", m.name).Info("Peer lost: no heartbeat received.")
 			goneOwners = append(goneOwners, m.owner)
 			delete(g.replayWindows, m.owner)
 			m.lastOwner = m.owner
--- a/internal/direct/spread/spread.go
+++ b/internal/direct/spread/spread.go
@@ -1,5 +1,5 @@
 // Package spread computes from the logs of many peers how long events take to reach all of them:
-// settings in force, endpoints that are leaving, gone or limited, evacuated data centres, lost
+// settings that become active, endpoints that are leaving, gone or limited, evacuated data centres, lost
 // peers.
 package spread
 
@@ -63,19 +63,19 @@
 func (l logLine) event() (Kind, string, bool) {
 	f := l.Fields
 	switch l.Message {
-	case "directory: Settings are in force.":
+	case "directory: Settings are active.":
 		return SettingsInForce, fmt.Sprint(f.Version), true
-	case "directory: An endpoint changed or came.":
+	case "directory: An endpoint was added or changed.":
 		return EndpointLeaving, f.Endpoint, f.Leaving
 	case "directory: An endpoint left the list.":
 		return EndpointGone, f.Endpoint, true
 	case "directory: The evacuated data centres changed.":
 		return Evacuation, fmt.Sprint(f.Revision), true
-	case "peers: An entry is lost: nothing was heard of it.":
+	case "peers: Peer lost: no heartbeat received.":
 		return PeerLost, f.Peer, true
-	case "gateway: An endpoint names a limit.":
+	case "gateway: An endpoint advertises a rate limit.":
 		return LimitAnnounced, f.Endpoint, true
-	case "gateway: An endpoint names no limit any more.":
+	case "gateway: An endpoint no longer advertises a rate limit.":
 		return LimitRemoved, f.Endpoint, true
 	default:
 		return "", "", false
--- a/internal/direct/spread/spread_test.go
+++ b/internal/direct/spread/spread_test.go
@@ -11,15 +11,15 @@
 // a minute apart.
 func Example() {
 	logs := strings.Join([]string{
-		`  1.04 entry-1 {"message":"directory: Settings are in force.","timestamp":"2026-01-01T00:00:01.040Z","fields":{"version":5}}`,
-		`  1.30 entry-3 {"message":"directory: Settings are in force.","timestamp":"2026-01-01T00:00:01.300Z","fields":{"version":5}}`,
-		`{"message":"directory: Settings are in force.","timestamp":"2026-01-01T00:00:01.150Z","fields":{"version":5}}`,
+		`  1.04 entry-1 {"message":"directory: Settings are active.","timestamp":"2026-01-01T00:00:01.040Z","fields":{"version":5}}`,
+		`  1.30 entry-3 {"message":"directory: Settings are active.","timestamp":"2026-01-01T00:00:01.300Z","fields":{"version":5}}`,
+		`{"message":"directory: Settings are active.","timestamp":"2026-01-01T00:00:01.150Z","fields":{"version":5}}`,
 		`{"message":"directory: An endpoint left the list.","timestamp":"2026-01-01T00:00:02Z","fields":{"endpoint":"i-1"}}`,
 		`{"message":"directory: An endpoint left the list.","timestamp":"2026-01-01T00:01:02Z","fields":{"endpoint":"i-1"}}`,
-		`{"message":"directory: An endpoint changed or came.","timestamp":"2026-01-01T00:00:02Z","fields":{"endpoint":"i-2"}}`,
-		`{"message":"gateway: An endpoint names a limit.","timestamp":"2026-01-01T00:00:03Z","fields":{"endpoint":"i-1"}}`,
-		`{"message":"gateway: An endpoint names a limit.","timestamp":"2026-01-01T00:00:03.025Z","fields":{"endpoint":"i-1"}}`,
-		`{"message":"gateway: An endpoint names no limit any more.","timestamp":"2026-01-01T00:00:09Z","fields":{"endpoint":"i-1"}}`,
+		`{"message":"directory: An endpoint was added or changed.","timestamp":"2026-01-01T00:00:02Z","fields":{"endpoint":"i-2"}}`,
+		`{"message":"gateway: An endpoint advertises a rate limit.","timestamp":"2026-01-01T00:00:03Z","fields":{"endpoint":"i-1"}}`,
+		`{"message":"gateway: An endpoint advertises a rate limit.","timestamp":"2026-01-01T00:00:03.025Z","fields":{"endpoint":"i-1"}}`,
+		`{"message":"gateway: An endpoint no longer advertises a rate limit.","timestamp":"2026-01-01T00:00:09Z","fields":{"endpoint":"i-1"}}`,
 		`another program's line {`,
 	}, "\n")
 	rows, err := spread.Read(strings.NewReader(logs))
--- a/internal/process/reload.go
+++ b/internal/process/reload.go
@@ -28,7 +28,7 @@
 		}
 		updated, err := platform.Process()
 		if err != nil {
-			log.With("reason", err.Error()).Errorf("The settings file is invalid; the current settings stay in force.")
+			log.With("reason", err.Error()).Errorf("The settings file is invalid; the current settings stay active.")
 			continue
 		}
 		if changes := current.Changes(updated); len(changes) > 0 {
--- a/internal/relay/entry/contents.go
+++ b/internal/relay/entry/contents.go
@@ -142,7 +142,7 @@
 	for _, k := range held {
 		state := e.contents.State(now, k)
 		log.With("content", k.String()).With("crashes", state.Crashes).With("endpoints", state.Endpoints).
-			With("held_for_ms", state.ForMS).With("told_by", agent).Warnf("Endpoints have crashed while running one content; requests with it are refused.")
+			With("held_for_ms", state.ForMS).With("told_by", agent).Warnf("Endpoints have crashed while running the same content; it is held.")
 	}
 	e.broadcastContents(agent, updates)
 }
--- a/internal/relay/versions/holder.go
+++ b/internal/relay/versions/holder.go
@@ -108,7 +108,7 @@
 	h.state = s
 	listeners := h.listeners
 	h.mu.Unlock()
-	log.Infof("Settings version %d is in force.", s.Root.Version)
+	log.Infof("Settings version %d is active.", s.Root.Version)
 	for _, f := range listeners {
 		f(s)
 	}
