--- a/internal/testing/fleet/hearing_test.go
+++ b/internal/testing/fleet/hearing_test.go
@@ -53,7 +53,7 @@
 }
 
 // TestIsolatedEntryLearnsFromStore checks that an entry that reaches the store but no other entry
-// forwards a quarantined content at most once.
+// forwards a content that the store records as quarantined once, and then refuses it.
 func TestIsolatedEntryLearnsFromStore(t *testing.T) {
 	f := newFleet(t, 2, 4)
 	f.requestUntilQuarantined(f.entries[0], crashingPath)
--- a/internal/testing/soak/slow.go
+++ b/internal/testing/soak/slow.go
@@ -42,8 +42,9 @@
 	}
 }
 
-// sendSlowRequest sends a request without reading its answer, or an unfinished one, and waits until
-// the entry closes the connection.
+// sendSlowRequest sends, for even numbers, a request whose answer it does not read for twice
+// requestTimeout, else an unfinished request, after which it waits until the entry closes the
+// connection.
 func (d *deployment) sendSlowRequest(ctx context.Context, c net.Conn, number int) {
 	end := func() { _ = c.Close() } // it may be closed
 	stop := context.AfterFunc(ctx, end)
