--- a/internal/testing/soak/entry_test.go
+++ b/internal/testing/soak/entry_test.go
@@ -8,7 +8,7 @@
 // TestFreezeDoesNotCountAsSignalSetupTime guards against a reload signal to a process that has not
 // installed its signal handlers yet. A process that is frozen within its first 30 ms and gets SIGHUP
 // more than 0.3 s after its start ends with "signal: hangup" when it resumes, and does not come back
-// after the faults (seed 33043 with a request that crashes endpoints).
+// after the faults (seed 33043 with a request that crashes endpoints, in 2 of 2 runs).
 func TestFreezeDoesNotCountAsSignalSetupTime(t *testing.T) {
 	now := time.Now()
 	for name, c := range map[string]struct {
