--- a/examples/growth/main.go
+++ b/examples/growth/main.go
@@ -59,7 +59,7 @@
 		costs[size] = c
 		fmt.Printf("| %d | %s | %s | %s | %s | %s | %s | %s |\n", size,
 			formatKilobytes(c.StoreBytes), formatKilobytes(c.PeerBytes), formatKilobytes(c.PlainBytes),
-			formatSeconds(c.Read), formatSeconds(c.Encode), formatSeconds(c.Take), formatKilobytes(c.Heap))
+			formatSeconds(c.Read), formatSeconds(c.Encode), formatSeconds(c.Apply), formatKilobytes(c.Heap))
 	}
 	fmt.Printf("\n| %s | link | core | floor |", kind)
 	for _, n := range entries {
--- a/examples/local/deployment.go
+++ b/examples/local/deployment.go
@@ -75,7 +75,7 @@
 		return err
 	}
 	d.fleet = f
-	if err := f.Put(ctx, d.tree); err != nil {
+	if err := f.ReplaceSettings(ctx, d.tree); err != nil {
 		return err
 	}
 	for _, c := range d.dataCentres {
@@ -101,16 +101,16 @@
 		e.OnStart = func(prompt string) { d.recordExecution(prompt, dataCentre) }
 	}
 	_, err := d.fleet.AddAgent("runner-"+dataCentre, dataCentre,
-		deployment.Local{Target: d.model, Handler: newEngine.Handler()},
-		deployment.Local{Target: d.model, Handler: oldEngine.Handler()})
+		deployment.Backend{Target: d.model, Handler: newEngine.Handler()},
+		deployment.Backend{Target: d.model, Handler: oldEngine.Handler()})
 	if err != nil {
 		return err
 	}
-	service := &standin.Service{Takes: 5 * time.Millisecond}
+	service := &standin.Service{Latency: 5 * time.Millisecond}
 	service.OnStart = func(call string) { d.recordExecution(call, dataCentre) }
 	d.services = append(d.services, service)
 	_, err = d.fleet.AddAgent("app-"+dataCentre, dataCentre,
-		deployment.Local{Target: settings.ServiceTarget(d.service), Handler: service})
+		deployment.Backend{Target: settings.ServiceTarget(d.service), Handler: service})
 	return err
 }
 
--- a/examples/local/measure.go
+++ b/examples/local/measure.go
@@ -31,7 +31,7 @@
 	firsts             []time.Duration
 }
 
-// measure sends the mix, prints a table and returns the number of breaches.
+// measure sends the mix, prints a table and returns the number of violations.
 func (d *user) measure(ctx context.Context, o options) int {
 	tree, err := settings.Parse(d.tree)
 	if err != nil {
@@ -54,12 +54,12 @@
 	took := time.Since(began)
 	time.Sleep(cancellationDelay) // events of cancelled work may still arrive
 	d.print(stats, took)
-	breaches := history.Check(d.recorder.Events(), history.Rules{End: time.Now()})
-	for _, b := range breaches {
+	violations := history.Check(d.recorder.Events(), history.Rules{End: time.Now()})
+	for _, b := range violations {
 		fmt.Println("BROKEN:", b)
 	}
-	fmt.Printf("promises checked: %d requests, %d broken\n\n", d.totalSent(stats), len(breaches))
-	return len(breaches)
+	fmt.Printf("promises checked: %d requests, %d broken\n\n", d.totalSent(stats), len(violations))
+	return len(violations)
 }
 
 func (d *user) totalSent(stats []classStats) int {
@@ -94,11 +94,11 @@
 	var a caller.Answer
 	if k.method != "" {
 		path := k.path + "/" + escapedRequestID(id)
-		s.Want = fmt.Sprintf("done: %s %s ", k.method, path)
+		s.WantBody = fmt.Sprintf("done: %s %s ", k.method, path)
 		d.recorder.Add(s)
 		a = c.Service(ctx, d.service, k.method, path)
 	} else {
-		s.Want = standin.AnswerText([]string{prompt}, 0)
+		s.WantBody = standin.AnswerText([]string{prompt}, 0)
 		d.recorder.Add(s)
 		a = c.Chat(ctx, d.model, prompt)
 	}
--- a/examples/soak/main.go
+++ b/examples/soak/main.go
@@ -100,7 +100,7 @@
 		return soak.Report{}, fmt.Errorf("soak: %w", err)
 	}
 	r, err := soak.Run(context.Background(), soak.Options{
-		Seed: seed, Duration: o.Duration, Entries: o.Entries, Endpoints: o.Endpoints, Callers: o.Callers, Folder: seedFolder, Only: only, Crashing: o.Crashing, Slow: o.Slow,
+		Seed: seed, Duration: o.Duration, Entries: o.Entries, Endpoints: o.Endpoints, Callers: o.Callers, Dir: seedFolder, Only: only, Crashing: o.Crashing, SlowCallers: o.Slow,
 		Command: func(settings string) *exec.Cmd {
 			c := exec.Command(o.entryProgram(settings, program), "serve", "--platform", "fleet")
 			c.Env = append(os.Environ(), "FOXCROSS_CONFIG="+settings)
--- a/examples/standins/main.go
+++ b/examples/standins/main.go
@@ -48,7 +48,7 @@
 		o.Platform: store.Handler(),
 		o.Fast:     (&standin.Engine{Card: standin.Card{Step: 8 * time.Millisecond}}).Handler(),
 		o.Slow:     (&standin.Engine{Card: standin.Card{Step: 20 * time.Millisecond, Batch: 8}}).Handler(),
-		o.Service:  &standin.Service{Takes: 5 * time.Millisecond},
+		o.Service:  &standin.Service{Latency: 5 * time.Millisecond},
 	} {
 		go func() { failed <- http.ListenAndServe(address, h) }()
 		fmt.Println("serving on", address)
--- a/internal/direct/duties/suspension_test.go
+++ b/internal/direct/duties/suspension_test.go
@@ -15,7 +15,7 @@
 
 // TestResumedHolderSendsNothing checks the same within the millisecond after resuming, in which
 // readings that are not exact still rely on a comparison of the clocks from before the suspension.
-func TestResumedHolderSendsNothing(t *testing.T) { testSuspendedHolder(t, suspension.Waken) }
+func TestResumedHolderSendsNothing(t *testing.T) { testSuspendedHolder(t, suspension.SuspendUnnoticed) }
 
 // testSuspendedHolder suspends the machine of a holder that has reports to send, and checks that it
 // sends none on resuming.
--- a/internal/direct/gateway/dump_test.go
+++ b/internal/direct/gateway/dump_test.go
@@ -11,7 +11,7 @@
 var _ = Describe("the dump", func() {
 	It("contains settings, endpoints and open requests", func() {
 		h := newHarness(platformtest.Hang{}, okResponse)
-		h.store.Put("servers/i-2", h.runners[1].Entry("draining"))
+		h.store.Put("servers/i-2", h.runners[1].Record("draining"))
 		Eventually(func() bool { return h.gateway.Dump().Endpoints[1].Leaving }).Should(BeTrue())
 		done := make(chan reply, 1)
 		q := h.request("GET", "/page/1", "")
--- a/internal/direct/gateway/eligible_test.go
+++ b/internal/direct/gateway/eligible_test.go
@@ -22,7 +22,7 @@
 	It("gets no new requests until the evacuation ends, and requests are refused if there is no other data centre", func() {
 		h := newHarness(okResponse, okResponse)
 		h.runners[1].DataCentre = "zone-2"
-		h.store.Enter(h.runners[1], "ready")
+		h.store.PutEndpoint(h.runners[1], "ready")
 		h.store.Evacuate("zone-2")
 		Eventually(func() []string { return h.gateway.Dump().Evacuated }).Should(Equal([]string{"zone-2"}))
 		for range 20 {
@@ -33,7 +33,7 @@
 		Eventually(func() []string { return h.gateway.Dump().Evacuated }).Should(Equal([]string{"zone-1", "zone-2"}))
 		h.get("/page/1").expectRefused("1210")
 		Expect(h.runs()).To(Equal(20))
-		h.store.GiveBack("zone-2")
+		h.store.EndEvacuation("zone-2")
 		Eventually(func() []string { return h.gateway.Dump().Evacuated }).Should(Equal([]string{"zone-1"}))
 		h.get("/page/1").expectWhole(200)
 		Expect(h.runners[1].Runs()).To(HaveLen(1))
@@ -59,7 +59,7 @@
 		hold := make(chan struct{})
 		h := newHarness(platformtest.Events{To: 3, Hold: hold, Broken: true}, platformtest.Events{To: 3, Hold: hold, Broken: true})
 		h.runners[1].DataCentre = "zone-2"
-		h.store.Enter(h.runners[1], "ready")
+		h.store.PutEndpoint(h.runners[1], "ready")
 		h.store.Evacuate("zone-2")
 		Eventually(func() []string { return h.gateway.Dump().Evacuated }).Should(HaveLen(1))
 		done := make(chan reply, 1)
@@ -78,7 +78,7 @@
 	regions := func(class, team []string) (*harness, func() int) {
 		h := newHarness(okResponse, okResponse)
 		h.runners[1].DataCentre = "zone-2"
-		h.store.Enter(h.runners[1], "ready")
+		h.store.PutEndpoint(h.runners[1], "ready")
 		h.teamRegions = team
 		h.configure([]map[string]any{route("/page/", "idempotent", map[string]any{"allowedRegions": class})}, teamKey)
 		Eventually(h.settingsVersion).Should(BeEquivalentTo(h.version))
@@ -111,7 +111,7 @@
 
 	It("is not retried outside of them", func() {
 		h, outside := regions([]string{"region-2"}, nil)
-		h.runners[1].Next(platformtest.Break{})
+		h.runners[1].Enqueue(platformtest.ResetConnection{})
 		Expect(h.get("/page/1").status).To(Equal(502))
 		Expect(outside()).To(BeZero())
 	})
--- a/internal/direct/gateway/fetch_test.go
+++ b/internal/direct/gateway/fetch_test.go
@@ -33,7 +33,7 @@
 			keeper, other = other, keeper
 		}
 		between(h)
-		keeper.Next(platformtest.Fail{Status: 500})
+		keeper.Enqueue(platformtest.Fail{Status: 500})
 		h.do(prompt(h, "ab:8000,ef:1000")).expectWhole(200)
 		Expect(other.Runs()).To(HaveLen(1))
 		return keeper.Address(), other.Runs()[0].Header
--- a/internal/direct/gateway/forward_test.go
+++ b/internal/direct/gateway/forward_test.go
@@ -69,18 +69,18 @@
 		for range 5 {
 			h.get("/page/1").expectWhole(200)
 		}
-		Expect(h.runners[0].Dialed()).To(Equal(1))
+		Expect(h.runners[0].ConnectionCount()).To(Equal(1))
 	})
 
 	It("runs a non-repeatable request at most once and does not report it as not run", func() {
-		h := newHarness(platformtest.Break{}, platformtest.Break{})
+		h := newHarness(platformtest.ResetConnection{}, platformtest.ResetConnection{})
 		a := h.do(h.request(http.MethodPost, "/book/1", "x"))
 		a.expectWhole(502)
 		Expect(h.runs()).To(Equal(1))
 	})
 
 	It("repeats a repeatable request at another endpoint, within the route's attempts", func() {
-		h := newHarness(platformtest.Break{}, platformtest.Break{}, platformtest.Break{})
+		h := newHarness(platformtest.ResetConnection{}, platformtest.ResetConnection{}, platformtest.ResetConnection{})
 		h.get("/page/1").expectWhole(502)
 		Expect(h.runs()).To(Equal(2))
 		for _, r := range h.runners {
@@ -89,7 +89,7 @@
 	})
 
 	It("does not retry a request whose route allows one attempt", func() {
-		h := newHarness(platformtest.Break{}, platformtest.Break{})
+		h := newHarness(platformtest.ResetConnection{}, platformtest.ResetConnection{})
 		h.get("/once/1").expectWhole(502)
 		Expect(h.runs()).To(Equal(1))
 	})
@@ -111,12 +111,12 @@
 
 	It("does not report a request as not run after a first attempt that may have run", func() {
 		h := newHarness(okResponse, okResponse)
-		for _, acts := range [][]platformtest.Act{
-			{platformtest.Break{}, platformtest.Refuse{Status: 503}},
-			{platformtest.Refuse{Status: 503}, platformtest.Break{}},
-			{platformtest.Break{}, platformtest.Break{}},
+		for _, behaviors := range [][]platformtest.Behavior{
+			{platformtest.ResetConnection{}, platformtest.Refuse{Status: 503}},
+			{platformtest.Refuse{Status: 503}, platformtest.ResetConnection{}},
+			{platformtest.ResetConnection{}, platformtest.ResetConnection{}},
 		} {
-			platformtest.InTurn(h.runners, acts...)
+			platformtest.ShareScript(h.runners, behaviors...)
 			a := h.get("/page/1")
 			a.expectWhole(502)
 			Expect(a.header.Get("Retry-After")).To(BeEmpty())
@@ -125,7 +125,7 @@
 
 	It("reports a request refused by all endpoints as not run", func() {
 		h := newHarness(okResponse, okResponse)
-		platformtest.InTurn(h.runners, platformtest.Refuse{Status: 503}, platformtest.Refuse{Status: 503})
+		platformtest.ShareScript(h.runners, platformtest.Refuse{Status: 503}, platformtest.Refuse{Status: 503})
 		a := h.get("/page/1")
 		a.expectWhole(503)
 		Expect(a.header.Get("Retry-After")).NotTo(BeEmpty())
@@ -142,18 +142,18 @@
 
 	It("matches responses to requests by their IDs", func() {
 		h := newHarness(okResponse)
-		h.runners[0].Next(platformtest.Surplus{}, platformtest.Twice{})
+		h.runners[0].Enqueue(platformtest.WrongResponseFirst{}, platformtest.ExtraResponse{})
 		for range 3 {
 			a := h.get("/once/1")
 			a.expectWhole(200)
 			Expect(a.body).To(BeElementOf("right", "the whole answer"))
 		}
-		Expect(h.runners[0].Dialed()).To(Equal(3), "a connection with surplus responses is not reused")
+		Expect(h.runners[0].ConnectionCount()).To(Equal(3), "a connection with surplus responses is not reused")
 	})
 
 	It("rejects invalid responses", func() {
 		h := newHarness(okResponse)
-		h.runners[0].Next(platformtest.Garbage{}, platformtest.Unsealed{}, platformtest.Cut{})
+		h.runners[0].Enqueue(platformtest.Garbage{}, platformtest.Unsealed{}, platformtest.Truncate{})
 		for range 3 {
 			h.get("/once/1").expectWhole(502)
 		}
@@ -161,7 +161,7 @@
 
 	It("relays a response without a length, unless its connection is reset", func() {
 		h := newHarness(okResponse)
-		h.runners[0].Next(platformtest.Unframed{Body: "all of it"}, platformtest.Unframed{Body: "part of it", Broken: true})
+		h.runners[0].Enqueue(platformtest.Unframed{Body: "all of it"}, platformtest.Unframed{Body: "part of it", Broken: true})
 		a := h.get("/once/1")
 		a.expectWhole(200)
 		Expect(a.body).To(Equal("all of it"))
@@ -177,7 +177,7 @@
 		for _, target := range []string{"/once/1", "/chat/1"} {
 			h := newHarness(okResponse)
 			crash := make(chan struct{})
-			h.runners[0].Next(platformtest.Crash{After: crash, Begun: "part of it"})
+			h.runners[0].Enqueue(platformtest.Crash{After: crash, Partial: "part of it"})
 			answered := make(chan reply, 1)
 			go func() { answered <- h.get(target) }()
 			Eventually(h.runs).Should(Equal(1))
@@ -190,7 +190,7 @@
 
 	It("does not reuse a connection whose request was answered early", func() {
 		h := newHarness(okResponse)
-		h.runners[0].Next(platformtest.Early{Status: 400})
+		h.runners[0].Enqueue(platformtest.Early{Status: 400})
 		h.do(h.request(http.MethodPost, "/once/1", strings.Repeat("x", 900<<10))).expectWhole(400)
 		h.get("/once/2").expectWhole(200)
 		for _, run := range h.runners[0].Runs() {
@@ -200,7 +200,7 @@
 
 	It("uses another endpoint if the address belongs to another one", func() {
 		h := newHarness(okResponse, okResponse)
-		e := h.runners[0].Entry("ready")
+		e := h.runners[0].Record("ready")
 		h.store.Put("servers/i-ghost", e)
 		Eventually(func() int { return len(h.gateway.Directory().Endpoints().List) }).Should(Equal(3))
 		for range 12 {
@@ -243,14 +243,14 @@
 		go func() { done <- h.do(q.WithContext(ctx)) }()
 		Eventually(h.runs).Should(Equal(1))
 		cancel()
-		Eventually(h.runners[0].Left()).Should(Receive(Equal(q.Header.Get(platformtest.RequestIDField))))
+		Eventually(h.runners[0].Abandoned()).Should(Receive(Equal(q.Header.Get(platformtest.RequestIDField))))
 		Eventually(done).Should(Receive())
 	})
 
 	It("answers when the route's timeout is over", func() {
 		h := newHarness(platformtest.Hang{})
 		h.get("/short/1").expectWhole(504)
-		Eventually(h.runners[0].Left()).Should(Receive())
+		Eventually(h.runners[0].Abandoned()).Should(Receive())
 	})
 
 	It("refuses a request as not run when no endpoint is known", func() {
--- a/internal/direct/gateway/harness_test.go
+++ b/internal/direct/gateway/harness_test.go
@@ -93,7 +93,7 @@
 	h.engine = engine
 	for _, r := range h.runners {
 		r.Engine = true
-		h.store.Enter(r, "ready")
+		h.store.PutEndpoint(r, "ready")
 	}
 	h.configure(routes(), teamKey)
 	Eventually(func() bool {
@@ -103,18 +103,18 @@
 	}).Should(BeTrue())
 }
 
-// newHarness starts a harness with one runner for each act.
-func newHarness(acts ...platformtest.Act) *harness {
-	return newHarnessWithLimits(driver.Limits{}, acts...)
+// newHarness starts a harness with one runner for each behavior.
+func newHarness(behaviors ...platformtest.Behavior) *harness {
+	return newHarnessWithLimits(driver.Limits{}, behaviors...)
 }
 
 // newHarnessWithLimits is newHarness with process limits.
-func newHarnessWithLimits(limits driver.Limits, acts ...platformtest.Act) *harness {
+func newHarnessWithLimits(limits driver.Limits, behaviors ...platformtest.Behavior) *harness {
 	h := &harness{store: platformtest.NewStore()}
-	for n, act := range acts {
-		r := platformtest.NewRunner(fmt.Sprintf("i-%d", n+1), service, act)
+	for n, behavior := range behaviors {
+		r := platformtest.NewRunner(fmt.Sprintf("i-%d", n+1), service, behavior)
 		h.runners = append(h.runners, r)
-		h.store.Enter(r, "ready")
+		h.store.PutEndpoint(r, "ready")
 	}
 	h.configure(routes(), teamKey)
 	factory, err := driver.Drivers.Get("fleet")
--- a/internal/direct/gateway/limits_test.go
+++ b/internal/direct/gateway/limits_test.go
@@ -23,7 +23,7 @@
 // addRunner adds a runner to the listed endpoints.
 func (h *harness) addRunner(r *platformtest.Runner) {
 	h.runners = append(h.runners, r)
-	h.store.Enter(r, "ready")
+	h.store.PutEndpoint(r, "ready")
 	Eventually(func() int { return len(h.gateway.Directory().Endpoints().List) }).Should(Equal(len(h.runners)))
 }
 
@@ -61,7 +61,7 @@
 	It("is limited by a response that reports the request as not run", func() {
 		h := newHarness(okResponse)
 		h.runners[0].NameLimit("3")
-		h.runners[0].Next(platformtest.Refuse{Status: http.StatusServiceUnavailable})
+		h.runners[0].Enqueue(platformtest.Refuse{Status: http.StatusServiceUnavailable})
 		h.get("/once/1")
 		Expect(h.limitOf(h.runners[0])).To(Equal(3.0))
 	})
@@ -83,7 +83,7 @@
 		h.get("/page/1").expectWhole(http.StatusOK)
 		h.runners[0].NameLimit()
 		time.Sleep(100 * time.Millisecond) // requests sent from now on are sent after the limit was received
-		h.runners[0].Next(platformtest.Fail{Status: http.StatusInternalServerError})
+		h.runners[0].Enqueue(platformtest.Fail{Status: http.StatusInternalServerError})
 		h.get("/once/1")
 		Expect(h.limitOf(h.runners[0])).To(Equal(500.0))
 	})
@@ -127,9 +127,9 @@
 		h.get("/page/1").expectWhole(http.StatusOK)
 		first.Close()
 		again := platformtest.NewRunner(first.ID, service, okResponse)
-		again.Born = 7
+		again.StartedMS = 7
 		DeferCleanup(again.Close)
-		h.store.Enter(again, "ready")
+		h.store.PutEndpoint(again, "ready")
 		Eventually(func() float64 { return h.limitOf(again) }).Should(BeZero())
 		h.get("/page/2").expectWhole(http.StatusOK)
 	})
--- a/internal/direct/gateway/runs_test.go
+++ b/internal/direct/gateway/runs_test.go
@@ -10,9 +10,9 @@
 )
 
 var _ = Describe("the usage of teams", func() {
-	DescribeTable("counts a request once, if an endpoint began to run it", func(method, target string, count int, acts ...platformtest.Act) {
+	DescribeTable("counts a request once, if an endpoint began to run it", func(method, target string, count int, behaviors ...platformtest.Behavior) {
 		h := newHarness(platformtest.Answer{Status: 200, Body: "whole"}, platformtest.Answer{Status: 200, Body: "whole"})
-		platformtest.InTurn(h.runners, acts...)
+		platformtest.ShareScript(h.runners, behaviors...)
 		h.do(h.request(method, target, "x"))
 		Expect(h.countedRuns.Load()).To(BeEquivalentTo(count))
 	},
@@ -27,8 +27,8 @@
 		Entry("refused by one endpoint and run by another", http.MethodPost, "/page/1", 1,
 			platformtest.Refuse{Status: 503}, platformtest.Answer{Status: 200, Body: "whole"}),
 		Entry("refused by all", http.MethodPost, "/page/1", 0, platformtest.Refuse{Status: 503}, platformtest.Refuse{Status: 503}),
-		Entry("a truncated response", http.MethodPost, "/book/1", 1, platformtest.Cut{}),
-		Entry("no response: the request may have run", http.MethodPost, "/book/1", 0, platformtest.Break{}),
+		Entry("a truncated response", http.MethodPost, "/book/1", 1, platformtest.Truncate{}),
+		Entry("no response: the request may have run", http.MethodPost, "/book/1", 0, platformtest.ResetConnection{}),
 		Entry("no route", http.MethodPost, "/nowhere/1", 0),
 	)
 
--- a/internal/direct/gateway/settings_test.go
+++ b/internal/direct/gateway/settings_test.go
@@ -53,18 +53,18 @@
 		h := newHarness(okResponse)
 		h.store.SetFault(platformtest.Busy)
 		h.configure(append(routes(), route("/new/", "idempotent", nil)), teamKey)
-		h.store.Forget()
-		h.store.SetFault(platformtest.Sound)
+		h.store.CompactHistory()
+		h.store.SetFault(platformtest.NoFault)
 		Eventually(func() int { return h.get("/new/1").status }).Should(Equal(200))
 	})
 
 	It("stay in force while the store fails, and then deny nothing that a newer version may contain", func() {
-		for _, f := range []platformtest.Fault{platformtest.Busy, platformtest.Many, platformtest.Reset, platformtest.Silent} {
+		for _, f := range []platformtest.Fault{platformtest.Busy, platformtest.TooManyRequests, platformtest.Reset, platformtest.Silent} {
 			h := newHarness(okResponse)
 			h.store.SetFault(f)
 			h.get("/page/1").expectWhole(200)
 			Eventually(func() int { return h.get("/nowhere/").status }).Should(Equal(503))
-			h.store.SetFault(platformtest.Sound)
+			h.store.SetFault(platformtest.NoFault)
 			Eventually(func() int { return h.get("/nowhere/").status }).Should(Equal(404))
 		}
 	})
@@ -84,7 +84,7 @@
 
 	It("exclude endpoints that are leaving", func() {
 		h := newHarness(okResponse, okResponse)
-		h.store.Put("servers/i-1", h.runners[0].Entry("draining"))
+		h.store.Put("servers/i-1", h.runners[0].Record("draining"))
 		Eventually(func() bool {
 			for _, e := range h.gateway.Directory().Endpoints().List {
 				if e.ID == "i-1" {
--- a/internal/direct/gateway/signals_test.go
+++ b/internal/direct/gateway/signals_test.go
@@ -35,9 +35,9 @@
 	// longDelay is a Retry-After that exceeds the time of a test.
 	const longDelay = "600"
 
-	DescribeTable("gets requests as before after a response that asks for none", func(act platformtest.Act) {
+	DescribeTable("gets requests as before after a response that asks for none", func(behavior platformtest.Behavior) {
 		h := newHarness(okResponse)
-		h.runners[0].Next(act)
+		h.runners[0].Enqueue(behavior)
 		h.get("/once/1")
 		Expect(h.stateOf(h.runners[0]).BackoffMS).To(BeZero())
 		h.get("/once/2").expectWhole(http.StatusOK)
@@ -58,9 +58,9 @@
 		Entry("a 421 for another endpoint", platformtest.Refuse{Status: http.StatusMisdirectedRequest, RetryAfter: []string{longDelay}}),
 	)
 
-	DescribeTable("gets no requests for the whole delay, and then requests again", func(act platformtest.Act) {
+	DescribeTable("gets no requests for the whole delay, and then requests again", func(behavior platformtest.Behavior) {
 		h := newHarness(okResponse)
-		h.runners[0].Next(act)
+		h.runners[0].Enqueue(behavior)
 		began := time.Now()
 		h.get("/once/1")
 		for time.Since(began) < 400*time.Millisecond {
@@ -120,7 +120,7 @@
 			q.Header.Set(platformtest.TargetField, h.runners[0].ID)
 			h.do(q)
 		}),
-		Entry("queries of kept prompt parts", platformtest.KeptPath, func(h *harness) {
+		Entry("queries of cached prompt parts", platformtest.CachedPartsPath, func(h *harness) {
 			h.engines(map[string]any{"slots": 4, "kvCapacity": 1000})
 			h.gateway.QueryCachedParts(context.Background(), func(string, string) bool { return true })
 		}),
@@ -143,9 +143,9 @@
 		h.get("/once/1")
 		first.Close()
 		again := platformtest.NewRunner(first.ID, service, okResponse)
-		again.Born = 7
+		again.StartedMS = 7
 		DeferCleanup(again.Close)
-		h.store.Enter(again, "ready")
+		h.store.PutEndpoint(again, "ready")
 		Eventually(func() int { return h.get("/once/2").status }).Should(Equal(http.StatusOK))
 	})
 })
@@ -168,8 +168,8 @@
 		h.addRunner(platformtest.NewRunner("i-2", service, okResponse))
 		h.get("/page/3").expectWhole(http.StatusOK)
 		Expect(h.runners[1].Runs()).To(HaveLen(1))
-		h.store.Enter(h.runners[0], "ready")
-		h.runners[1].SetRest(platformtest.Fail{Status: http.StatusInternalServerError})
+		h.store.PutEndpoint(h.runners[0], "ready")
+		h.runners[1].SetDefault(platformtest.Fail{Status: http.StatusInternalServerError})
 		time.Sleep(grace - time.Since(began)) // until the end of the grace period
 		before := len(h.runners[0].Arrivals())
 		h.get("/page/4")
@@ -189,8 +189,8 @@
 		Entry("empty", ""),
 	)
 
-	DescribeTable("is draining after any response of its own", func(act platformtest.Act) {
-		h := newHarness(act)
+	DescribeTable("is draining after any response of its own", func(behavior platformtest.Behavior) {
+		h := newHarness(behavior)
 		h.runners[0].Drain("1")
 		h.get("/once/1")
 		Expect(h.stateOf(h.runners[0]).DrainingMS).NotTo(BeZero())
--- a/internal/direct/gateway/snapshot_test.go
+++ b/internal/direct/gateway/snapshot_test.go
@@ -19,7 +19,7 @@
 		h := newHarness(okResponse, okResponse, okResponse)
 		h.engines(map[string]any{"slots": 8, "kvCapacity": 500_000})
 		for n := range subjects {
-			h.runners[n%engines].Keep(fmt.Sprintf("a%d", n), 8000)
+			h.runners[n%engines].CachePart(fmt.Sprintf("a%d", n), 8000)
 		}
 		return h
 	}
@@ -56,15 +56,15 @@
 	It("queries only the engines that it is responsible for", func() {
 		h := newHarnessWithParts()
 		h.gateway.QueryCachedParts(context.Background(), func(endpoint, _ string) bool { return endpoint == "i-2" })
-		Expect(h.runners[0].Dialed()).To(BeZero())
-		Expect(h.runners[1].Dialed()).To(Equal(1))
+		Expect(h.runners[0].ConnectionCount()).To(BeZero())
+		Expect(h.runners[1].ConnectionCount()).To(Equal(1))
 	})
 
 	It("continues if an engine does not answer", func() {
 		h := newHarnessWithParts()
 		h.runners[1].Close()
 		h.gateway.QueryCachedParts(context.Background(), all)
-		Expect(h.runners[2].Dialed()).To(Equal(1))
+		Expect(h.runners[2].ConnectionCount()).To(Equal(1))
 	})
 
 	It("applies the snapshot of another entry, but rejects invalid data", func() {
--- a/internal/direct/gateway/stream_test.go
+++ b/internal/direct/gateway/stream_test.go
@@ -54,7 +54,7 @@
 
 	It("are resumed at another endpoint after the last complete event, if that is allowed", func() {
 		h := newHarness(platformtest.Events{To: 30}, platformtest.Events{To: 30})
-		platformtest.InTurn(h.runners, platformtest.Events{To: 7, Broken: true}, platformtest.Events{To: 30})
+		platformtest.ShareScript(h.runners, platformtest.Events{To: 7, Broken: true}, platformtest.Events{To: 30})
 		a := h.do(h.request(http.MethodPost, "/chat/1", "x"))
 		a.expectWhole(200)
 		Expect(eventIDs(a.body)).To(Equal(sequence(30)))
@@ -65,7 +65,7 @@
 
 	It("are truncated if they broke at all endpoints that the route allows", func() {
 		h := newHarness(platformtest.Events{To: 30}, platformtest.Events{To: 30}, platformtest.Events{To: 30})
-		platformtest.InTurn(h.runners, platformtest.Events{To: 7, Broken: true}, platformtest.Events{To: 12, Broken: true})
+		platformtest.ShareScript(h.runners, platformtest.Events{To: 7, Broken: true}, platformtest.Events{To: 12, Broken: true})
 		a := h.do(h.request(http.MethodPost, "/chat/1", "x"))
 		a.expectTruncated()
 		Expect(eventIDs(a.body)).To(Equal(sequence(12)))
@@ -74,7 +74,7 @@
 
 	It("have the header of the first endpoint after they are resumed", func() {
 		h := newHarness(platformtest.Events{To: 30}, platformtest.Events{To: 30})
-		platformtest.InTurn(h.runners, platformtest.Events{To: 7, Broken: true}, platformtest.Events{To: 30})
+		platformtest.ShareScript(h.runners, platformtest.Events{To: 7, Broken: true}, platformtest.Events{To: 30})
 		a := h.do(h.request(http.MethodPost, "/chat/1", "x"))
 		a.expectWhole(200)
 		first, _ := h.runnersInOrder()
--- a/internal/direct/gateway/suspension_test.go
+++ b/internal/direct/gateway/suspension_test.go
@@ -30,7 +30,7 @@
 		var a reply
 		Eventually(answered, "5s").Should(Receive(&a))
 		a.expectWhole(http.StatusGatewayTimeout)
-		Eventually(h.runners[0].Left()).Should(Receive(), "the endpoint has to stop its work")
+		Eventually(h.runners[0].Abandoned()).Should(Receive(), "the endpoint has to stop its work")
 	})
 
 	// Requests that arrived during the suspension are read in the millisecond in which the machine
@@ -43,6 +43,6 @@
 		h.get("/nothing").expectWhole(http.StatusServiceUnavailable)
 	},
 		Entry("after the suspension is noticed", suspension.Suspend),
-		Entry("right after it resumes", suspension.Waken),
+		Entry("right after it resumes", suspension.SuspendUnnoticed),
 	)
 })
--- a/internal/process/gateway_test.go
+++ b/internal/process/gateway_test.go
@@ -76,7 +76,7 @@
 	defer store.Close()
 	runner := platformtest.NewRunner("i-1", "pool", platformtest.Answer{Status: 200, Body: "whole"})
 	defer runner.Close()
-	store.Put("servers/i-1", runner.Entry("ready"))
+	store.Put("servers/i-1", runner.Record("ready"))
 	store.Configure(map[string]any{
 		"version":  1,
 		"routes":   []map[string]any{{"name": "r", "hostname": "h.example", "pathPrefix": "/", "routeType": "idempotent", "timeoutMs": 5000, "latencyGoalMs": 500, "backend": "pool", "maxAttempts": 1, "public": true}},
--- a/internal/process/golden_test.go
+++ b/internal/process/golden_test.go
@@ -68,7 +68,7 @@
 	defer store.Close()
 	runner := platformtest.NewRunner("i-1", "pool", platformtest.Events{To: 3, Pause: 2 * time.Millisecond})
 	defer runner.Close()
-	store.Enter(runner, "ready")
+	store.PutEndpoint(runner, "ready")
 	store.Configure(map[string]any{
 		"version":  1,
 		"routes":   []map[string]any{{"name": "r", "hostname": "h.example", "pathPrefix": "/chat/", "routeType": "streaming", "timeoutMs": 5000, "latencyGoalMs": 500, "itlTargetMs": 200, "backend": "pool", "maxAttempts": 1, "public": true}},
--- a/internal/testing/bench/link_test.go
+++ b/internal/testing/bench/link_test.go
@@ -125,7 +125,7 @@
 }
 
 // startDeployment starts a deployment with one agent and one entry and waits until it is ready.
-func startDeployment(b *testing.B, l deployment.Local) (*deployment.Deployment, *deployment.Entry) {
+func startDeployment(b *testing.B, backend deployment.Backend) (*deployment.Deployment, *deployment.Entry) {
 	b.Helper()
 	f, err := deployment.New()
 	if err != nil {
@@ -134,10 +134,10 @@
 	b.Cleanup(f.Close)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	if err := f.Put(ctx, trees.Ovenhuis); err != nil {
+	if err := f.ReplaceSettings(ctx, trees.Ovenhuis); err != nil {
 		b.Fatal(err)
 	}
-	if _, err := f.AddAgent("agent", "gent", l); err != nil {
+	if _, err := f.AddAgent("agent", "gent", backend); err != nil {
 		b.Fatal(err)
 	}
 	e, err := f.AddEntry("entry", "gent")
@@ -154,7 +154,7 @@
 // service, in the same run.
 func BenchmarkTrip(b *testing.B) {
 	service := &standin.Service{}
-	f, e := startDeployment(b, deployment.Local{Target: settings.ServiceTarget("bookings"), Handler: service})
+	f, e := startDeployment(b, deployment.Backend{Target: settings.ServiceTarget("bookings"), Handler: service})
 	direct, err := f.ServeHTTP(service)
 	if err != nil {
 		b.Fatal(err)
@@ -226,13 +226,13 @@
 // with the engine and the callers in the same process.
 func BenchmarkStream(b *testing.B) {
 	engine := &standin.Engine{Card: standin.Card{Step: 2 * time.Millisecond, Batch: 1 << 20}}
-	_, e := startDeployment(b, deployment.Local{Target: target, Handler: engine.Handler()})
+	_, e := startDeployment(b, deployment.Backend{Target: target, Handler: engine.Handler()})
 	const chats = 64
 	var all sync.WaitGroup
 	for b.Loop() {
 		for n := range chats {
 			all.Go(func() {
-				c := caller.Caller{URL: e.URL, Key: "gent" + trees.KeySuffix, Class: "load-check", Most: 100}
+				c := caller.Caller{URL: e.URL, Key: "gent" + trees.KeySuffix, Class: "load-check", MaxTokens: 100}
 				if a := c.Chat(context.Background(), target, fmt.Sprint("question ", n)); a.Tokens != 100 {
 					b.Error(a.Err)
 				}
--- a/internal/testing/caller/caller.go
+++ b/internal/testing/caller/caller.go
@@ -23,25 +23,25 @@
 
 // Caller sends requests to one entry. A nil Client means a shared default client.
 type Caller struct {
-	URL    string
-	Key    string // bearer key of the team
-	Class  string // empty: the entry chooses
-	Idem   string // idempotency key, empty for none
-	Most   int    // largest number of tokens of a chat's answer, 0 for no limit
-	Client *http.Client
+	URL            string
+	Key            string // bearer key of the team
+	Class          string // empty: the entry chooses
+	IdempotencyKey string // empty for none
+	MaxTokens      int    // largest number of tokens of a chat's answer, 0 for no limit
+	Client         *http.Client
 }
 
 // Answer is the result of a request.
 type Answer struct {
-	Code   result.Code // 0 if the connection broke
-	Run    result.Execution
-	Body   string
-	Tokens int
-	First  time.Duration   // to the first token or byte
-	Whole  time.Duration   // to the end
-	Gaps   []time.Duration // between tokens
-	Retry  string          // Retry-After
-	Err    error
+	Code       result.Code // 0 if the connection broke
+	Run        result.Execution
+	Body       string
+	Tokens     int
+	First      time.Duration   // to the first token or byte
+	Total      time.Duration   // to the end
+	Gaps       []time.Duration // between tokens
+	RetryAfter string          // Retry-After
+	Err        error
 }
 
 // errorBody is the body of an answer with an error.
@@ -61,8 +61,8 @@
 	if c.Class != "" {
 		request.Header.Set("X-Foxcross-Class", c.Class)
 	}
-	if c.Idem != "" {
-		request.Header.Set("Idempotency-Key", c.Idem)
+	if c.IdempotencyKey != "" {
+		request.Header.Set("Idempotency-Key", c.IdempotencyKey)
 	}
 	client := c.Client
 	if client == nil {
@@ -79,10 +79,10 @@
 // Chat sends a prompt and reads the streamed answer.
 func (c Caller) Chat(ctx context.Context, model, prompt string) Answer {
 	body, err := json.Marshal(chatBody{
-		Model:    model,
-		Stream:   true,
-		Most:     c.Most,
-		Messages: []chatMessage{{Role: "user", Content: prompt}},
+		Model:     model,
+		Stream:    true,
+		MaxTokens: c.MaxTokens,
+		Messages:  []chatMessage{{Role: "user", Content: prompt}},
 	})
 	if err != nil {
 		return Answer{Err: err}
@@ -100,7 +100,7 @@
 }
 
 func readFailure(response *http.Response) Answer {
-	a := Answer{Code: result.BadRequest, Retry: response.Header.Get("Retry-After")}
+	a := Answer{Code: result.BadRequest, RetryAfter: response.Header.Get("Retry-After")}
 	data, err := io.ReadAll(io.LimitReader(response.Body, maxEvent))
 	if err != nil {
 		return Answer{Err: err}
@@ -129,10 +129,10 @@
 }
 
 type chatBody struct {
-	Model    string        `json:"model"`
-	Stream   bool          `json:"stream"`
-	Most     int           `json:"max_tokens,omitempty"`
-	Messages []chatMessage `json:"messages"`
+	Model     string        `json:"model"`
+	Stream    bool          `json:"stream"`
+	MaxTokens int           `json:"max_tokens,omitempty"`
+	Messages  []chatMessage `json:"messages"`
 }
 
 type chatMessage struct {
@@ -178,7 +178,7 @@
 		}
 	}
 	a.Body = text.String()
-	a.Whole = time.Since(began)
+	a.Total = time.Since(began)
 	return a
 }
 
@@ -214,12 +214,12 @@
 		return Answer{Err: err}
 	}
 	took := time.Since(began)
-	return Answer{Code: result.OK, Run: result.Ran, Body: string(data), First: took, Whole: took}
+	return Answer{Code: result.OK, Run: result.Ran, Body: string(data), First: took, Total: took}
 }
 
 // Meets reports whether the answer met the targets of its class.
 func (a Answer) Meets(c settings.ClassInfo) bool {
-	if a.Code != result.OK || a.First > c.Terms.FirstToken || a.Whole > c.Complete {
+	if a.Code != result.OK || a.First > c.Terms.FirstToken || a.Total > c.Complete {
 		return false
 	}
 	return c.Terms.BetweenTokens == 0 || Quantile(a.Gaps, 0.95) <= c.Terms.BetweenTokens
--- a/internal/testing/deployment/deployment.go
+++ b/internal/testing/deployment/deployment.go
@@ -116,17 +116,17 @@
 	return s, "http://" + l.Addr().String(), nil
 }
 
-// Local describes an endpoint of an agent.
-type Local struct {
-	Target  string
-	Handler http.Handler
-	Most    int
+// Backend describes an endpoint of an agent.
+type Backend struct {
+	Target        string
+	Handler       http.Handler
+	MaxConcurrent int
 }
 
 // AddAgent starts an agent with its endpoints.
-func (d *Deployment) AddAgent(name, dataCentre string, locals ...Local) (*Agent, error) {
+func (d *Deployment) AddAgent(name, dataCentre string, backends ...Backend) (*Agent, error) {
 	o := agent.Options{Name: name, DataCentre: dataCentre}
-	for n, l := range locals {
+	for n, l := range backends {
 		url, err := d.ServeHTTP(l.Handler)
 		if err != nil {
 			return nil, err
@@ -136,7 +136,7 @@
 			return nil, err
 		}
 		o.Endpoints = append(o.Endpoints, agent.LocalEndpoint{
-			Description: dispatch.Endpoint{Name: fmt.Sprintf("%s-%d", name, n), Target: l.Target, MaxWork: l.Most},
+			Description: dispatch.Endpoint{Name: fmt.Sprintf("%s-%d", name, n), Target: l.Target, MaxWork: l.MaxConcurrent},
 			Driver:      driver,
 		})
 	}
@@ -202,7 +202,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	delete(d.agents, name)
-	d.Store.DropMember(name)
+	d.Store.RemoveMember(name)
 	return err
 }
 
@@ -263,7 +263,7 @@
 	defer d.mu.Unlock()
 	d.entries[name].kill()
 	delete(d.entries, name)
-	d.Store.DropMember(name)
+	d.Store.RemoveMember(name)
 }
 
 // StopEntry drains and stops an entry and removes it from the member list.
@@ -276,8 +276,8 @@
 	return err
 }
 
-// Put replaces the settings tree.
-func (d *Deployment) Put(ctx context.Context, data []byte) error {
+// ReplaceSettings replaces the settings tree.
+func (d *Deployment) ReplaceSettings(ctx context.Context, data []byte) error {
 	tree, err := settings.Parse(data)
 	if err != nil {
 		return err
--- a/internal/testing/deployment/deployment_test.go
+++ b/internal/testing/deployment/deployment_test.go
@@ -47,11 +47,11 @@
 		f, err = deployment.New()
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(f.Close)
-		Expect(f.Put(ctx, trees.Ovenhuis)).To(Succeed())
+		Expect(f.ReplaceSettings(ctx, trees.Ovenhuis)).To(Succeed())
 		engine = &standin.Engine{Card: standin.Card{Step: 2 * time.Millisecond}}
-		hall, err = f.AddAgent("hall", "gent", deployment.Local{Target: "glaze-8b", Handler: engine.Handler()})
+		hall, err = f.AddAgent("hall", "gent", deployment.Backend{Target: "glaze-8b", Handler: engine.Handler()})
 		Expect(err).NotTo(HaveOccurred())
-		_, err = f.AddAgent("app", "gent", deployment.Local{Target: settings.ServiceTarget("bookings"), Handler: &standin.Service{}})
+		_, err = f.AddAgent("app", "gent", deployment.Backend{Target: settings.ServiceTarget("bookings"), Handler: &standin.Service{}})
 		Expect(err).NotTo(HaveOccurred())
 		entry, err = f.AddEntry("entry", "gent")
 		Expect(err).NotTo(HaveOccurred())
@@ -131,13 +131,13 @@
 		slow := &standin.Engine{Card: standin.Card{Step: 20 * time.Millisecond}}
 		begun := make(chan struct{})
 		slow.OnStart = func(string) { close(begun) }
-		engine.Break(true)
-		_, err := f.AddAgent("hall-2", "gent", deployment.Local{Target: "glaze-8b", Handler: slow.Handler()})
+		engine.SetBroken(true)
+		_, err := f.AddAgent("hall-2", "gent", deployment.Backend{Target: "glaze-8b", Handler: slow.Handler()})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(f.WaitReady(ctx)).To(Succeed())
 		go func() {
 			<-begun
-			engine.Break(false)
+			engine.SetBroken(false)
 			f.KillAgent("hall-2")
 		}()
 		a := as("gent").Chat(ctx, "glaze-8b", "which cone")
@@ -153,7 +153,7 @@
 	})
 
 	It("stops an entry after its last answer", func() {
-		engine.Slow(20)
+		engine.SetSlowdown(20)
 		answered := make(chan caller.Answer, 1)
 		go func() { answered <- as("gent").Chat(ctx, "glaze-8b", "the last one") }()
 		Eventually(func() int { return entry.Dump().Open }, "10s", "1ms").Should(Equal(1))
--- a/internal/testing/fleet/backoff_test.go
+++ b/internal/testing/fleet/backoff_test.go
@@ -48,7 +48,7 @@
 		entry := targetEntry(refusal.Target)
 		got := 0
 		for _, a := range r.Arrivals() {
-			if targetEntry(a.Target) == entry && refusal.Counts(a.At) {
+			if targetEntry(a.Target) == entry && refusal.InBackoff(a.At) {
 				got++
 			}
 		}
@@ -62,7 +62,7 @@
 // delayResponses makes all endpoints delay their responses.
 func (f *fleet) delayResponses(delay time.Duration) {
 	for _, r := range f.endpoints() {
-		r.SetRest(platformtest.ByPath{
+		r.SetDefault(platformtest.ByPath{
 			Prefix: []string{"/chat/"},
 			Then:   platformtest.Delayed{By: delay, Then: platformtest.Events{To: 3}},
 			Else:   platformtest.Delayed{By: delay, Then: platformtest.Answer{Status: http.StatusOK, Body: "the whole answer"}},
--- a/internal/testing/fleet/crashing_test.go
+++ b/internal/testing/fleet/crashing_test.go
@@ -21,9 +21,9 @@
 	"testing"
 )
 
-// TestCrashingRequestIsQuarantined repeats a request that crashes each endpoint that runs it, at
+// TestCrashingRequestIsHeld repeats a request that crashes each endpoint that runs it, at
 // all entries in turn, without a pause.
-func TestCrashingRequestIsQuarantined(t *testing.T) {
+func TestCrashingRequestIsHeld(t *testing.T) {
 	const (
 		entries, endpoints = 5, 8
 		repetitions        = 40
--- a/internal/testing/fleet/evidence_test.go
+++ b/internal/testing/fleet/evidence_test.go
@@ -27,8 +27,8 @@
 	f.t.Helper()
 	r := platformtest.NewRunner("i-1", service, platformtest.Hang{})
 	f.t.Cleanup(r.Close)
-	r.Born = 1
-	f.store.Enter(r, "ready")
+	r.StartedMS = 1
+	f.store.PutEndpoint(r, "ready")
 	f.eventually("the endpoint is used", func() bool { return len(f.entries[0].gateway.Directory().Endpoints().List) == 1 })
 	return r
 }
@@ -48,8 +48,8 @@
 	f := newFleet(t, 1, 0)
 	r := f.addHangingEndpoint()
 	f.disconnectAt(r)
-	r.Born = 2
-	f.store.Enter(r, "ready")
+	r.StartedMS = 2
+	f.store.PutEndpoint(r, "ready")
 	f.awaitOneCrash()
 }
 
--- a/internal/testing/fleet/fleet_test.go
+++ b/internal/testing/fleet/fleet_test.go
@@ -113,7 +113,7 @@
 }
 
 // addEndpoint starts an endpoint, which is restarted when it crashes.
-func (f *fleet) addEndpoint(id string, born int64) {
+func (f *fleet) addEndpoint(id string, startedMS int64) {
 	r := platformtest.NewRunner(id, service, platformtest.ByPath{
 		Prefix: []string{crashingPath, crashingOncePath},
 		Then:   platformtest.Crash{},
@@ -123,11 +123,11 @@
 			Else:   platformtest.Answer{Status: http.StatusOK, Body: "the whole answer"},
 		},
 	})
-	r.Born = born
+	r.StartedMS = startedMS
 	f.mu.Lock()
 	f.serving = append(f.serving, r)
 	f.mu.Unlock()
-	f.store.Enter(r, "ready")
+	f.store.PutEndpoint(r, "ready")
 	go func() {
 		select {
 		case <-f.stopped:
@@ -137,7 +137,7 @@
 			f.mu.Lock()
 			f.serving = slices.DeleteFunc(f.serving, func(x *platformtest.Runner) bool { return x == r })
 			f.mu.Unlock()
-			f.addEndpoint(id, born+1)
+			f.addEndpoint(id, startedMS+1)
 		}
 	}()
 }
@@ -278,21 +278,21 @@
 	return response{status: a.StatusCode, header: a.Header, body: string(data)}
 }
 
-// isQuarantined reports whether a request was refused because its content is quarantined: not run, with
+// isHeld reports whether a request was refused because its content is held: not run, with
 // a Retry-After.
-func (r response) isQuarantined() bool {
+func (r response) isHeld() bool {
 	return r.status == http.StatusServiceUnavailable && r.header.Get("X-Foxcross-Code") == "1307" &&
 		r.header.Get("X-Foxcross-Run") == "not run" && r.header.Get("Retry-After") != ""
 }
 
-// requestUntilQuarantined repeats a request at an entry until it is refused as quarantined.
-func (f *fleet) requestUntilQuarantined(e *entry, target string) {
+// requestUntilHeld repeats a request at an entry until it is refused as held.
+func (f *fleet) requestUntilHeld(e *entry, target string) {
 	f.t.Helper()
-	f.eventually(target+" is refused", func() bool { return f.request(e, target, "crashes what runs it").isQuarantined() })
+	f.eventually(target+" is refused", func() bool { return f.request(e, target, "crashes what runs it").isHeld() })
 }
 
-// awaitQuarantined waits until an entry has a number of quarantined contents.
-func (f *fleet) awaitQuarantined(e *entry, contents int) {
+// awaitHeld waits until an entry has a number of held contents.
+func (f *fleet) awaitHeld(e *entry, contents int) {
 	f.t.Helper()
-	f.eventually(fmt.Sprint(contents, " contents are quarantined"), func() bool { return e.gateway.Dump().HeldContents == contents })
+	f.eventually(fmt.Sprint(contents, " contents are held"), func() bool { return e.gateway.Dump().HeldContents == contents })
 }
--- a/internal/testing/fleet/hearing_test.go
+++ b/internal/testing/fleet/hearing_test.go
@@ -12,64 +12,64 @@
 	"foxcross.dev/foxcross/internal/testing/standin/platformtest"
 )
 
-// TestOtherEntriesLearnQuarantine checks that a content that one entry has quarantined is refused at all
+// TestOtherEntriesReceiveHold checks that a content that one entry holds is refused at all
 // entries, and that three endpoints crash under it.
-func TestOtherEntriesLearnQuarantine(t *testing.T) {
+func TestOtherEntriesReceiveHold(t *testing.T) {
 	f := newFleet(t, 4, 4)
 	for _, target := range []string{crashingPath, crashingOncePath} {
 		before := f.crashes.Load()
-		f.requestUntilQuarantined(f.entries[0], target)
+		f.requestUntilHeld(f.entries[0], target)
 		if n := f.crashes.Load() - before; n != 3 {
-			t.Errorf("%s: %d endpoints have crashed before the quarantine", target, n)
+			t.Errorf("%s: %d endpoints have crashed before the hold", target, n)
 		}
 	}
 	for _, e := range f.entries {
-		f.awaitQuarantined(e, 2)
+		f.awaitHeld(e, 2)
 	}
 	before := f.crashes.Load()
 	for _, e := range f.entries {
-		if a := f.request(e, crashingPath, "crashes what runs it"); !a.isQuarantined() {
+		if a := f.request(e, crashingPath, "crashes what runs it"); !a.isHeld() {
 			t.Errorf("answered %d %v", a.status, a.header)
 		}
 	}
 	if n := f.crashes.Load() - before; n != 0 {
-		t.Errorf("%d endpoints have crashed under a quarantined content", n)
+		t.Errorf("%d endpoints have crashed under a held content", n)
 	}
-	if a := f.request(f.entries[0], crashingPath, "another body"); a.isQuarantined() {
+	if a := f.request(f.entries[0], crashingPath, "another body"); a.isHeld() {
 		t.Error("another content is refused")
 	}
 }
 
-// TestNewEntryRestoresQuarantine checks that a new entry restores the quarantine from the snapshot of
+// TestNewEntryRestoresHold checks that a new entry restores the hold from the snapshot of
 // another entry. It does not join the group, whose members could send it the same events.
-func TestNewEntryRestoresQuarantine(t *testing.T) {
+func TestNewEntryRestoresHold(t *testing.T) {
 	f := newFleet(t, 2, 4)
-	f.requestUntilQuarantined(f.entries[0], crashingPath)
+	f.requestUntilHeld(f.entries[0], crashingPath)
 	e := f.addEntry(false)
 	data, err := f.entries[0].gateway.Snapshot()
 	f.mustSucceed(err)
 	f.mustSucceed(e.gateway.Restore(data))
-	f.checkQuarantinedAt(e)
+	f.checkHeldAt(e)
 }
 
 // TestIsolatedEntryLearnsFromStore checks that an entry that reaches the store but no other entry
-// forwards a content that the store records as quarantined once, and then refuses it.
+// forwards a content that the store records as held once, and then refuses it.
 func TestIsolatedEntryLearnsFromStore(t *testing.T) {
 	f := newFleet(t, 2, 4)
-	f.requestUntilQuarantined(f.entries[0], crashingPath)
+	f.requestUntilHeld(f.entries[0], crashingPath)
 	f.awaitRecorded(1)
 	alone := f.addEntry(false)
 	before := f.crashes.Load()
-	f.requestUntilQuarantined(alone, crashingPath)
+	f.requestUntilHeld(alone, crashingPath)
 	if n := f.crashes.Load() - before; n != 1 {
 		t.Errorf("%d endpoints have crashed under a content that the store records", n)
 	}
 }
 
-// TestQuarantineOutlastsAllEntries checks that the quarantine survives the loss of all entries.
-func TestQuarantineOutlastsAllEntries(t *testing.T) {
+// TestHoldOutlastsAllEntries checks that the hold survives the loss of all entries.
+func TestHoldOutlastsAllEntries(t *testing.T) {
 	f := newFleet(t, 2, 4)
-	f.requestUntilQuarantined(f.entries[0], crashingPath)
+	f.requestUntilHeld(f.entries[0], crashingPath)
 	f.awaitRecorded(1)
 	for _, e := range f.entries {
 		e.stop()
@@ -80,21 +80,21 @@
 		f.eventually("the entries have joined", func() bool { return e.gateway.Dump().LiveEntries == 2 })
 	}
 	first.gateway.LoadHolds(context.Background())
-	f.checkQuarantinedAt(first)
-	f.checkQuarantinedAt(second)
+	f.checkHeldAt(first)
+	f.checkHeldAt(second)
 }
 
 // TestTrial checks that exactly one of many concurrent requests, at several entries, runs a content
-// whose quarantine has expired.
+// whose hold has expired.
 func TestTrial(t *testing.T) {
 	f := newFleet(t, 3, 4)
-	f.expireQuarantine(crashingPath)
+	f.expireHold(crashingPath)
 	f.requestConcurrently(crashingPath)
 	if n := f.crashes.Load(); n != 1 {
 		t.Errorf("%d endpoints have crashed in the trial", n)
 	}
 	for _, e := range f.entries {
-		f.eventually("the quarantine is extended", func() bool {
+		f.eventually("the hold is extended", func() bool {
 			d := e.gateway.Dump()
 			return len(d.Contents) == 1 && d.Contents[0].ForMS > 200_000
 		})
@@ -105,10 +105,10 @@
 // TestTrialThatSucceeds checks that a successful trial clears a content at all entries.
 func TestTrialThatSucceeds(t *testing.T) {
 	f := newFleet(t, 3, 4)
-	f.expireQuarantine("/chat/mended")
+	f.expireHold("/chat/mended")
 	f.requestConcurrently("/chat/mended")
 	for _, e := range f.entries {
-		f.awaitQuarantined(e, 0)
+		f.awaitHeld(e, 0)
 	}
 	f.awaitRecorded(0)
 }
@@ -116,13 +116,13 @@
 // TestConcurrentSuccessClearsTrialRecord clears a content by an event of another entry while a trial of
 // it runs here. It guards against a stale record in the store: of two entries that run a trial at the
 // same time the second writes its record after the first has deleted its own. If nobody deletes that
-// record, entries that start later quarantine a cleared content. The same fault makes
+// record, entries that start later hold a cleared content. The same fault makes
 // TestTrialThatSucceeds fail under load.
 func TestConcurrentSuccessClearsTrialRecord(t *testing.T) {
 	f := newFleet(t, 1, 1)
-	f.expireQuarantine("/chat/mended")
+	f.expireHold("/chat/mended")
 	hold := make(chan struct{})
-	f.endpoints()[0].Next(platformtest.Events{To: 3, Hold: hold})
+	f.endpoints()[0].Enqueue(platformtest.Events{To: 3, Hold: hold})
 	answered := make(chan response, 1)
 	go func() { answered <- f.request(f.entries[0], "/chat/mended", "crashes what runs it") }()
 	f.awaitRecorded(1)
@@ -130,7 +130,7 @@
 	k := quarantine.KeyOf("studio-1", "POST", host+"/chat/mended", []byte("crashes what runs it"))
 	cleared := peers.Event{Kind: peers.ContentCleared, Runs: []quarantine.RunReport{{Content: k[:]}}}
 	f.entries[0].gateway.EventReceiver().HandleEvents(99, []peers.Event{cleared})
-	f.awaitQuarantined(f.entries[0], 0)
+	f.awaitHeld(f.entries[0], 0)
 	close(hold)
 	if a := <-answered; a.status != http.StatusOK {
 		t.Errorf("answered %d", a.status)
@@ -142,7 +142,7 @@
 // tried again once an endpoint can be reached.
 func TestTrialThatReachesNoEndpoint(t *testing.T) {
 	f := newFleet(t, 2, 1)
-	f.expireQuarantine("/chat/mended")
+	f.expireHold("/chat/mended")
 	f.store.Put("servers/i-1", map[string]any{
 		"backend": service, "address": freeAddress(t), "zone": "zone-1", "slots": 8, "state": "ready",
 	})
@@ -152,7 +152,7 @@
 	if a := f.request(f.entries[0], "/chat/mended", "crashes what runs it"); a.status != http.StatusServiceUnavailable {
 		t.Errorf("answered %d", a.status)
 	}
-	f.store.Enter(f.endpoints()[0], "ready")
+	f.store.PutEndpoint(f.endpoints()[0], "ready")
 	for _, e := range f.entries {
 		f.eventually("the content is served", func() bool {
 			return f.request(e, "/chat/mended", "crashes what runs it").status == http.StatusOK
@@ -166,7 +166,7 @@
 func TestTrialContinuesAtNextEndpoint(t *testing.T) {
 	const unreachable = 3
 	f := newFleet(t, 1, unreachable+1)
-	f.expireQuarantine("/chat/mended")
+	f.expireHold("/chat/mended")
 	for n := range unreachable {
 		f.store.Put(fmt.Sprint("servers/i-", n+1), map[string]any{
 			"backend": service, "address": freeAddress(t), "zone": "zone-1", "slots": 8, "state": "ready",
@@ -187,14 +187,14 @@
 	}
 }
 
-// TestNoTrialWithoutTheStore checks that a content stays quarantined while the entries cannot agree
+// TestNoTrialWithoutTheStore checks that a content stays held while the entries cannot agree
 // which of them runs the trial.
 func TestNoTrialWithoutTheStore(t *testing.T) {
 	f := newFleet(t, 2, 2)
-	f.expireQuarantine(crashingPath)
+	f.expireHold(crashingPath)
 	f.store.SetFault(platformtest.Busy)
 	for _, e := range f.entries {
-		if a := f.request(e, crashingPath, "crashes what runs it"); !a.isQuarantined() {
+		if a := f.request(e, crashingPath, "crashes what runs it"); !a.isHeld() {
 			t.Errorf("answered %d %v", a.status, a.header)
 		}
 	}
@@ -206,15 +206,15 @@
 // TestRelease checks that an operator can release a content at all entries.
 func TestRelease(t *testing.T) {
 	f := newFleet(t, 2, 4)
-	f.requestUntilQuarantined(f.entries[0], crashingPath)
-	f.awaitQuarantined(f.entries[1], 1)
+	f.requestUntilHeld(f.entries[0], crashingPath)
+	f.awaitHeld(f.entries[1], 1)
 	f.awaitRecorded(1)
 	content := f.entries[1].gateway.Dump().Contents[0].Content
 	if !f.entries[1].gateway.ReleaseContent(content) {
-		t.Error("the content was not quarantined")
+		t.Error("the content was not held")
 	}
 	for _, e := range f.entries {
-		f.awaitQuarantined(e, 0)
+		f.awaitHeld(e, 0)
 	}
 	f.awaitRecorded(0)
 }
@@ -229,8 +229,8 @@
 	pending.Wait()
 }
 
-// expireQuarantine sends all entries the event of a quarantine that has expired.
-func (f *fleet) expireQuarantine(target string) {
+// expireHold sends all entries the event of a hold that has expired.
+func (f *fleet) expireHold(target string) {
 	f.t.Helper()
 	k := quarantine.KeyOf("studio-1", "POST", host+target, []byte("crashes what runs it"))
 	event := peers.Event{Kind: peers.ContentHeld, Holds: []quarantine.HoldReport{{Content: k[:], Crashes: 3, ForMS: 0}}}
@@ -239,18 +239,18 @@
 	}
 }
 
-// checkQuarantinedAt waits until an entry has quarantined a content, and checks that it refuses it.
-func (f *fleet) checkQuarantinedAt(e *entry) {
+// checkHeldAt waits until an entry holds a content, and checks that it refuses it.
+func (f *fleet) checkHeldAt(e *entry) {
 	f.t.Helper()
-	f.awaitQuarantined(e, 1)
+	f.awaitHeld(e, 1)
 	before := f.crashes.Load()
-	if a := f.request(e, crashingPath, "crashes what runs it"); !a.isQuarantined() || f.crashes.Load() != before {
+	if a := f.request(e, crashingPath, "crashes what runs it"); !a.isHeld() || f.crashes.Load() != before {
 		f.t.Errorf("answered %d, %d endpoints crashed", a.status, f.crashes.Load()-before)
 	}
 }
 
-// awaitRecorded waits until the store has a number of records of quarantined contents.
+// awaitRecorded waits until the store has a number of records of held contents.
 func (f *fleet) awaitRecorded(contents int) {
 	f.t.Helper()
-	f.eventually("the quarantined contents are recorded", func() bool { return len(f.store.Keys("foxcross/quarantine/")) == contents })
+	f.eventually("the held contents are recorded", func() bool { return len(f.store.Keys("foxcross/quarantine/")) == contents })
 }
--- a/internal/testing/fleet/innocent_test.go
+++ b/internal/testing/fleet/innocent_test.go
@@ -9,7 +9,7 @@
 	"foxcross.dev/foxcross/internal/testing/standin/platformtest"
 )
 
-// TestPopularContentIsServed checks that a content requested by many callers is not quarantined while
+// TestPopularContentIsServed checks that a content requested by many callers is not held while
 // endpoints crash repeatedly, under another request and without a cause.
 func TestPopularContentIsServed(t *testing.T) {
 	const callers, requestsPerCaller = 4, 40
@@ -44,17 +44,17 @@
 // a truncated answer, bytes that are no answer, and a failure status.
 func TestOtherFailuresAreNotCrashes(t *testing.T) {
 	f := newFleet(t, 2, 3)
-	for _, act := range []platformtest.Act{
-		platformtest.Break{}, platformtest.Cut{}, platformtest.Garbage{}, platformtest.Fail{Status: 500},
+	for _, behavior := range []platformtest.Behavior{
+		platformtest.ResetConnection{}, platformtest.Truncate{}, platformtest.Garbage{}, platformtest.Fail{Status: 500},
 		platformtest.Events{To: 2, Broken: true}, platformtest.Refuse{Status: 503},
 	} {
 		for n := range 4 {
-			platformtest.InTurn(f.endpoints(), act, act)
+			platformtest.ShareScript(f.endpoints(), behavior, behavior)
 			f.request(f.entries[n%2], "/book/1", "fails")
 			f.request(f.entries[n%2], "/chat/1", "fails")
 		}
 	}
-	platformtest.InTurn(f.endpoints())
+	platformtest.ShareScript(f.endpoints())
 	for _, e := range f.entries {
 		if d := e.gateway.Dump(); d.SuspectContents != 0 {
 			t.Errorf("%d contents are suspect: %v", d.SuspectContents, d.Contents)
@@ -68,11 +68,11 @@
 	f := newFleet(t, 2, 1)
 	leaving := f.endpoints()[0]
 	end := make(chan struct{})
-	leaving.Next(platformtest.Crash{After: end})
+	leaving.Enqueue(platformtest.Crash{After: end})
 	answered := make(chan response, 1)
 	go func() { answered <- f.request(f.entries[0], "/book/1", "under way") }()
 	f.eventually("it runs", func() bool { return len(leaving.Runs()) == 1 })
-	f.store.Enter(leaving, "draining")
+	f.store.PutEndpoint(leaving, "draining")
 	for _, e := range f.entries {
 		f.eventually("the endpoint is known to leave", func() bool { return e.gateway.Dump().Endpoints[0].Leaving })
 	}
@@ -93,10 +93,10 @@
 		f.eventually("the endpoint is back", func() bool { return len(f.endpoints()) == 1 })
 		r := f.endpoints()[0]
 		end := make(chan struct{})
-		r.Next(platformtest.Crash{After: end})
+		r.Enqueue(platformtest.Crash{After: end})
 		f.eventually("the endpoint is used", func() bool {
 			e := f.entries[0].gateway.Directory().Endpoints().List
-			return len(e) == 1 && e[0].StartedMS == r.Born
+			return len(e) == 1 && e[0].StartedMS == r.StartedMS
 		})
 		ctx, disconnect := context.WithCancel(context.Background())
 		done := make(chan response, 1)
@@ -113,6 +113,6 @@
 		})
 	}
 	for _, e := range f.entries {
-		f.awaitQuarantined(e, 1)
+		f.awaitHeld(e, 1)
 	}
 }
--- a/internal/testing/fleet/limits_test.go
+++ b/internal/testing/fleet/limits_test.go
@@ -35,7 +35,7 @@
 	f.requestPagesAtRate(perSecond, lasts)
 	most := platformtest.MostWithin(arrivalTimes(limited, from), platformtest.LimitWindow)
 	t.Logf("at most %d requests in %v", most, platformtest.LimitWindow)
-	if allowed := platformtest.Borne(limit); float64(most) > allowed {
+	if allowed := platformtest.MaxRequestsInWindow(limit); float64(most) > allowed {
 		t.Errorf("an endpoint that names a limit of %g a second got %d requests in %v, allowed are %.0f", limit, most, platformtest.LimitWindow, allowed)
 	}
 }
--- a/internal/testing/fleet/retry_test.go
+++ b/internal/testing/fleet/retry_test.go
@@ -15,7 +15,7 @@
 	const requests = 50
 	f := newFleet(t, 2, 2)
 	for n := range requests {
-		platformtest.InTurn(f.endpoints(), platformtest.Break{})
+		platformtest.ShareScript(f.endpoints(), platformtest.ResetConnection{})
 		if a := f.request(f.entries[n%2], "/page/1", "sent again"); a.status != http.StatusOK {
 			t.Fatalf("request %d: status %d", n, a.status)
 		}
--- a/internal/testing/fleet/together_test.go
+++ b/internal/testing/fleet/together_test.go
@@ -19,7 +19,7 @@
 func TestConcurrentCrashes(t *testing.T) {
 	f := newFleet(t, 4, 8)
 	f.requestConcurrently(crashingPath)
-	f.awaitAllQuarantined(crashingPath)
+	f.awaitAllHeld(crashingPath)
 	before := f.crashes.Load()
 	f.requestConcurrently(crashingPath)
 	if n := f.crashes.Load() - before; n > 1 {
@@ -33,16 +33,16 @@
 func TestConcurrentCrashesWithoutStore(t *testing.T) {
 	f := newFleet(t, 2, 4)
 	f.crashConcurrently("/book/unlucky")
-	f.awaitAllQuarantined("/book/unlucky")
+	f.awaitAllHeld("/book/unlucky")
 	f.store.SetFault(platformtest.Busy)
 	if a := f.request(f.entries[0], "/book/unlucky", "crashes what runs it"); a.status != http.StatusOK {
 		t.Errorf("answered %d %v", a.status, a.header)
 	}
-	f.awaitQuarantined(f.entries[0], 0)
-	f.awaitQuarantined(f.entries[1], 0)
+	f.awaitHeld(f.entries[0], 0)
+	f.awaitHeld(f.entries[1], 0)
 }
 
-// TestConcurrentCrashesOfContentThatRunsElsewhere checks that a popular content is not quarantined
+// TestConcurrentCrashesOfContentThatRunsElsewhere checks that a popular content is not held
 // because endpoints that ran it crashed at once, if a run at another endpoint succeeds.
 func TestConcurrentCrashesOfContentThatRunsElsewhere(t *testing.T) {
 	f := newFleet(t, 2, 4)
@@ -61,11 +61,11 @@
 	}
 }
 
-// awaitAllQuarantined waits until all entries have quarantined one content.
-func (f *fleet) awaitAllQuarantined(target string) {
+// awaitAllHeld waits until all entries hold one content.
+func (f *fleet) awaitAllHeld(target string) {
 	f.t.Helper()
 	for _, e := range f.entries {
-		f.eventually(target+" is quarantined", func() bool {
+		f.eventually(target+" is held", func() bool {
 			d := e.gateway.Dump()
 			return len(d.Contents) == 1 && d.Contents[0].Held
 		})
@@ -80,7 +80,7 @@
 	var all sync.WaitGroup
 	crash := make(chan struct{})
 	running := f.endpoints()
-	platformtest.InTurn(running, slices.Repeat([]platformtest.Act{platformtest.Crash{After: crash}}, maxRequests)...)
+	platformtest.ShareScript(running, slices.Repeat([]platformtest.Behavior{platformtest.Crash{After: crash}}, maxRequests)...)
 	for n := range maxRequests {
 		if usedEndpointCount(running) >= minEndpoints {
 			break
@@ -92,7 +92,7 @@
 	f.eventually("the runs are longer than the delivery of an event", func() bool { return time.Since(startedAt) > longRunDuration })
 	close(crash)
 	all.Wait()
-	platformtest.InTurn(running) // clears the acts of endpoints that no run reached
+	platformtest.ShareScript(running) // clears the behaviors of endpoints that no run reached
 	f.eventually("the endpoints are back", func() bool { return len(f.endpoints()) == len(running) })
 }
 
--- a/internal/testing/growth/cost.go
+++ b/internal/testing/growth/cost.go
@@ -34,9 +34,9 @@
 	StoreBytes int           // of the version in the store's encoding
 	PlainBytes int           // of the version as sent between entries, uncompressed
 	PeerBytes  int           // of the version, or its changes, as sent between entries
-	Read       time.Duration // to read the store's answer and put it in force
+	Read       time.Duration // to read the store's answer and activate it
 	Encode     time.Duration // to encode the answer to another entry
-	Take       time.Duration // to read another entry's answer and put it in force
+	Apply      time.Duration // to read another entry's answer and activate it
 	Heap       int           // bytes of memory in use by the version
 }
 
@@ -61,7 +61,7 @@
 	c := all[0]
 	c.Read = median(func(c Cost) time.Duration { return c.Read })
 	c.Encode = median(func(c Cost) time.Duration { return c.Encode })
-	c.Take = median(func(c Cost) time.Duration { return c.Take })
+	c.Apply = median(func(c Cost) time.Duration { return c.Apply })
 	return c, nil
 }
 
@@ -99,7 +99,7 @@
 	if err := peers.FetchState(context.Background(), newDirectory(), address, peers.SettingsPart); err != nil { // the answer is cached from now on
 		return Cost{}, err
 	}
-	c.Take, err = measureTime(func() error {
+	c.Apply, err = measureTime(func() error {
 		return peers.FetchState(context.Background(), other, address, peers.SettingsPart)
 	})
 	return c, err
--- a/internal/testing/growth/growth_test.go
+++ b/internal/testing/growth/growth_test.go
@@ -41,7 +41,7 @@
 		if c.StoreBytes != all.StoreBytes || c.PeerBytes >= all.PeerBytes || all.PeerBytes >= all.PlainBytes {
 			t.Errorf("%s: ten more %+v, all %+v", k, c, all)
 		}
-		if c.Read <= 0 || c.Encode <= 0 || c.Take <= 0 {
+		if c.Read <= 0 || c.Encode <= 0 || c.Apply <= 0 {
 			t.Errorf("%s: %+v", k, c)
 		}
 	}
--- a/internal/testing/growth/spread.go
+++ b/internal/testing/growth/spread.go
@@ -45,11 +45,11 @@
 		receivers := min(maxTransfers, remaining)
 		remaining -= receivers
 		sentAt := at + announceDelay + fetchDelay + f.scaleToCore(c.Encode) + f.transferTime(c.PeerBytes, receivers)
-		inForce := sentAt + f.scaleToCore(c.Take)
-		last = max(last, inForce)
+		activeAt := sentAt + f.scaleToCore(c.Apply)
+		last = max(last, activeAt)
 		heap.Push(sources, sentAt)
 		for range receivers {
-			heap.Push(sources, inForce)
+			heap.Push(sources, activeAt)
 		}
 	}
 	return last
@@ -73,7 +73,7 @@
 		return 0, false
 	}
 	read := f.transferTime(c.StoreBytes, 1) + f.scaleToCore(c.Read)
-	return read + announceDelay + fetchDelay + f.scaleToCore(c.Encode) + fetch + f.scaleToCore(c.Take), true
+	return read + announceDelay + fetchDelay + f.scaleToCore(c.Encode) + fetch + f.scaleToCore(c.Apply), true
 }
 
 // transferTime returns the transfer time of bytes over a link shared by a number of transfers.
--- a/internal/testing/history/check.go
+++ b/internal/testing/history/check.go
@@ -9,8 +9,8 @@
 	"foxcross.dev/coord/result"
 )
 
-// Check returns the breaches of promises in a history, in a deterministic order.
-func Check(events []Event, r Rules) []Breach {
+// Check returns the violations of promises in a history, in a deterministic order.
+func Check(events []Event, r Rules) []Violation {
 	c := checker{
 		rules:     r,
 		requests:  map[string]*request{},
@@ -22,7 +22,7 @@
 	}
 	c.checkRequests()
 	c.checkSettings()
-	return c.breaches
+	return c.violations
 }
 
 // request holds the events of one request.
@@ -42,16 +42,16 @@
 }
 
 type checker struct {
-	rules     Rules
-	requests  map[string]*request
-	leaving   map[string][]span
-	processes map[string][]InForce
-	accepted  []Accepted
-	breaches  []Breach
+	rules      Rules
+	requests   map[string]*request
+	leaving    map[string][]span
+	processes  map[string][]InForce
+	accepted   []Accepted
+	violations []Violation
 }
 
-func (c *checker) addBreach(p Promise, format string, args ...any) {
-	c.breaches = append(c.breaches, Breach{p, fmt.Sprintf(format, args...)})
+func (c *checker) addViolation(p Promise, format string, args ...any) {
+	c.violations = append(c.violations, Violation{p, fmt.Sprintf(format, args...)})
 }
 
 func (c *checker) requestOf(id string) *request {
@@ -73,7 +73,7 @@
 		q.answers = append(q.answers, e)
 	case Displaced:
 		if e.Tier <= e.ByTier {
-			c.addBreach(TierOrder, "tier %d was displaced by tier %d", e.Tier, e.ByTier)
+			c.addViolation(TierOrder, "tier %d was displaced by tier %d", e.Tier, e.ByTier)
 		}
 	case Left:
 		c.leaving[e.Endpoint] = append(c.leaving[e.Endpoint], span{from: e.At})
@@ -97,14 +97,14 @@
 
 func (c *checker) checkAnswers(id string, q *request) {
 	if len(q.answers) != max(1, q.submitted.Copies) {
-		c.addBreach(OneAnswer, "request %s has %d", id, len(q.answers))
+		c.addViolation(OneAnswer, "request %s has %d", id, len(q.answers))
 	}
 	for _, a := range q.answers {
 		if len(q.executions) > 0 && q.allReportedNotRun() {
-			c.addBreach(NotRunIsTrue, "request %s ran at %s, its answer was %s", id, q.executions[0].Endpoint, a.Code)
+			c.addViolation(NotRunReportedTruthfully, "request %s ran at %s, its answer was %s", id, q.executions[0].Endpoint, a.Code)
 		}
-		if a.Code == result.OK && a.Body != q.submitted.Want {
-			c.addBreach(WholeAnswer, "request %s got %q, want %q", id, a.Body, q.submitted.Want)
+		if a.Code == result.OK && a.Body != q.submitted.WantBody {
+			c.addViolation(WholeAnswer, "request %s got %q, want %q", id, a.Body, q.submitted.WantBody)
 		}
 	}
 }
@@ -121,12 +121,12 @@
 
 func (c *checker) checkExecutions(id string, q *request) {
 	if !q.submitted.Repeatable && len(q.executions) > 1 {
-		c.addBreach(AtMostOnce, "request %s ran %d times", id, len(q.executions))
+		c.addViolation(AtMostOnce, "request %s ran %d times", id, len(q.executions))
 	}
 	for _, x := range q.executions {
 		for _, s := range c.leaving[x.Endpoint] {
-			if s.contains(x.At.Add(-c.rules.LeaveWithin)) && s.contains(x.At) {
-				c.addBreach(LeavingIsLeft, "request %s was sent to %s %v after it announced that it leaves", id, x.Endpoint, x.At.Sub(s.from))
+			if s.contains(x.At.Add(-c.rules.LeaveGracePeriod)) && s.contains(x.At) {
+				c.addViolation(NoWorkAfterLeaving, "request %s was sent to %s %v after it announced that it leaves", id, x.Endpoint, x.At.Sub(s.from))
 			}
 		}
 	}
@@ -152,7 +152,7 @@
 		started = q.answers[0].At
 	}
 	if wait := started.Sub(q.submitted.At); wait > bound {
-		c.addBreach(NoStarvation, "request %s of class %s waited %v, its bound is %v", id, q.submitted.Class, wait, bound)
+		c.addViolation(NoStarvation, "request %s of class %s waited %v, its bound is %v", id, q.submitted.Class, wait, bound)
 	}
 }
 
@@ -170,13 +170,13 @@
 func (c *checker) checkOrder(process string, seen []InForce) {
 	for n := 1; n < len(seen); n++ {
 		if seen[n].Version < seen[n-1].Version {
-			c.addBreach(NeverReverts, "%s went from version %d to %d", process, seen[n-1].Version, seen[n].Version)
+			c.addViolation(NeverReverts, "%s went from version %d to %d", process, seen[n-1].Version, seen[n].Version)
 		}
 	}
 }
 
 func (c *checker) checkInForce(process string, a Accepted) {
-	due := a.At.Add(c.rules.ForceWithin)
+	due := a.At.Add(c.rules.ActivationTimeout)
 	if c.rules.End.Before(due) {
 		return
 	}
@@ -185,5 +185,5 @@
 			return
 		}
 	}
-	c.addBreach(InForceSoon, "%s did not use version %d in time", process, a.Version)
+	c.addViolation(ActiveInTime, "%s did not use version %d in time", process, a.Version)
 }
--- a/internal/testing/history/history.go
+++ b/internal/testing/history/history.go
@@ -20,7 +20,7 @@
 	Class      string
 	Tier       int
 	Repeatable bool
-	Want       string // the whole answer
+	WantBody   string // the whole answer
 	Copies     int    // number of requests with one idempotency key, 0 for one
 	At         time.Time
 }
@@ -85,11 +85,11 @@
 
 // Rules are the bounds that a history is checked against.
 type Rules struct {
-	LeaveWithin time.Duration            // time in which new work may still reach a leaving endpoint
-	ForceWithin time.Duration            // time until an accepted version is in force at all Processes
-	Processes   []string                 // those that run during the whole history
-	StartWithin map[string]time.Duration // longest time from submission to execution, by class
-	End         time.Time                // of the history
+	LeaveGracePeriod  time.Duration            // time in which new work may still reach a leaving endpoint
+	ActivationTimeout time.Duration            // time until an accepted version is active at all Processes
+	Processes         []string                 // those that run during the whole history
+	StartWithin       map[string]time.Duration // longest time from submission to execution, by class
+	End               time.Time                // of the history
 }
 
 // Recorder collects events. The zero value is empty.
@@ -117,22 +117,22 @@
 
 // The promises.
 const (
-	NotRunIsTrue  Promise = "a request said to be not run was not run"
-	AtMostOnce    Promise = "a request that may not be repeated runs at most once"
-	WholeAnswer   Promise = "a caller gets the whole answer to its own request"
-	OneAnswer     Promise = "every request gets one final answer"
-	TierOrder     Promise = "nothing is displaced by a lower or equal tier"
-	LeavingIsLeft Promise = "a leaving endpoint gets no new work"
-	InForceSoon   Promise = "an accepted version is in force everywhere in time"
-	NeverReverts  Promise = "settings never revert"
-	NoStarvation  Promise = "no class starves"
+	NotRunReportedTruthfully Promise = "a request said to be not run was not run"
+	AtMostOnce               Promise = "a request that may not be repeated runs at most once"
+	WholeAnswer              Promise = "a caller gets the whole answer to its own request"
+	OneAnswer                Promise = "every request gets one final answer"
+	TierOrder                Promise = "nothing is displaced by a lower or equal tier"
+	NoWorkAfterLeaving       Promise = "a leaving endpoint gets no new work"
+	ActiveInTime             Promise = "an accepted version is in force everywhere in time"
+	NeverReverts             Promise = "settings never revert"
+	NoStarvation             Promise = "no class starves"
 )
 
-// Breach is a broken promise.
-type Breach struct {
+// Violation is a broken promise.
+type Violation struct {
 	Promise Promise
 	Detail  string
 }
 
 // String returns the promise and the detail.
-func (b Breach) String() string { return fmt.Sprintf("%s: %s", b.Promise, b.Detail) }
+func (v Violation) String() string { return fmt.Sprintf("%s: %s", v.Promise, v.Detail) }
--- a/internal/testing/simulation/at_most_once_test.go
+++ b/internal/testing/simulation/at_most_once_test.go
@@ -20,8 +20,8 @@
 func TestBookingRunsAtMostOnce(t *testing.T) {
 	runSimulation(t, trees.Ovenhuis, func(r *simulation.Simulation) history.Rules {
 		services := []*simulation.Agent{
-			r.AddService("app-0", "bookings", &standin.Service{Takes: 100 * time.Millisecond}),
-			r.AddService("app-1", "bookings", &standin.Service{Takes: 100 * time.Millisecond}),
+			r.AddService("app-0", "bookings", &standin.Service{Latency: 100 * time.Millisecond}),
+			r.AddService("app-1", "bookings", &standin.Service{Latency: 100 * time.Millisecond}),
 		}
 		e := r.AddEntry("e")
 		awaitAgents()
--- a/internal/testing/simulation/clean_stop_test.go
+++ b/internal/testing/simulation/clean_stop_test.go
@@ -18,7 +18,7 @@
 	runSimulation(t, trees.Ovenhuis, func(r *simulation.Simulation) history.Rules {
 		for n := range 3 {
 			r.AddAgent(fmt.Sprint("hall-", n), "glaze-8b", newEngine(), newEngine())
-			r.AddService(fmt.Sprint("app-", n), "bookings", &standin.Service{Takes: 20 * time.Millisecond})
+			r.AddService(fmt.Sprint("app-", n), "bookings", &standin.Service{Latency: 20 * time.Millisecond})
 		}
 		for n := range 2 {
 			r.AddEntry(fmt.Sprint("entry-", n))
@@ -48,7 +48,7 @@
 			}
 		}
 		all.Wait()
-		return history.Rules{LeaveWithin: 3 * time.Second}
+		return history.Rules{LeaveGracePeriod: 3 * time.Second}
 	})
 }
 
@@ -79,7 +79,7 @@
 				all.Go(func() { f(r, leaving) })
 				all.Go(func() { r.Load(background, 1, 8*time.Second, ovenhuisLoad(0.1, 0.1, 0.1)) })
 				all.Wait()
-				return history.Rules{LeaveWithin: within[name]}
+				return history.Rules{LeaveGracePeriod: within[name]}
 			})
 		})
 	}
--- a/internal/testing/simulation/crashing_test.go
+++ b/internal/testing/simulation/crashing_test.go
@@ -40,8 +40,8 @@
 				return
 			}
 			f.crashes.Add(1)
-			time.AfterFunc(crashDelay, func() { e.Break(true) })
-			time.AfterFunc(recoveryDelay, func() { e.Break(false) })
+			time.AfterFunc(crashDelay, func() { e.SetBroken(true) })
+			time.AfterFunc(recoveryDelay, func() { e.SetBroken(false) })
 		}
 	}
 	for n := range entries {
@@ -56,15 +56,15 @@
 	c := f.entries[entry%len(f.entries)].Caller
 	c.Key = "gent-key"
 	c.Class = "glaze-question"
-	c.Most = 20
+	c.MaxTokens = 20
 	return c.Chat(background, "glaze-8b", prompt)
 }
 
-// TestCrashingPromptIsQuarantined repeats a prompt that crashes each engine that runs it, at all
+// TestCrashingPromptIsHeld repeats a prompt that crashes each engine that runs it, at all
 // entries in turn. It guards against retry decisions that use only the attempts of one request: a
 // repeated prompt is a new request at another entry, so that 30 repetitions crash 30 engines and
 // other prompts fail at the engines that are down.
-func TestCrashingPromptIsQuarantined(t *testing.T) {
+func TestCrashingPromptIsHeld(t *testing.T) {
 	runSimulation(t, trees.Ovenhuis, func(r *simulation.Simulation) history.Rules {
 		f := newCrashingFleet(r, 3, 8)
 		for n := range 30 {
@@ -86,9 +86,9 @@
 	})
 }
 
-// TestNewEntryLearnsQuarantinedPrompts checks that a new entry receives from the agents the prompts
+// TestNewEntryReceivesHeldPrompts checks that a new entry receives from the agents the prompts
 // that crashed their engines.
-func TestNewEntryLearnsQuarantinedPrompts(t *testing.T) {
+func TestNewEntryReceivesHeldPrompts(t *testing.T) {
 	runSimulation(t, trees.Ovenhuis, func(r *simulation.Simulation) history.Rules {
 		f := newCrashingFleet(r, 1, 8)
 		for range 10 {
@@ -105,11 +105,11 @@
 	})
 }
 
-// TestQuarantineReachesEntriesWithOtherAgents checks that agents relay crashes between entries: in a
+// TestHoldReachesEntriesWithOtherAgents checks that agents relay crashes between entries: in a
 // large fleet an entry is connected to few of all agents, and an agent to few of all entries.
-func TestQuarantineReachesEntriesWithOtherAgents(t *testing.T) {
+func TestHoldReachesEntriesWithOtherAgents(t *testing.T) {
 	runSimulation(t, trees.Ovenhuis, func(r *simulation.Simulation) history.Rules {
-		r.Kept = 4
+		r.MaxAgentsPerEntry = 4
 		f := newCrashingFleet(r, 8, 16)
 		for range 10 {
 			f.chat(0, crashingPrompt)
@@ -126,7 +126,7 @@
 		}
 		f.fixed.Store(true)
 		if !f.entries[0].ReleaseContent(f.entries[0].Dump().Contents[0].Content) {
-			t.Error("the content was not quarantined")
+			t.Error("the content was not held")
 		}
 		time.Sleep(time.Second)
 		for n, e := range f.entries {
@@ -163,7 +163,7 @@
 }
 
 // TestPopularPromptIsServed breaks engines in turn while they run a popular prompt. The prompt succeeds
-// at other engines in between, so it is never quarantined.
+// at other engines in between, so it is never held.
 func TestPopularPromptIsServed(t *testing.T) {
 	runSimulation(t, trees.Ovenhuis, func(r *simulation.Simulation) history.Rules {
 		engines := []*standin.Engine{newEngine(), newEngine(), newEngine(), newEngine()}
@@ -175,10 +175,10 @@
 		awaitAgents()
 		for n := range 40 {
 			e := engines[n%len(engines)]
-			time.AfterFunc(50*time.Millisecond, func() { e.Break(true) })
-			time.AfterFunc(250*time.Millisecond, func() { e.Break(false) })
+			time.AfterFunc(50*time.Millisecond, func() { e.SetBroken(true) })
+			time.AfterFunc(250*time.Millisecond, func() { e.SetBroken(false) })
 			if a := f.chat(n, "the same for all"); a.Code == result.Quarantined {
-				t.Errorf("request %d: a popular prompt is quarantined", n)
+				t.Errorf("request %d: a popular prompt is held", n)
 			}
 			time.Sleep(300 * time.Millisecond)
 		}
--- a/internal/testing/simulation/fairness_test.go
+++ b/internal/testing/simulation/fairness_test.go
@@ -25,14 +25,14 @@
 		awaitAgents()
 		var all sync.WaitGroup
 		all.Go(func() {
-			r.Load(background, 1, 2*time.Minute, []simulation.Kind{
+			r.Load(background, 1, 2*time.Minute, []simulation.ClassLoad{
 				{Class: "member-chat", Teams: []string{"members"}, Rate: 14, Prompt: 200, Tokens: 60},
 			})
 		})
 		time.Sleep(10 * time.Second)
 		for n := range 6 {
 			all.Go(func() {
-				q := simulation.Ask{ID: fmt.Sprint("tag-", n), Class: "donor-tag", Team: "nightly", Prompt: 200, Tokens: 30}
+				q := simulation.Request{ID: fmt.Sprint("tag-", n), Class: "donor-tag", Team: "nightly", PromptBytes: 200, Tokens: 30}
 				if a := r.Chat(background, e, q); a.Code != result.OK {
 					t.Errorf("tag %d: %v", n, a.Code)
 				}
@@ -51,7 +51,7 @@
 		r.AddEntry("e0")
 		r.AddEntry("e1")
 		awaitAgents()
-		f := r.Load(background, 1, 20*time.Second, []simulation.Kind{
+		f := r.Load(background, 1, 20*time.Second, []simulation.ClassLoad{
 			{Class: "member-chat", Teams: []string{"board"}, Rate: 60, Prompt: 100, Tokens: 5},
 		})[0]
 		if want := 20 * 20; f.OK < want*9/10 || f.OK > want*11/10+20 {
--- a/internal/testing/simulation/faults_test.go
+++ b/internal/testing/simulation/faults_test.go
@@ -93,7 +93,7 @@
 	r.Store.SetFaults(standin.Faults{})
 	time.Sleep(20 * time.Second)
 	c.checkRecovered()
-	rules := history.Rules{LeaveWithin: 3 * time.Second, ForceWithin: 11 * time.Second, End: time.Now()}
+	rules := history.Rules{LeaveGracePeriod: 3 * time.Second, ActivationTimeout: 11 * time.Second, End: time.Now()}
 	for _, e := range r.Entries() {
 		if c.permanent[e.Name] {
 			rules.Processes = append(rules.Processes, e.Name)
@@ -111,7 +111,7 @@
 		c.agents = append(c.agents, c.AddAgent(fmt.Sprintf("hall-%d", n), "glaze-8b", e))
 	}
 	for n := range 2 {
-		c.agents = append(c.agents, c.AddService(fmt.Sprintf("app-%d", n), "bookings", &standin.Service{Takes: 50 * time.Millisecond}))
+		c.agents = append(c.agents, c.AddService(fmt.Sprintf("app-%d", n), "bookings", &standin.Service{Latency: 50 * time.Millisecond}))
 	}
 	for n := range 2 {
 		c.permanent[c.AddEntry(fmt.Sprintf("entry-%d", n)).Name] = true
@@ -178,13 +178,13 @@
 		length := time.Duration(random.Int64N(int64(5 * time.Second)))
 		switch random.IntN(3) {
 		case 0:
-			e.Break(true)
+			e.SetBroken(true)
 			time.Sleep(length)
-			e.Break(false)
+			e.SetBroken(false)
 		case 1:
-			e.Slow(4)
+			e.SetSlowdown(4)
 			time.Sleep(length)
-			e.Slow(1)
+			e.SetSlowdown(1)
 		case 2:
 			thaw := e.Freeze()
 			time.Sleep(length)
@@ -241,7 +241,7 @@
 	random := rand.New(rand.NewPCG(c.seed, 5))
 	var pending sync.WaitGroup
 	for n := 0; c.pause(random, 400*time.Millisecond); n++ {
-		q := simulation.Ask{ID: fmt.Sprintf("book-%d", n), Class: "booking-confirm", Team: "gent"}
+		q := simulation.Request{ID: fmt.Sprintf("book-%d", n), Class: "booking-confirm", Team: "gent"}
 		if n%2 == 0 {
 			pending.Go(func() { c.Call(context.Background(), c.Entries()[n/2%2], q, http.MethodPost, "/confirmations") })
 			continue
@@ -282,11 +282,11 @@
 		}
 	}
 	for n := range 10 {
-		q := simulation.Ask{ID: fmt.Sprintf("calm-%d", n), Class: "glaze-question", Team: "gent", Prompt: 100, Tokens: 10}
+		q := simulation.Request{ID: fmt.Sprintf("calm-%d", n), Class: "glaze-question", Team: "gent", PromptBytes: 100, Tokens: 10}
 		if a := c.Chat(context.Background(), c.Entries()[n%2], q); a.Code != result.OK {
 			c.t.Errorf("after the faults a request ended with %v: %v", a.Code, a.Err)
 		}
-		q = simulation.Ask{ID: fmt.Sprintf("calm-book-%d", n), Class: "booking-confirm", Team: "gent", Key: fmt.Sprint(n)}
+		q = simulation.Request{ID: fmt.Sprintf("calm-book-%d", n), Class: "booking-confirm", Team: "gent", Key: fmt.Sprint(n)}
 		if a := c.Call(context.Background(), c.Entries()[n%2], q, http.MethodPost, "/confirmations"); a.Code != result.OK {
 			c.t.Errorf("after the faults a booking ended with %v: %v", a.Code, a.Err)
 		}
--- a/internal/testing/simulation/harness_test.go
+++ b/internal/testing/simulation/harness_test.go
@@ -47,9 +47,9 @@
 
 // ovenhuisLoad returns a mix of three classes, each as a fraction of the capacity of the engines at
 // the strictest target, about 80 requests a second.
-func ovenhuisLoad(question, plan, check float64) []simulation.Kind {
+func ovenhuisLoad(question, plan, check float64) []simulation.ClassLoad {
 	const capacity = 80
-	return []simulation.Kind{
+	return []simulation.ClassLoad{
 		{Class: "glaze-question", Teams: []string{"gent", "leuven", "namur"}, Rate: capacity * question, Prompt: 400, Tokens: meanAnswerTokens},
 		{Class: "firing-plan", Teams: []string{"gent", "leuven", "mons"}, Rate: capacity * plan, Prompt: 1200, Tokens: meanAnswerTokens},
 		{Class: "load-check", Teams: []string{"technicians"}, Rate: capacity * check, Prompt: 800, Tokens: meanAnswerTokens},
@@ -59,10 +59,10 @@
 // awaitAgents waits until the entries are connected to the agents.
 func awaitAgents() { time.Sleep(3 * time.Second) }
 
-func chatRequest(id string, tokens int) simulation.Ask {
-	return simulation.Ask{ID: id, Class: "glaze-question", Team: "gent", Prompt: 100, Tokens: tokens}
+func chatRequest(id string, tokens int) simulation.Request {
+	return simulation.Request{ID: id, Class: "glaze-question", Team: "gent", PromptBytes: 100, Tokens: tokens}
 }
 
-func bookingRequest(id string) simulation.Ask {
-	return simulation.Ask{ID: id, Class: "booking-confirm", Team: "gent"}
+func bookingRequest(id string) simulation.Request {
+	return simulation.Request{ID: id, Class: "booking-confirm", Team: "gent"}
 }
--- a/internal/testing/simulation/load.go
+++ b/internal/testing/simulation/load.go
@@ -13,8 +13,8 @@
 	"foxcross.dev/coord/result"
 )
 
-// Kind is the part of a load that belongs to one class.
-type Kind struct {
+// ClassLoad is the part of a load that belongs to one class.
+type ClassLoad struct {
 	Class  string
 	Teams  []string
 	Rate   float64 // requests a second
@@ -22,33 +22,33 @@
 	Tokens int     // mean length of an answer
 }
 
-// Figures are the results of the requests of a class.
-type Figures struct {
+// ClassResult holds the results of the requests of a class.
+type ClassResult struct {
 	Class string
 	Sent  int
 	OK    int
 	Codes map[result.Code]int
 }
 
-// Load sends requests of all kinds for a time, through all entries, and waits for
+// Load sends requests of the classes for a time, through all entries, and waits for
 // the answers.
-func (t *Simulation) Load(ctx context.Context, seed uint64, length time.Duration, kinds []Kind) []Figures {
-	figures := make([]Figures, len(kinds))
+func (t *Simulation) Load(ctx context.Context, seed uint64, length time.Duration, classes []ClassLoad) []ClassResult {
+	results := make([]ClassResult, len(classes))
 	var senders sync.WaitGroup
-	for n, k := range kinds {
-		s := sender{simulation: t, kind: k, figures: &figures[n], random: rand.New(rand.NewPCG(seed, uint64(n)))}
-		figures[n] = Figures{Class: k.Class, Codes: map[result.Code]int{}}
+	for n, c := range classes {
+		s := sender{simulation: t, class: c, results: &results[n], random: rand.New(rand.NewPCG(seed, uint64(n)))}
+		results[n] = ClassResult{Class: c.Class, Codes: map[result.Code]int{}}
 		senders.Go(func() { s.send(ctx, length) })
 	}
 	senders.Wait()
-	return figures
+	return results
 }
 
-// sender sends the requests of one kind.
+// sender sends the requests of one class.
 type sender struct {
 	simulation *Simulation
-	kind       Kind
-	figures    *Figures
+	class      ClassLoad
+	results    *ClassResult
 	random     *rand.Rand
 	mu         sync.Mutex
 }
@@ -57,13 +57,13 @@
 	var pending sync.WaitGroup
 	began := time.Now()
 	for n := 0; time.Since(began) < length && ctx.Err() == nil; n++ {
-		time.Sleep(time.Duration(s.random.ExpFloat64() / s.kind.Rate * float64(time.Second)))
-		q := Ask{
-			ID:     fmt.Sprintf("%s-%d", s.kind.Class, n),
-			Class:  s.kind.Class,
-			Team:   s.kind.Teams[s.random.IntN(len(s.kind.Teams))],
-			Prompt: s.kind.Prompt,
-			Tokens: 1 + int(s.random.ExpFloat64()*float64(s.kind.Tokens-1)),
+		time.Sleep(time.Duration(s.random.ExpFloat64() / s.class.Rate * float64(time.Second)))
+		q := Request{
+			ID:          fmt.Sprintf("%s-%d", s.class.Class, n),
+			Class:       s.class.Class,
+			Team:        s.class.Teams[s.random.IntN(len(s.class.Teams))],
+			PromptBytes: s.class.Prompt,
+			Tokens:      1 + int(s.random.ExpFloat64()*float64(s.class.Tokens-1)),
 		}
 		e := s.simulation.pickEntry(s.random)
 		pending.Go(func() { s.record(s.simulation.Chat(ctx, e, q)) })
@@ -85,10 +85,10 @@
 func (s *sender) record(a caller.Answer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	f := s.figures
-	f.Sent++
-	f.Codes[a.Code]++
+	r := s.results
+	r.Sent++
+	r.Codes[a.Code]++
 	if a.Code == result.OK {
-		f.OK++
+		r.OK++
 	}
 }
--- a/internal/testing/simulation/outage_test.go
+++ b/internal/testing/simulation/outage_test.go
@@ -49,9 +49,9 @@
 			r.Kill(agents[0])
 			r.Kill(agents[1])
 		}()
-		figures := r.Load(background, 1, 15*time.Second, ovenhuisLoad(0.5, 0.3, 0.2))
+		results := r.Load(background, 1, 15*time.Second, ovenhuisLoad(0.5, 0.3, 0.2))
 		sent, executed := 0, 0
-		for _, f := range figures {
+		for _, f := range results {
 			sent += f.Sent
 			if f.OK != f.Sent {
 				t.Errorf("%s: %d of %d answered: %v", f.Class, f.OK, f.Sent, f.Codes)
@@ -76,7 +76,7 @@
 	runSimulation(t, trees.Ovenhuis, func(r *simulation.Simulation) history.Rules {
 		for n := range 3 {
 			r.AddAgent(fmt.Sprint("hall-", n), "glaze-8b", newEngine(), newEngine())
-			r.AddService(fmt.Sprint("app-", n), "bookings", &standin.Service{Takes: 50 * time.Millisecond})
+			r.AddService(fmt.Sprint("app-", n), "bookings", &standin.Service{Latency: 50 * time.Millisecond})
 			r.AddEntry(fmt.Sprint("entry-", n))
 		}
 		awaitAgents()
--- a/internal/testing/simulation/settings_test.go
+++ b/internal/testing/simulation/settings_test.go
@@ -50,7 +50,7 @@
 				t.Errorf("%s holds version %d, want %d", a.Name, v, root.Version)
 			}
 		}
-		return history.Rules{ForceWithin: 2 * time.Second, Processes: []string{"e0", "e1"}}
+		return history.Rules{ActivationTimeout: 2 * time.Second, Processes: []string{"e0", "e1"}}
 	})
 }
 
@@ -81,7 +81,7 @@
 			}
 		}
 		time.Sleep(time.Second)
-		return history.Rules{ForceWithin: 2 * time.Second, Processes: []string{"e0", "e1"}}
+		return history.Rules{ActivationTimeout: 2 * time.Second, Processes: []string{"e0", "e1"}}
 	})
 }
 
@@ -91,7 +91,7 @@
 	runSimulation(t, trees.Ovenhuis, func(r *simulation.Simulation) history.Rules {
 		r.AddAgent("hall-0", "glaze-8b", newEngine())
 		r.AddAgent("hall-1", "glaze-8b", newEngine())
-		rules := history.Rules{ForceWithin: 2 * time.Second}
+		rules := history.Rules{ActivationTimeout: 2 * time.Second}
 		const entries = 12
 		for n := range entries {
 			rules.Processes = append(rules.Processes, r.AddEntry(fmt.Sprint("e", n)).Name)
--- a/internal/testing/simulation/simulation.go
+++ b/internal/testing/simulation/simulation.go
@@ -32,11 +32,11 @@
 
 // Simulation is a deployment under test. Create it with New.
 type Simulation struct {
-	Network  memlink.Network
-	Store    standin.Store
-	Recorder history.Recorder
-	Snapshot settings.Snapshot
-	Kept     int // most agents that an entry connects to, 0 for the default
+	Network           memlink.Network
+	Store             standin.Store
+	Recorder          history.Recorder
+	Snapshot          settings.Snapshot
+	MaxAgentsPerEntry int // most agents that an entry connects to, 0 for the default
 
 	mu          sync.Mutex // guards the fields below
 	ctx         context.Context
@@ -156,7 +156,7 @@
 	t.entries = slices.DeleteFunc(t.entries, func(o *Entry) bool { return o == e })
 	t.mu.Unlock()
 	e.cancel()
-	t.Store.DropMember(e.Name)
+	t.Store.RemoveMember(e.Name)
 }
 
 // memberListLag is the delay after which the member list shows a change.
@@ -177,7 +177,7 @@
 func (t *Simulation) StopEntry(ctx context.Context, e *Entry) error {
 	t.mu.Lock()
 	t.entries = slices.DeleteFunc(t.entries, func(o *Entry) bool { return o == e })
-	t.Store.DropMember(e.Name)
+	t.Store.RemoveMember(e.Name)
 	t.mu.Unlock()
 	err := e.Drain(ctx)
 	e.cancel()
@@ -218,7 +218,7 @@
 		Settings:  h,
 		Seed:      uint64(len(t.entries) + 1),
 		Claims:    batcher,
-		MaxAgents: t.Kept,
+		MaxAgents: t.MaxAgentsPerEntry,
 	}
 	e.Entry = entry.New(o)
 	e.Store.IsWatcher = e.IsWatcher
@@ -249,7 +249,7 @@
 	t.Recorder.Add(history.Left{Endpoint: a.Name, At: time.Now()})
 	err := a.Agent.Stop(ctx)
 	t.Kill(a)
-	t.Store.DropMember(a.Name)
+	t.Store.RemoveMember(a.Name)
 	return err
 }
 
@@ -259,11 +259,11 @@
 	t.Store.SetMember(kv.Member{Name: a.Name, Role: kv.Agent, Address: a.Name, Leaving: true})
 }
 
-// Mark returns the text by which executions of a request are attributed to it.
-func Mark(id string) string { return requestIDMark + id + requestIDMark }
+// MarkRequestID returns the text by which executions of a request are attributed to it.
+func MarkRequestID(id string) string { return requestIDMark + id + requestIDMark }
 
 // Chat sends a chat request and records it and its answer.
-func (t *Simulation) Chat(ctx context.Context, e *Entry, q Ask) caller.Answer {
+func (t *Simulation) Chat(ctx context.Context, e *Entry, q Request) caller.Answer {
 	class, found := t.Snapshot.Class(q.Class)
 	if !found {
 		panic("simulation: no class " + q.Class)
@@ -271,12 +271,12 @@
 	prompt := q.text()
 	t.Recorder.Add(history.Submitted{
 		ID: q.ID, Class: q.Class, Tier: class.Terms.Tier, Repeatable: class.Terms.Repeatable,
-		Want: standin.AnswerText([]string{prompt}, q.Tokens), At: time.Now(),
+		WantBody: standin.AnswerText([]string{prompt}, q.Tokens), At: time.Now(),
 	})
 	c := e.Caller
 	c.Key = q.Team + keySuffix
 	c.Class = q.Class
-	c.Most = q.Tokens
+	c.MaxTokens = q.Tokens
 	ctx, release := e.withKill(ctx)
 	defer release()
 	a := c.Chat(ctx, class.Model, prompt)
@@ -285,20 +285,20 @@
 }
 
 // Call calls a plain service and records the call and its answer.
-func (t *Simulation) Call(ctx context.Context, e *Entry, q Ask, method, path string) caller.Answer {
+func (t *Simulation) Call(ctx context.Context, e *Entry, q Request, method, path string) caller.Answer {
 	class, found := t.Snapshot.Class(q.Class)
 	if !found {
 		panic("simulation: no class " + q.Class)
 	}
-	path += "/" + Mark(q.ID)
+	path += "/" + MarkRequestID(q.ID)
 	t.Recorder.Add(history.Submitted{
 		ID: q.ID, Class: q.Class, Tier: class.Terms.Tier, Repeatable: class.Terms.Repeatable,
-		Want: fmt.Sprintf("done: %s %s ", method, path), Copies: q.Copies, At: time.Now(),
+		WantBody: fmt.Sprintf("done: %s %s ", method, path), Copies: q.Copies, At: time.Now(),
 	})
 	c := e.Caller
 	c.Key = q.Team + keySuffix
 	c.Class = q.Class
-	c.Idem = q.Key
+	c.IdempotencyKey = q.Key
 	ctx, release := e.withKill(ctx)
 	defer release()
 	a := c.Service(ctx, class.Service, method, path)
@@ -313,16 +313,16 @@
 // keySuffix is the suffix of the bearer keys of the example teams.
 const keySuffix = "-key"
 
-// Ask is a request of a simulation.
-type Ask struct {
-	ID     string
-	Class  string
-	Team   string
-	Key    string // idempotency key
-	Copies int    // number of requests with the same key, 0 for one
-	Prompt int    // bytes
-	Tokens int    // of the answer
+// Request is a request of a simulation.
+type Request struct {
+	ID          string
+	Class       string
+	Team        string
+	Key         string // idempotency key
+	Copies      int    // number of requests with the same key, 0 for one
+	PromptBytes int
+	Tokens      int // of the answer
 }
 
 // text returns the prompt.
-func (q Ask) text() string { return standin.Prompt(Mark(q.ID), q.Prompt) }
+func (q Request) text() string { return standin.Prompt(MarkRequestID(q.ID), q.PromptBytes) }
--- a/internal/testing/simulation/whole_answer_test.go
+++ b/internal/testing/simulation/whole_answer_test.go
@@ -57,8 +57,8 @@
 				}
 			}
 		})
-		if a := r.Chat(background, e, chatRequest("1", 100)); a.Code != result.OK || a.Whole > 15*time.Second {
-			t.Errorf("ended with %v after %v", a.Code, a.Whole)
+		if a := r.Chat(background, e, chatRequest("1", 100)); a.Code != result.OK || a.Total > 15*time.Second {
+			t.Errorf("ended with %v after %v", a.Code, a.Total)
 		}
 		thaw()
 		return history.Rules{}
--- a/internal/testing/soak/crashing.go
+++ b/internal/testing/soak/crashing.go
@@ -68,7 +68,7 @@
 		return
 	}
 	time.Sleep(crashReplaceDelay)
-	d.store.Lose(e.runner)
+	d.store.RemoveEndpoint(e.runner)
 	d.addEndpoint()
 }
 
@@ -84,6 +84,6 @@
 	crashed := d.crashed
 	d.mu.Unlock()
 	if crashed > maxCrashesPerIncarnation*starts {
-		d.history.recordBreach(KeptFrom, "", fmt.Sprintf("%d endpoints crashed under one content, in %d starts of entries", crashed, starts))
+		d.history.recordBreach(CrashingRequestHeld, "", fmt.Sprintf("%d endpoints crashed under one content, in %d starts of entries", crashed, starts))
 	}
 }
--- a/internal/testing/soak/entry.go
+++ b/internal/testing/soak/entry.go
@@ -104,11 +104,11 @@
 	if err != nil {
 		return nil, fmt.Errorf("soak: %w", err)
 	}
-	e.settingsPath = filepath.Join(o.Folder, e.name+".json")
+	e.settingsPath = filepath.Join(o.Dir, e.name+".json")
 	if err := os.WriteFile(e.settingsPath, data, 0o600); err != nil {
 		return nil, fmt.Errorf("soak: %w", err)
 	}
-	e.log, err = logFile(o.Folder, e.name)
+	e.log, err = logFile(o.Dir, e.name)
 	return e, err
 }
 
--- a/internal/testing/soak/faults.go
+++ b/internal/testing/soak/faults.go
@@ -22,32 +22,32 @@
 // allFaults are the faults with the promises that each of them may break. A seed selects them by
 // their index, so a new fault is appended.
 var allFaults = []fault{
-	{"kill an entry", []Promise{OwnAnswer, AtMostOnce, NeverBack, OneReport, Recovers}, false,
+	{"kill an entry", []Promise{OwnCompleteAnswer, AtMostOnce, SettingsMonotonic, UsageReportedOnce, Recovers}, false,
 		func(d *deployment, _ float64) { d.restartEntry(syscall.SIGKILL) }},
-	{"stop an entry", []Promise{OwnAnswer, NotRun, Recovers}, true,
+	{"stop an entry", []Promise{OwnCompleteAnswer, NotRun, Recovers}, true,
 		func(d *deployment, _ float64) { d.restartEntry(syscall.SIGTERM) }},
-	{"freeze an entry", []Promise{NothingNew, NeverBack, Recovers}, false, freezeEntry},
-	{"reload an entry", []Promise{OwnAnswer, Recovers}, true, reloadEntry},
-	{"kill all entries", []Promise{NeverBack, Recovers}, false, killAllEntries},
-	{"store busy", []Promise{NothingNew, NeverBack, Recovers}, false, storeFault(platformtest.Busy)},
-	{"store turns away", []Promise{NothingNew, NeverBack, Recovers}, false, storeFault(platformtest.Many)},
-	{"store resets", []Promise{NothingNew, NeverBack, Recovers}, false, storeFault(platformtest.Reset)},
-	{"store silent", []Promise{NothingNew, NeverBack, Recovers}, false, storeFault(platformtest.Silent)},
-	{"store forgets", []Promise{NeverBack, Recovers}, false,
-		func(d *deployment, _ float64) { d.store.Forget() }},
-	{"settings change", []Promise{Untouched, NeverBack}, true, changeSettings},
-	{"settings change often", []Promise{Untouched, NeverBack, Recovers}, false, changeSettingsOften},
-	{"endpoint leaves", []Promise{OwnAnswer, NothingNew, GoodSource}, true, drainEndpoint},
-	{"endpoint crashes", []Promise{OwnAnswer, InOrder, AtMostOnce, NotRun}, false, crashEndpoint},
-	{"endpoint comes", []Promise{OwnAnswer, Untouched}, true,
+	{"freeze an entry", []Promise{NoRequestsAfterLeaving, SettingsMonotonic, Recovers}, false, freezeEntry},
+	{"reload an entry", []Promise{OwnCompleteAnswer, Recovers}, true, reloadEntry},
+	{"kill all entries", []Promise{SettingsMonotonic, Recovers}, false, killAllEntries},
+	{"store busy", []Promise{NoRequestsAfterLeaving, SettingsMonotonic, Recovers}, false, storeFault(platformtest.Busy)},
+	{"store turns away", []Promise{NoRequestsAfterLeaving, SettingsMonotonic, Recovers}, false, storeFault(platformtest.TooManyRequests)},
+	{"store resets", []Promise{NoRequestsAfterLeaving, SettingsMonotonic, Recovers}, false, storeFault(platformtest.Reset)},
+	{"store silent", []Promise{NoRequestsAfterLeaving, SettingsMonotonic, Recovers}, false, storeFault(platformtest.Silent)},
+	{"store forgets", []Promise{SettingsMonotonic, Recovers}, false,
+		func(d *deployment, _ float64) { d.store.CompactHistory() }},
+	{"settings change", []Promise{RequestUnmodified, SettingsMonotonic}, true, changeSettings},
+	{"settings change often", []Promise{RequestUnmodified, SettingsMonotonic, Recovers}, false, changeSettingsOften},
+	{"endpoint leaves", []Promise{OwnCompleteAnswer, NoRequestsAfterLeaving, ValidFetchSource}, true, drainEndpoint},
+	{"endpoint crashes", []Promise{OwnCompleteAnswer, InOrder, AtMostOnce, NotRun}, false, crashEndpoint},
+	{"endpoint comes", []Promise{OwnCompleteAnswer, RequestUnmodified}, true,
 		func(d *deployment, _ float64) { d.addEndpoint() }},
-	{"answers go wrong", []Promise{OwnAnswer, InOrder, AtMostOnce, NotRun, Untouched}, false, injectFaultyActs},
-	{"settings grow", []Promise{NothingNew, NeverBack, NothingLost, Recovers}, true, growSettings},
-	{"reports fail", []Promise{OneReport, Recovers}, false, failReports},
-	{"data centre evacuated", []Promise{Emptied, InRegion, WarmsUp, OwnAnswer}, true, evacuate},
-	{"endpoint names a limit", []Promise{Heeds, OwnAnswer}, true, nameLimits},
-	{"endpoint asks for a backoff", []Promise{BacksOff, NotRun, AtMostOnce, OwnAnswer}, true, askForBackoff},
-	{"endpoint drains in its responses", []Promise{Drains, OwnAnswer, InOrder}, true, drainInResponses},
+	{"answers go wrong", []Promise{OwnCompleteAnswer, InOrder, AtMostOnce, NotRun, RequestUnmodified}, false, injectFaultyBehaviors},
+	{"settings grow", []Promise{NoRequestsAfterLeaving, SettingsMonotonic, NoRequestLost, Recovers}, true, growSettings},
+	{"reports fail", []Promise{UsageReportedOnce, Recovers}, false, failReports},
+	{"data centre evacuated", []Promise{EvacuationHonoured, InRegion, WarmupLimitHonoured, OwnCompleteAnswer}, true, evacuate},
+	{"endpoint names a limit", []Promise{RateLimitHonoured, OwnCompleteAnswer}, true, nameLimits},
+	{"endpoint asks for a backoff", []Promise{BackoffHonoured, NotRun, AtMostOnce, OwnCompleteAnswer}, true, askForBackoff},
+	{"endpoint drains in its responses", []Promise{DrainingHonoured, OwnCompleteAnswer, InOrder}, true, drainInResponses},
 }
 
 // Durations and sizes of faults.
@@ -128,7 +128,7 @@
 		d.history.recordDisturbance(time.Now())
 		d.store.SetFault(f)
 		time.Sleep(faultDuration(amount, extraOutage))
-		d.store.SetFault(platformtest.Sound)
+		d.store.SetFault(platformtest.NoFault)
 		d.history.recordDisturbance(time.Now())
 	}
 }
@@ -163,7 +163,7 @@
 		return
 	}
 	d.mu.Lock()
-	d.store.Enter(e.runner, "draining")
+	d.store.PutEndpoint(e.runner, "draining")
 	e.leavingSince = time.Now()
 	d.mu.Unlock()
 	d.addEndpoint()
@@ -171,7 +171,7 @@
 	d.mu.Lock()
 	e.removed = true
 	d.mu.Unlock()
-	d.store.Lose(e.runner)
+	d.store.RemoveEndpoint(e.runner)
 	e.runner.Close()
 }
 
@@ -186,18 +186,18 @@
 	d.mu.Unlock()
 	e.runner.Close()
 	time.Sleep(time.Duration(amount * float64(maxListedAfterCrash)))
-	d.store.Lose(e.runner)
+	d.store.RemoveEndpoint(e.runner)
 	d.addEndpoint()
 }
 
-// faultyActs are the ways in which an endpoint may fail to answer a request.
-var faultyActs = []platformtest.Act{
+// faultyBehaviors are the ways in which an endpoint may fail to answer a request.
+var faultyBehaviors = []platformtest.Behavior{
 	platformtest.Refuse{Status: http.StatusServiceUnavailable},
 	platformtest.Refuse{Status: http.StatusTooManyRequests},
 	platformtest.Fail{Status: http.StatusInternalServerError},
 	platformtest.Fail{Status: http.StatusServiceUnavailable},
-	platformtest.Break{},
-	platformtest.Cut{},
+	platformtest.ResetConnection{},
+	platformtest.Truncate{},
 	platformtest.Unframed{Body: "cut", Broken: true},
 	platformtest.Garbage{},
 	platformtest.Unsealed{},
@@ -206,16 +206,16 @@
 	platformtest.Events{To: 4, Broken: true},
 }
 
-// injectFaultyActs makes the next requests of an endpoint fail.
-func injectFaultyActs(d *deployment, amount float64) {
+// injectFaultyBehaviors makes the next requests of an endpoint fail.
+func injectFaultyBehaviors(d *deployment, amount float64) {
 	e := d.pickEndpoint(1)
 	if e == nil {
 		return
 	}
 	for range 1 + int(extraFaultyResponses*amount) {
 		d.mu.Lock()
-		a := faultyActs[d.random.IntN(len(faultyActs))]
+		a := faultyBehaviors[d.random.IntN(len(faultyBehaviors))]
 		d.mu.Unlock()
-		e.runner.Next(a)
+		e.runner.Enqueue(a)
 	}
 }
--- a/internal/testing/soak/history.go
+++ b/internal/testing/soak/history.go
@@ -15,25 +15,25 @@
 
 // The promises.
 const (
-	OwnAnswer     Promise = "a caller gets the whole answer to its own request"
-	InOrder       Promise = "the events of a stream come once and in order"
-	AtMostOnce    Promise = "what may not be repeated runs at most once"
-	NotRun        Promise = "what is said not to have run has not run"
-	Untouched     Promise = "endpoints get the caller's request, its team and no key"
-	NothingNew    Promise = "an endpoint that leaves gets nothing new"
-	GoodSource    Promise = "memory is fetched from another endpoint, and none that has long left"
-	NeverBack     Promise = "settings never go back"
-	NothingLost   Promise = "planned work cuts off no request"
-	Recovers      Promise = "all works again after the faults"
-	KeptFrom      Promise = "a request that crashes its endpoints is kept from them"
-	OneReport     Promise = "usage is reported once for a window, by one holder, and no more than ran"
-	Emptied       Promise = "an evacuated data centre gets nothing new"
-	InRegion      Promise = "a request runs in its regions only"
-	WarmsUp       Promise = "an endpoint that warms up gets no more than it bears"
-	Heeds         Promise = "an endpoint that names a limit gets no more than it bears"
-	BacksOff      Promise = "an endpoint that asks an entry to back off gets at most two requests from it in that time"
-	Drains        Promise = "an endpoint that says in a response that it drains gets nothing new from the entry that passed it on"
-	inFlightSlack         = 1500 * time.Millisecond // for a request in flight
+	OwnCompleteAnswer      Promise = "a caller gets the whole answer to its own request"
+	InOrder                Promise = "the events of a stream come once and in order"
+	AtMostOnce             Promise = "what may not be repeated runs at most once"
+	NotRun                 Promise = "what is said not to have run has not run"
+	RequestUnmodified      Promise = "endpoints get the caller's request, its team and no key"
+	NoRequestsAfterLeaving Promise = "an endpoint that leaves gets nothing new"
+	ValidFetchSource       Promise = "memory is fetched from another endpoint, and none that has long left"
+	SettingsMonotonic      Promise = "settings never go back"
+	NoRequestLost          Promise = "planned work cuts off no request"
+	Recovers               Promise = "all works again after the faults"
+	CrashingRequestHeld    Promise = "a request that crashes its endpoints is kept from them"
+	UsageReportedOnce      Promise = "usage is reported once for a window, by one holder, and no more than ran"
+	EvacuationHonoured     Promise = "an evacuated data centre gets nothing new"
+	InRegion               Promise = "a request runs in its regions only"
+	WarmupLimitHonoured    Promise = "an endpoint that warms up gets no more than it bears"
+	RateLimitHonoured      Promise = "an endpoint that names a limit gets no more than it bears"
+	BackoffHonoured        Promise = "an endpoint that asks an entry to back off gets at most two requests from it in that time"
+	DrainingHonoured       Promise = "an endpoint that says in a response that it drains gets nothing new from the entry that passed it on"
+	inFlightSlack                  = 1500 * time.Millisecond // for a request in flight
 )
 
 // Breach is a broken promise.
@@ -95,7 +95,7 @@
 		h.versions = map[string]int{}
 	}
 	if previous := h.versions[key]; version < previous {
-		h.breaches = append(h.breaches, Breach{NeverBack, "", fmt.Sprintf("%s had version %d, then %d", key, previous, version)})
+		h.breaches = append(h.breaches, Breach{SettingsMonotonic, "", fmt.Sprintf("%s had version %d, then %d", key, previous, version)})
 	}
 	h.versions[key] = version
 }
@@ -149,11 +149,11 @@
 		return
 	}
 	if s.seal != "seal-"+s.id {
-		h.addBreach(OwnAnswer, s.id, "the answer carries %q", s.seal)
+		h.addBreach(OwnCompleteAnswer, s.id, "the answer carries %q", s.seal)
 	}
 	if !s.kind.stream {
 		if s.complete && s.body != responseBody {
-			h.addBreach(OwnAnswer, s.id, "the answer is %q", s.body)
+			h.addBreach(OwnCompleteAnswer, s.id, "the answer is %q", s.body)
 		}
 		return
 	}
@@ -165,7 +165,7 @@
 		}
 	}
 	if s.complete && len(ids) != eventsPerStream {
-		h.addBreach(OwnAnswer, s.id, "a stream of %d events ended as if complete", len(ids))
+		h.addBreach(OwnCompleteAnswer, s.id, "a stream of %d events ended as if complete", len(ids))
 	}
 }
 
@@ -173,7 +173,7 @@
 // answer.
 func (h *history) checkLost(s observation, runs []run) {
 	if len(runs) > 0 && !s.complete && !s.gaveUp {
-		h.addBreach(NothingLost, s.id, "it ran at %s, and the connection ended with status %d and %d bytes", runs[0].endpoint, s.status, len(s.body))
+		h.addBreach(NoRequestLost, s.id, "it ran at %s, and the connection ended with status %d and %d bytes", runs[0].endpoint, s.status, len(s.body))
 	}
 }
 
@@ -190,10 +190,10 @@
 	}
 	for _, r := range runs {
 		if r.Target != s.target || r.Method != s.kind.method || r.Header.Get(platformtest.TeamField) != "team-1" || r.Header.Get(platformtest.KeyField) != "" {
-			h.addBreach(Untouched, s.id, "%s %s ran for team %q", r.Method, r.Target, r.Header.Get(platformtest.TeamField))
+			h.addBreach(RequestUnmodified, s.id, "%s %s ran for team %q", r.Method, r.Target, r.Header.Get(platformtest.TeamField))
 		}
 		if late := h.timePastLeaving(r.At, r.leavingSince); late > 0 {
-			h.addBreach(NothingNew, s.id, "it ran at %s %v after entries could know that it leaves", r.endpoint, late)
+			h.addBreach(NoRequestsAfterLeaving, s.id, "it ran at %s %v after entries could know that it leaves", r.endpoint, late)
 		}
 		h.checkSource(s, r)
 		h.checkDataCentre(s, r)
@@ -210,11 +210,11 @@
 	source := h.addresses[address]
 	switch {
 	case source == nil:
-		h.addBreach(GoodSource, s.id, "%s was told to fetch from %s, which is no endpoint", r.endpoint, address)
+		h.addBreach(ValidFetchSource, s.id, "%s was told to fetch from %s, which is no endpoint", r.endpoint, address)
 	case source.runner.ID == r.endpoint:
-		h.addBreach(GoodSource, s.id, "%s was told to fetch from itself", r.endpoint)
+		h.addBreach(ValidFetchSource, s.id, "%s was told to fetch from itself", r.endpoint)
 	case h.timePastLeaving(r.At, source.leavingSince) > 0:
-		h.addBreach(GoodSource, s.id, "%s was told to fetch from %s after entries could know that it leaves", r.endpoint, source.runner.ID)
+		h.addBreach(ValidFetchSource, s.id, "%s was told to fetch from %s after entries could know that it leaves", r.endpoint, source.runner.ID)
 	}
 }
 
--- a/internal/testing/soak/limits.go
+++ b/internal/testing/soak/limits.go
@@ -58,8 +58,8 @@
 			times = append(times, r.At)
 		}
 	}
-	allowed := platformtest.Borne(l.perSecond)
+	allowed := platformtest.MaxRequestsInWindow(l.perSecond)
 	if got := platformtest.MostWithin(times, platformtest.LimitWindow); float64(got) > allowed {
-		h.addBreach(Heeds, "", "%s named a limit of %.2f a second and got %d requests in %v; allowed are %.0f", l.runner.ID, l.perSecond, got, platformtest.LimitWindow, allowed)
+		h.addBreach(RateLimitHonoured, "", "%s named a limit of %.2f a second and got %d requests in %v; allowed are %.0f", l.runner.ID, l.perSecond, got, platformtest.LimitWindow, allowed)
 	}
 }
--- a/internal/testing/soak/places.go
+++ b/internal/testing/soak/places.go
@@ -38,7 +38,7 @@
 	d.history.beginEvacuation(time.Now())
 	time.Sleep(faultDuration(amount, extraEvacuation))
 	d.history.endEvacuation(time.Now())
-	d.store.GiveBack(evacuatedDataCentre)
+	d.store.EndEvacuation(evacuatedDataCentre)
 }
 
 // dataCentreWithFewerEndpoints returns the data centre with fewer serving endpoints. The deployment
@@ -63,7 +63,7 @@
 	defer d.mu.Unlock()
 	e.runner.WarmupLeftMS = 0
 	if !e.removed && e.leavingSince.IsZero() && !d.closed {
-		d.store.Enter(e.runner, "ready")
+		d.store.PutEndpoint(e.runner, "ready")
 	}
 }
 
@@ -90,7 +90,7 @@
 	for _, e := range h.evacuations {
 		over := !e.to.IsZero() && !r.At.Before(e.to)
 		if late := h.timeToLearn(r.At, e.from); late > evacuationGracePeriod && !over {
-			h.addBreach(Emptied, s.id, "it ran at %s %v after entries could know that its data centre is evacuated", r.endpoint, late)
+			h.addBreach(EvacuationHonoured, s.id, "it ran at %s %v after entries could know that its data centre is evacuated", r.endpoint, late)
 		}
 	}
 }
@@ -113,7 +113,7 @@
 			}
 		}
 		if allowed := warmupPerS*warmupOverrun + warmupSlack; float64(within) > allowed {
-			h.addBreach(WarmsUp, "", "%s got %d requests within a second, %v after its start; allowed are %v", e.runner.ID, within, first.Sub(e.startedAt), allowed)
+			h.addBreach(WarmupLimitHonoured, "", "%s got %d requests within a second, %v after its start; allowed are %v", e.runner.ID, within, first.Sub(e.startedAt), allowed)
 			return
 		}
 	}
--- a/internal/testing/soak/platform.go
+++ b/internal/testing/soak/platform.go
@@ -110,7 +110,7 @@
 	e.runner.DataCentre = d.dataCentreWithFewerEndpoints()
 	e.runner.WarmupLeftMS = int(warmupDuration.Milliseconds())
 	d.endpoints = append(d.endpoints, e)
-	d.store.Enter(e.runner, "ready")
+	d.store.PutEndpoint(e.runner, "ready")
 	go d.awaitCrash(e)
 	go d.finishWarmup(e)
 }
--- a/internal/testing/soak/signals.go
+++ b/internal/testing/soak/signals.go
@@ -37,14 +37,14 @@
 	d.addEndpoint()
 	time.Sleep(drainGraceMS*time.Millisecond + faultDuration(amount, drainGraceMS*time.Millisecond))
 	d.mu.Lock()
-	d.store.Enter(e.runner, "draining")
+	d.store.PutEndpoint(e.runner, "draining")
 	e.leavingSince = time.Now()
 	d.mu.Unlock()
 	time.Sleep(drainGraceMS * time.Millisecond)
 	d.mu.Lock()
 	e.removed = true
 	d.mu.Unlock()
-	d.store.Lose(e.runner)
+	d.store.RemoveEndpoint(e.runner)
 	e.runner.Close()
 }
 
@@ -76,12 +76,12 @@
 	}
 	got := 0
 	for _, a := range arrivals {
-		if r.Counts(a.At) && byID[a.ID].servedBy == sender && !d.wasFrozen(sender, r.At, a.At) {
+		if r.InBackoff(a.At) && byID[a.ID].servedBy == sender && !d.wasFrozen(sender, r.At, a.At) {
 			got++
 		}
 	}
 	if got > platformtest.MaxInBackoff {
-		d.history.addBreach(BacksOff, r.ID, "%s asked %s for %v and got %d requests", e.runner.ID, sender.entry, r.Delay, got)
+		d.history.addBreach(BackoffHonoured, r.ID, "%s asked %s for %v and got %d requests", e.runner.ID, sender.entry, r.Delay, got)
 	}
 }
 
@@ -100,7 +100,7 @@
 		s := byID[a.ID]
 		at, known := passedOn[s.servedBy]
 		if known && s.sentAt.Sub(at) > drainGraceMS*time.Millisecond && !d.wasFrozen(s.servedBy, at, a.At) {
-			d.history.addBreach(Drains, a.ID, "%s had passed on, %v before, a response by which %s drains", s.servedBy.entry, s.sentAt.Sub(at), e.runner.ID)
+			d.history.addBreach(DrainingHonoured, a.ID, "%s had passed on, %v before, a response by which %s drains", s.servedBy.entry, s.sentAt.Sub(at), e.runner.ID)
 		}
 	}
 }
--- a/internal/testing/soak/soak.go
+++ b/internal/testing/soak/soak.go
@@ -17,19 +17,19 @@
 
 // Options configures a run.
 type Options struct {
-	Seed      uint64
-	Duration  time.Duration // in which faults are injected
-	Entries   int
-	Endpoints int
-	Callers   int
-	Only      []string // names of the faults to inject, empty for all
-	Crashing  bool     // a caller repeats a request that crashes each endpoint that runs it
-	Slow      int      // callers that do not read their answers or do not finish their bodies
+	Seed        uint64
+	Duration    time.Duration // in which faults are injected
+	Entries     int
+	Endpoints   int
+	Callers     int
+	Only        []string // names of the faults to inject, empty for all
+	Crashing    bool     // a caller repeats a request that crashes each endpoint that runs it
+	SlowCallers int      // callers that do not read their answers or do not finish their bodies
 	// Command returns a command that runs an entry with the settings file. Run ends its
 	// process.
 	Command func(settings string) *exec.Cmd
-	// Folder receives the settings and logs of the entries.
-	Folder string
+	// Dir receives the settings and logs of the entries.
+	Dir string
 }
 
 // Report is the result of a run.
@@ -104,7 +104,7 @@
 	}
 	callers.Go(func() { d.recordVersions(calling) })
 	callers.Go(func() { d.recordMemory(calling) })
-	for n := range o.Slow {
+	for n := range o.SlowCallers {
 		callers.Go(func() { d.runSlowCaller(calling, n) })
 	}
 	if o.Crashing {
@@ -210,7 +210,7 @@
 		d.history.checkLimit(l, l.runner.Runs())
 	}
 	d.checkResponseSignals()
-	r := d.history.check(d.options.plannedOnly(), d.reports.Taken())
+	r := d.history.check(d.options.plannedOnly(), d.reports.Received())
 	r.Faults = d.faultCounts
 	r.Crashed = d.crashed
 	r.MemoryMB = d.memoryMB
--- a/internal/testing/soak/soak_test.go
+++ b/internal/testing/soak/soak_test.go
@@ -23,7 +23,7 @@
 func runSoak(t *testing.T, seed uint64, only []string) Report {
 	t.Helper()
 	r, err := Run(context.Background(), Options{
-		Seed: seed, Duration: 6 * time.Second, Entries: 3, Endpoints: 4, Callers: 6, Folder: t.TempDir(), Only: only,
+		Seed: seed, Duration: 6 * time.Second, Entries: 3, Endpoints: 4, Callers: 6, Dir: t.TempDir(), Only: only,
 		Command: entryprogram.Command,
 	})
 	if err != nil {
@@ -44,7 +44,7 @@
 // while all faults are injected.
 func TestCrashingRequest(t *testing.T) {
 	r, err := Run(context.Background(), Options{
-		Seed: 3, Duration: 6 * time.Second, Entries: 3, Endpoints: 4, Callers: 6, Folder: t.TempDir(), Crashing: true,
+		Seed: 3, Duration: 6 * time.Second, Entries: 3, Endpoints: 4, Callers: 6, Dir: t.TempDir(), Crashing: true,
 		Command: entryprogram.Command,
 	})
 	if err != nil {
@@ -84,7 +84,7 @@
 func TestSlowCallers(t *testing.T) {
 	const mostBodies = entryMemoryLimitMB << 20 / 4 // a quarter of an entry's memory may hold bodies
 	r, err := Run(context.Background(), Options{
-		Seed: 4, Duration: 6 * time.Second, Entries: 3, Endpoints: 4, Callers: 6, Folder: t.TempDir(), Slow: 60,
+		Seed: 4, Duration: 6 * time.Second, Entries: 3, Endpoints: 4, Callers: 6, Dir: t.TempDir(), SlowCallers: 60,
 		Only: []string{"data centre evacuated"}, Command: entryprogram.Command,
 	})
 	if err != nil {
@@ -108,7 +108,7 @@
 			covered[p] = true
 		}
 	}
-	for _, p := range []Promise{OwnAnswer, InOrder, AtMostOnce, NotRun, Untouched, NothingNew, GoodSource, NeverBack, NothingLost, Recovers, OneReport, Emptied, InRegion, WarmsUp, Heeds, BacksOff, Drains} {
+	for _, p := range []Promise{OwnCompleteAnswer, InOrder, AtMostOnce, NotRun, RequestUnmodified, NoRequestsAfterLeaving, ValidFetchSource, SettingsMonotonic, NoRequestLost, Recovers, UsageReportedOnce, EvacuationHonoured, InRegion, WarmupLimitHonoured, RateLimitHonoured, BackoffHonoured, DrainingHonoured} {
 		if !covered[p] {
 			t.Errorf("no fault attacks %q", p)
 		}
@@ -168,24 +168,24 @@
 		seen observation
 		runs []run
 	}{
-		"another's answer":                 {OwnAnswer, of(page, observation{status: 200, seal: "seal-b", body: responseBody, complete: true}), nil},
-		"a truncated answer":               {OwnAnswer, of(page, observation{status: 200, seal: "seal-a", body: "the", complete: true}), nil},
-		"a truncated stream":               {OwnAnswer, of(chat, observation{status: 200, seal: "seal-a", body: stream("1", "2"), complete: true}), nil},
+		"another's answer":                 {OwnCompleteAnswer, of(page, observation{status: 200, seal: "seal-b", body: responseBody, complete: true}), nil},
+		"a truncated answer":               {OwnCompleteAnswer, of(page, observation{status: 200, seal: "seal-a", body: "the", complete: true}), nil},
+		"a truncated stream":               {OwnCompleteAnswer, of(chat, observation{status: 200, seal: "seal-a", body: stream("1", "2"), complete: true}), nil},
 		"an event twice":                   {InOrder, of(chat, observation{status: 200, seal: "seal-a", body: stream("1", "2", "2")}), nil},
 		"an event is missing":              {InOrder, of(chat, observation{status: 200, seal: "seal-a", body: stream("1", "3")}), nil},
 		"a booking runs twice":             {AtMostOnce, of(book, observation{}), []run{ran(book), ran(book)}},
 		"refused as not run":               {NotRun, of(book, observation{status: 503}), []run{ran(book)}},
-		"another path":                     {Untouched, of(book, observation{}), []run{ran(page)}},
-		"a key is forwarded":               {Untouched, of(page, observation{}), []run{withKey}},
-		"run after draining began":         {NothingNew, of(page, observation{}), []run{late}},
-		"a fetch from itself":              {GoodSource, of(page, observation{}), []run{fetching("own")}},
-		"a fetch from an unknown endpoint": {GoodSource, of(page, observation{}), []run{fetching("nowhere")}},
+		"another path":                     {RequestUnmodified, of(book, observation{}), []run{ran(page)}},
+		"a key is forwarded":               {RequestUnmodified, of(page, observation{}), []run{withKey}},
+		"run after draining began":         {NoRequestsAfterLeaving, of(page, observation{}), []run{late}},
+		"a fetch from itself":              {ValidFetchSource, of(page, observation{}), []run{fetching("own")}},
+		"a fetch from an unknown endpoint": {ValidFetchSource, of(page, observation{}), []run{fetching("nowhere")}},
 		"in another region":                {InRegion, of(home, observation{}), []run{elsewhere}},
-		"in an evacuated data centre":      {Emptied, of(page, observation{}), []run{emptied}},
-		"a fetch from a drained endpoint":  {GoodSource, of(page, observation{}), []run{fetching("left")}},
+		"in an evacuated data centre":      {EvacuationHonoured, of(page, observation{}), []run{emptied}},
+		"a fetch from a drained endpoint":  {ValidFetchSource, of(page, observation{}), []run{fetching("left")}},
 	} {
 		h := history{observations: []observation{c.seen}, runs: map[string][]run{"a": c.runs}, addresses: addresses}
-		if c.want == Emptied {
+		if c.want == EvacuationHonoured {
 			h.beginEvacuation(now.Add(-time.Minute))
 		}
 		r := h.check(false, nil)
@@ -205,25 +205,25 @@
 	var overrun history
 	started := &endpoint{runner: &platformtest.Runner{ID: "i-1"}, startedAt: now}
 	overrun.checkWarmup(started, slices.Repeat([]platformtest.Run{{At: now.Add(100 * time.Millisecond)}}, 18))
-	if r := overrun.check(false, nil); len(r.Breaches) != 1 || r.Breaches[0].Promise != WarmsUp {
+	if r := overrun.check(false, nil); len(r.Breaches) != 1 || r.Breaches[0].Promise != WarmupLimitHonoured {
 		t.Errorf("an endpoint overloaded during its warm-up: found %v", r.Breaches)
 	}
 	var overLimit history
 	limit := namedLimit{runner: started.runner, perSecond: 2, active: interval{from: now, to: now.Add(time.Minute)}}
 	overLimit.checkLimit(limit, slices.Repeat([]platformtest.Run{{At: now.Add(limitGracePeriod + time.Millisecond)}}, 18))
 	overLimit.checkLimit(limit, slices.Repeat([]platformtest.Run{{At: now.Add(limitGracePeriod - time.Millisecond)}}, 100))
-	if r := overLimit.check(false, nil); len(r.Breaches) != 1 || r.Breaches[0].Promise != Heeds {
+	if r := overLimit.check(false, nil); len(r.Breaches) != 1 || r.Breaches[0].Promise != RateLimitHonoured {
 		t.Errorf("an endpoint over its limit: found %v", r.Breaches)
 	}
 	lost := history{observations: []observation{of(page, observation{})}, runs: map[string][]run{"a": {ran(page)}}}
-	if r := lost.check(true, nil); len(r.Breaches) != 1 || r.Breaches[0].Promise != NothingLost {
+	if r := lost.check(true, nil); len(r.Breaches) != 1 || r.Breaches[0].Promise != NoRequestLost {
 		t.Errorf("a lost answer: found %v", r.Breaches)
 	}
 	var h history
 	h.recordVersion("entry-1", 1, 5)
 	h.recordVersion("entry-1", 2, 4)
 	h.recordVersion("entry-1", 1, 4)
-	if r := h.check(false, nil); len(r.Breaches) != 1 || r.Breaches[0].Promise != NeverBack {
+	if r := h.check(false, nil); len(r.Breaches) != 1 || r.Breaches[0].Promise != SettingsMonotonic {
 		t.Errorf("found %v", r.Breaches)
 	}
 }
--- a/internal/testing/soak/strike.go
+++ b/internal/testing/soak/strike.go
@@ -52,7 +52,7 @@
 
 // clearFaults restores the store, the endpoints and the settings after the faults.
 func (d *deployment) clearFaults() {
-	d.store.SetFault(platformtest.Sound)
+	d.store.SetFault(platformtest.NoFault)
 	for range d.options.Endpoints {
 		if d.pickEndpoint(d.options.Endpoints) == nil {
 			d.addEndpoint()
--- a/internal/testing/soak/usage.go
+++ b/internal/testing/soak/usage.go
@@ -33,11 +33,11 @@
 	reported := int64(0)
 	for _, r := range reports {
 		if holder, known := holders[r.Fence]; known && holder != r.Holder {
-			h.addBreach(OneReport, "", "fence %d is held by %s and by %s", r.Fence, holder, r.Holder)
+			h.addBreach(UsageReportedOnce, "", "fence %d is held by %s and by %s", r.Fence, holder, r.Holder)
 		}
 		holders[r.Fence] = r.Holder
 		if r.Fence < highest && !r.Refused && !h.disturbedBefore(r.At, staleReportSlack) {
-			h.addBreach(OneReport, "", "%s reports with fence %d after %d", r.Holder, r.Fence, highest)
+			h.addBreach(UsageReportedOnce, "", "%s reports with fence %d after %d", r.Holder, r.Fence, highest)
 		}
 		highest = max(highest, r.Fence)
 		if r.Refused {
@@ -45,7 +45,7 @@
 		}
 		previous, known := accepted[r.Window]
 		if known && !maps.Equal(previous, r.Counts) {
-			h.addBreach(OneReport, "", "window %d is reported as %v, then as %v", r.Window, previous, r.Counts)
+			h.addBreach(UsageReportedOnce, "", "window %d is reported as %v, then as %v", r.Window, previous, r.Counts)
 		}
 		if !known {
 			accepted[r.Window] = r.Counts
@@ -55,7 +55,7 @@
 		}
 	}
 	if ran := int64(len(h.runs)); reported > ran {
-		h.addBreach(OneReport, "", "%d requests are reported, and %d ran", reported, ran)
+		h.addBreach(UsageReportedOnce, "", "%d requests are reported, and %d ran", reported, ran)
 	}
 }
 
@@ -78,7 +78,7 @@
 	ticker := time.NewTicker(50 * time.Millisecond)
 	defer ticker.Stop()
 	for {
-		if taken := d.reports.Taken(); len(taken) > 0 && taken[len(taken)-1].At.After(began) {
+		if taken := d.reports.Received(); len(taken) > 0 && taken[len(taken)-1].At.After(began) {
 			return nil
 		}
 		select {
@@ -91,8 +91,8 @@
 
 // failReports makes the platform fail to accept reports in one way for a time.
 func failReports(d *deployment, amount float64) {
-	faults := []platformtest.Fault{platformtest.Busy, platformtest.Many, platformtest.Reset, platformtest.Silent}
+	faults := []platformtest.Fault{platformtest.Busy, platformtest.TooManyRequests, platformtest.Reset, platformtest.Silent}
 	d.reports.SetFault(faults[int(amount*float64(len(faults)))%len(faults)])
 	time.Sleep(faultDuration(amount, extraOutage))
-	d.reports.SetFault(platformtest.Sound)
+	d.reports.SetFault(platformtest.NoFault)
 }
--- a/internal/testing/standin/card.go
+++ b/internal/testing/standin/card.go
@@ -14,25 +14,25 @@
 // Card is an accelerator that batches: the more requests run, the longer a token
 // takes. The zero value is a fast card without faults.
 type Card struct {
-	Step    time.Duration // between tokens with one request, 0 for 5 ms
-	Batch   int           // number of requests at which a step takes twice as long, 0 for 16
-	Prefill float64       // prompt bytes a second, 0 for a million
-	Most    int           // requests in the batch, further ones queue by priority; 0 for no bound
-	Lag     time.Duration // age of the reported load
+	Step     time.Duration // between tokens with one request, 0 for 5 ms
+	Batch    int           // number of requests at which a step takes twice as long, 0 for 16
+	Prefill  float64       // prompt bytes a second, 0 for a million
+	MaxBatch int           // requests in the batch, further ones queue by priority; 0 for no bound
+	LoadLag  time.Duration // age of the reported load
 
 	// OnStart, if set, is called with the prompt of each request that starts.
 	OnStart func(prompt string)
 
-	mu      sync.Mutex
-	running int
-	slow    float64 // factor, 0 for none
-	broken  bool    // running answers are truncated and new requests fail
-	frozen  chan struct{}
-	cached  affinity.Table
-	started int
-	tokens  int
-	waiting []*queuedRequest
-	loads   []loadSample
+	mu       sync.Mutex
+	running  int
+	slowdown float64 // factor, 0 for none
+	broken   bool    // running answers are truncated and new requests fail
+	frozen   chan struct{}
+	cached   affinity.Table
+	started  int
+	tokens   int
+	waiting  []*queuedRequest
+	loads    []loadSample
 }
 
 // queuedRequest is a request that waits for a place in the batch.
@@ -47,15 +47,15 @@
 	running int
 }
 
-// Slow multiplies the time of every step by a factor.
-func (c *Card) Slow(factor float64) {
+// SetSlowdown multiplies the time of every step by a factor.
+func (c *Card) SetSlowdown(factor float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.slow = factor
+	c.slowdown = factor
 }
 
-// Break makes the card fail, or work again if broken is false.
-func (c *Card) Break(broken bool) {
+// SetBroken makes the card fail, or work again if broken is false.
+func (c *Card) SetBroken(broken bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.broken = broken
@@ -106,7 +106,7 @@
 		c.mu.Unlock()
 		return false
 	}
-	if c.Most > 0 && c.running >= c.Most {
+	if c.MaxBatch > 0 && c.running >= c.MaxBatch {
 		p := &queuedRequest{priority: priority, admitted: make(chan struct{})}
 		c.waiting = append(c.waiting, p)
 		slices.SortStableFunc(c.waiting, func(a, b *queuedRequest) int { return a.priority - b.priority })
@@ -166,7 +166,7 @@
 // changeRunning changes the number of running requests. The lock is held.
 func (c *Card) changeRunning(by int) {
 	c.running += by
-	if c.Lag <= 0 {
+	if c.LoadLag <= 0 {
 		return
 	}
 	c.loads = append(c.loads, loadSample{time.Now(), c.running})
@@ -175,14 +175,14 @@
 	}
 }
 
-// Load returns the number of requests that were running Lag ago.
+// Load returns the number of requests that were running LoadLag ago.
 func (c *Card) Load() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.Lag <= 0 {
+	if c.LoadLag <= 0 {
 		return c.running
 	}
-	then := time.Now().Add(-c.Lag)
+	then := time.Now().Add(-c.LoadLag)
 	load := 0
 	for _, s := range c.loads {
 		if s.at.After(then) {
@@ -219,8 +219,8 @@
 const bytesPerToken = 4
 
 func (c *Card) slowed(d time.Duration) time.Duration {
-	if c.slow > 0 {
-		return time.Duration(float64(d) * c.slow)
+	if c.slowdown > 0 {
+		return time.Duration(float64(d) * c.slowdown)
 	}
 	return d
 }
--- a/internal/testing/standin/engine.go
+++ b/internal/testing/standin/engine.go
@@ -34,11 +34,11 @@
 }
 
 type engineRequest struct {
-	Model    string          `json:"model"`
-	Messages []engineMessage `json:"messages"`
-	Most     int             `json:"max_tokens"`
-	Continue bool            `json:"continue_final_message"`
-	Priority int             `json:"priority"`
+	Model     string          `json:"model"`
+	Messages  []engineMessage `json:"messages"`
+	MaxTokens int             `json:"max_tokens"`
+	Continue  bool            `json:"continue_final_message"`
+	Priority  int             `json:"priority"`
 }
 
 const (
@@ -79,7 +79,7 @@
 		prompt = append(prompt, m.Content)
 	}
 	sentTokens = strings.Count(sentText, " ")
-	most := q.Most
+	most := q.MaxTokens
 	if most > 0 {
 		most += sentTokens
 	}
@@ -148,11 +148,11 @@
 	if c.Start.SentText != "" {
 		q.Messages = append(q.Messages, engineMessage{Role: "assistant", Content: c.Start.SentText})
 		q.Continue = true
-		if q.Most > 0 && q.Most <= c.Start.SentTokens {
+		if q.MaxTokens > 0 && q.MaxTokens <= c.Start.SentTokens {
 			return message.End{Code: result.OK, Run: result.Ran, FinishReason: "length"}
 		}
-		if q.Most > 0 {
-			q.Most -= c.Start.SentTokens
+		if q.MaxTokens > 0 {
+			q.MaxTokens -= c.Start.SentTokens
 		}
 	}
 	prompt, tokens, done := q.splitPrompt()
--- a/internal/testing/standin/platformtest/act.go
+++ b/internal/testing/standin/platformtest/act.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Act is the reaction of a runner to a request.
-type Act interface{ act() }
+// Behavior is the reaction of a runner to a request.
+type Behavior interface{ behavior() }
 
-// The acts of a runner.
+// The behaviors of a runner.
 type (
 	// Answer sends a complete answer with a length.
 	Answer struct {
@@ -29,28 +29,28 @@
 	// Delayed performs Then after a time.
 	Delayed struct {
 		By   time.Duration
-		Then Act
+		Then Behavior
 	}
-	// Break runs the request and resets the connection without an answer.
-	Break struct{}
+	// ResetConnection runs the request and resets the connection without an answer.
+	ResetConnection struct{}
 	// Crash runs the request and ends the runner with all its connections when After is
-	// closed, or at once if After is nil. Begun is the part of an answer without a length that it
+	// closed, or at once if After is nil. Partial is the part of an answer without a length that it
 	// sends before, empty for none. The close of the connection looks like the end of that answer.
 	Crash struct {
-		After chan struct{}
-		Begun string
+		After   chan struct{}
+		Partial string
 	}
-	// Cut truncates the answer within its body.
-	Cut struct{}
+	// Truncate truncates the answer within its body.
+	Truncate struct{}
 	// Unframed sends an answer that ends when its connection is closed, by a reset if Broken.
 	Unframed struct {
 		Body   string
 		Broken bool
 	}
-	// Surplus sends an answer to another request before the right one.
-	Surplus struct{}
-	// Twice sends the right answer and a second one after it.
-	Twice struct{}
+	// WrongResponseFirst sends an answer to another request before the right one.
+	WrongResponseFirst struct{}
+	// ExtraResponse sends the right answer and a second one after it.
+	ExtraResponse struct{}
 	// Garbage sends bytes that are no answer.
 	Garbage struct{}
 	// Unsealed answers without the runner's seal.
@@ -71,30 +71,30 @@
 	// ByPath performs Then for requests whose path has one of the prefixes, and Else for others.
 	ByPath struct {
 		Prefix []string
-		Then   Act
-		Else   Act
+		Then   Behavior
+		Else   Behavior
 	}
 )
 
-func (Answer) act()   {}
-func (Refuse) act()   {}
-func (Fail) act()     {}
-func (Delayed) act()  {}
-func (Break) act()    {}
-func (Crash) act()    {}
-func (Cut) act()      {}
-func (Unframed) act() {}
-func (Surplus) act()  {}
-func (Twice) act()    {}
-func (Garbage) act()  {}
-func (Unsealed) act() {}
-func (Hang) act()     {}
-func (Early) act()    {}
-func (Events) act()   {}
-func (ByPath) act()   {}
+func (Answer) behavior()             {}
+func (Refuse) behavior()             {}
+func (Fail) behavior()               {}
+func (Delayed) behavior()            {}
+func (ResetConnection) behavior()    {}
+func (Crash) behavior()              {}
+func (Truncate) behavior()           {}
+func (Unframed) behavior()           {}
+func (WrongResponseFirst) behavior() {}
+func (ExtraResponse) behavior()      {}
+func (Garbage) behavior()            {}
+func (Unsealed) behavior()           {}
+func (Hang) behavior()               {}
+func (Early) behavior()              {}
+func (Events) behavior()             {}
+func (ByPath) behavior()             {}
 
-// choose returns the act for a path.
-func (b ByPath) choose(path string) Act {
+// choose returns the behavior for a path.
+func (b ByPath) choose(path string) Behavior {
 	chosen := b.Else
 	for _, prefix := range b.Prefix {
 		if strings.HasPrefix(path, prefix) {
--- a/internal/testing/standin/platformtest/backoff.go
+++ b/internal/testing/standin/platformtest/backoff.go
@@ -28,8 +28,8 @@
 	Delay time.Duration
 }
 
-// Counts reports whether an arrival counts towards MaxInBackoff.
-func (f Refusal) Counts(at time.Time) bool {
+// InBackoff reports whether an arrival counts towards MaxInBackoff.
+func (f Refusal) InBackoff(at time.Time) bool {
 	passed := at.Sub(f.At)
 	return passed >= BackoffGrace && passed < f.Delay
 }
--- a/internal/testing/standin/platformtest/limits.go
+++ b/internal/testing/standin/platformtest/limits.go
@@ -9,9 +9,11 @@
 	limitSlack   = 5
 )
 
-// Borne returns the number of requests that a runner may get in LimitWindow if it names a limit, in
-// requests a second: limitOverrun times the limit plus limitSlack.
-func Borne(limit float64) float64 { return limitOverrun*limit*LimitWindow.Seconds() + limitSlack }
+// MaxRequestsInWindow returns the number of requests that a runner may get in LimitWindow if it
+// advertises a rate limit, in requests a second: limitOverrun times the limit plus limitSlack.
+func MaxRequestsInWindow(limit float64) float64 {
+	return limitOverrun*limit*LimitWindow.Seconds() + limitSlack
+}
 
 // MostWithin returns the largest number of times within any window. The times are sorted.
 func MostWithin(times []time.Time, window time.Duration) int {
--- a/internal/testing/standin/platformtest/prompt.go
+++ b/internal/testing/standin/platformtest/prompt.go
@@ -39,7 +39,7 @@
 	return tokens
 }
 
-// listJSON returns the cached parts in the format of KeptPath.
+// listJSON returns the cached parts in the format of CachedPartsPath.
 func (m *promptCache) listJSON() string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -57,8 +57,8 @@
 	}
 }
 
-// Keep adds a part of a prompt to the runner's cache.
-func (r *Runner) Keep(id string, tokens int) {
+// CachePart adds a part of a prompt to the runner's cache.
+func (r *Runner) CachePart(id string, tokens int) {
 	r.cache.mu.Lock()
 	defer r.cache.mu.Unlock()
 	if r.cache.tokens == nil {
--- a/internal/testing/standin/platformtest/reports.go
+++ b/internal/testing/standin/platformtest/reports.go
@@ -51,15 +51,15 @@
 	p.server.Close()
 }
 
-// SetFault makes the server fail, or work again for Sound.
+// SetFault makes the server fail, or work again for NoFault.
 func (p *Reports) SetFault(f Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.fault = f
 }
 
-// Taken returns the reports that were received, in order.
-func (p *Reports) Taken() []Report {
+// Received returns the reports that were received, in order.
+func (p *Reports) Received() []Report {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Clone(p.received)
@@ -83,7 +83,7 @@
 	case Busy:
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
-	case Many:
+	case TooManyRequests:
 		w.WriteHeader(http.StatusTooManyRequests)
 		return
 	case Silent:
--- a/internal/testing/standin/platformtest/runner.go
+++ b/internal/testing/standin/platformtest/runner.go
@@ -31,8 +31,8 @@
 	PartsField     = "X-Prefix-Hash" // of the prompt, ID:TOKENS
 )
 
-// KeptPath is the path at which a runner lists the parts of prompts that it has cached.
-const KeptPath = "/foxcross/kv-list"
+// CachedPartsPath is the path at which a runner lists the parts of prompts that it has cached.
+const CachedPartsPath = "/foxcross/kv-list"
 
 // Run is a request that a runner has started.
 type Run struct {
@@ -47,10 +47,10 @@
 
 // Runner is a stand-in for an endpoint. Create it with NewRunner.
 type Runner struct {
-	ID      string
-	Service string
-	Engine  bool  // its record names a model; set before the record is written
-	Born    int64 // start in ms since 1970, 0 to omit it; set before the record is written
+	ID        string
+	Service   string
+	Engine    bool  // its record names a model; set before the record is written
+	StartedMS int64 // start in ms since 1970, 0 to omit it; set before the record is written
 
 	// DataCentre is empty for "zone-1". WarmupLeftMS is the remaining time of its warm-up. Both
 	// are set before the record is written.
@@ -60,9 +60,9 @@
 	listener net.Listener
 
 	mu              sync.Mutex
-	nextActs        []Act   // for the next requests, before defaultAct
-	sharedScript    *Script // before nextActs, nil for none
-	defaultAct      Act
+	nextBehaviors   []Behavior // for the next requests, before defaultBehavior
+	sharedScript    *Script    // before nextBehaviors, nil for none
+	defaultBehavior Behavior
 	limitValues     []string // in its answers, each in a field of its own
 	drainingValues  []string // in its answers, each in a field of its own
 	backoffs        backoffs
@@ -77,21 +77,21 @@
 }
 
 // NewRunner starts a runner on a free port of the loopback address.
-func NewRunner(id, service string, defaultAct Act) *Runner {
+func NewRunner(id, service string, defaultBehavior Behavior) *Runner {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		panic("platformtest: " + err.Error())
 	}
-	r := &Runner{ID: id, Service: service, listener: l, defaultAct: defaultAct, conns: map[net.Conn]bool{}, abandoned: make(chan string, 1024), ended: make(chan struct{})}
+	r := &Runner{ID: id, Service: service, listener: l, defaultBehavior: defaultBehavior, conns: map[net.Conn]bool{}, abandoned: make(chan string, 1024), ended: make(chan struct{})}
 	go r.accept()
 	return r
 }
 
-// Next appends acts for the next requests.
-func (r *Runner) Next(acts ...Act) {
+// Enqueue appends behaviors for the next requests.
+func (r *Runner) Enqueue(behaviors ...Behavior) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.nextActs = append(r.nextActs, acts...)
+	r.nextBehaviors = append(r.nextBehaviors, behaviors...)
 }
 
 // NameLimit sets the limit that the next answers name, each value in a field of its own. Without
@@ -102,11 +102,11 @@
 	r.limitValues = values
 }
 
-// SetRest sets the act for requests for which no other act is set.
-func (r *Runner) SetRest(a Act) {
+// SetDefault sets the behavior for requests for which no other behavior is set.
+func (r *Runner) SetDefault(a Behavior) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.defaultAct = a
+	r.defaultBehavior = a
 }
 
 // Drain sets the values by which the next answers announce that the runner drains, each in a field
@@ -124,29 +124,29 @@
 	return append([]Run(nil), r.runs...)
 }
 
-// Dialed returns the number of accepted connections.
-func (r *Runner) Dialed() int {
+// ConnectionCount returns the number of accepted connections.
+func (r *Runner) ConnectionCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.connectionCount
 }
 
-// Left returns a channel of the ids of requests whose caller closed the connection.
-func (r *Runner) Left() <-chan string { return r.abandoned }
+// Abandoned returns a channel of the ids of requests whose caller closed the connection.
+func (r *Runner) Abandoned() <-chan string { return r.abandoned }
 
-// Entry returns the runner's record for the store.
-func (r *Runner) Entry(state string) map[string]any {
-	entry := map[string]any{
+// Record returns the runner's record for the store.
+func (r *Runner) Record(state string) map[string]any {
+	record := map[string]any{
 		"backend": r.Service, "address": r.Address(), "zone": cmp.Or(r.DataCentre, "zone-1"),
 		"version": "v1", "slots": 8, "state": state, "seq": 1, "warmupLeftMs": r.WarmupLeftMS,
 	}
-	if r.Born > 0 {
-		entry["born"] = r.Born
+	if r.StartedMS > 0 {
+		record["born"] = r.StartedMS
 	}
 	if r.Engine {
-		entry["models"] = []map[string]any{{"name": "m"}}
+		record["models"] = []map[string]any{{"name": "m"}}
 	}
-	return entry
+	return record
 }
 
 // Address returns the address on which the runner listens.
@@ -199,16 +199,16 @@
 	}
 }
 
-// recordArrival records a request and returns the act for it.
-func (r *Runner) recordArrival(q *http.Request, body []byte) Act {
+// recordArrival records a request and returns the behavior for it.
+func (r *Runner) recordArrival(q *http.Request, body []byte) Behavior {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	a := r.defaultAct
+	a := r.defaultBehavior
 	if shared, ok := r.sharedScript.next(); ok {
 		a = shared
-	} else if len(r.nextActs) > 0 {
-		a = r.nextActs[0]
-		r.nextActs = r.nextActs[1:]
+	} else if len(r.nextBehaviors) > 0 {
+		a = r.nextBehaviors[0]
+		r.nextBehaviors = r.nextBehaviors[1:]
 	}
 	if b, ok := a.(ByPath); ok {
 		a = b.choose(q.URL.Path)
@@ -227,19 +227,19 @@
 	return a
 }
 
-// peekAct returns the next act without removing it.
-func (r *Runner) peekAct() Act {
+// peekBehavior returns the next behavior without removing it.
+func (r *Runner) peekBehavior() Behavior {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.nextActs) > 0 {
-		return r.nextActs[0]
+	if len(r.nextBehaviors) > 0 {
+		return r.nextBehaviors[0]
 	}
-	return r.defaultAct
+	return r.defaultBehavior
 }
 
 // serveRequest serves a request and returns false if the connection is to be closed.
 func (r *Runner) serveRequest(c net.Conn, reader *bufio.Reader, q *http.Request) bool {
-	if q.URL.Path == KeptPath {
+	if q.URL.Path == CachedPartsPath {
 		body := r.cache.listJSON()
 		write(c, "HTTP/1.1 200 OK\r\n%s\r\n%s", length(body), body)
 		return true
@@ -250,7 +250,7 @@
 		write(c, "HTTP/1.1 421 Misdirected Request\r\n%s: %s\r\nContent-Length: 0\r\n\r\n", InstanceField, r.ID)
 		return true
 	}
-	if e, early := r.peekAct().(Early); early {
+	if e, early := r.peekBehavior().(Early); early {
 		r.recordArrival(q, nil)
 		write(c, "%s", r.head(e.Status, id, "Content-Length: 0\r\n"))
 		_, _ = io.Copy(io.Discard, q.Body) // the caller may have disconnected
@@ -260,12 +260,12 @@
 	if err != nil {
 		return false
 	}
-	act := r.recordArrival(q, body)
-	if d, delayed := act.(Delayed); delayed {
+	behavior := r.recordArrival(q, body)
+	if d, delayed := behavior.(Delayed); delayed {
 		time.Sleep(d.By)
-		act = d.Then
+		behavior = d.Then
 	}
-	switch a := act.(type) {
+	switch a := behavior.(type) {
 	case Answer:
 		write(c, "%s%s", r.head(a.Status, id, length(a.Body)), a.Body)
 		return true
@@ -275,18 +275,18 @@
 	case Fail:
 		write(c, "%s", r.head(a.Status, id, headerLines(retryAfterField, a.RetryAfter)+"Content-Length: 0\r\n"))
 		return true
-	case Break:
+	case ResetConnection:
 		return reset(c)
 	case Crash:
-		if a.Begun != "" {
-			write(c, "%s%s", r.head(http.StatusOK, id, "Connection: close\r\n"), a.Begun)
+		if a.Partial != "" {
+			write(c, "%s%s", r.head(http.StatusOK, id, "Connection: close\r\n"), a.Partial)
 		}
 		if a.After != nil {
 			<-a.After
 		}
 		r.Close()
 		return false
-	case Cut:
+	case Truncate:
 		write(c, "%sbroken", r.head(http.StatusOK, id, "Content-Length: 100\r\n"))
 		return false
 	case Unframed:
@@ -296,10 +296,10 @@
 			return reset(c)
 		}
 		return false
-	case Surplus:
+	case WrongResponseFirst:
 		write(c, "%swrong%sright", r.head(http.StatusOK, "another", length("wrong")), r.head(http.StatusOK, id, length("right")))
 		return true
-	case Twice:
+	case ExtraResponse:
 		write(c, "%sright%swrong", r.head(http.StatusOK, id, length("right")), r.head(http.StatusOK, id, length("wrong")))
 		return true
 	case Garbage:
--- a/internal/testing/standin/platformtest/script.go
+++ b/internal/testing/standin/platformtest/script.go
@@ -2,16 +2,16 @@
 
 import "sync"
 
-// Script is a sequence of acts that several runners share: the next request at any
-// of them gets the next act. The zero value is empty.
+// Script is a sequence of behaviors that several runners share: the next request at any
+// of them gets the next behavior. The zero value is empty.
 type Script struct {
-	mu   sync.Mutex
-	acts []Act
+	mu        sync.Mutex
+	behaviors []Behavior
 }
 
-// InTurn makes the runners share a script of acts for the next requests.
-func InTurn(runners []*Runner, acts ...Act) {
-	s := &Script{acts: acts}
+// ShareScript makes the runners share a script of behaviors for the next requests.
+func ShareScript(runners []*Runner, behaviors ...Behavior) {
+	s := &Script{behaviors: behaviors}
 	for _, r := range runners {
 		r.mu.Lock()
 		r.sharedScript = s
@@ -19,17 +19,17 @@
 	}
 }
 
-// next removes and returns the next act. It returns false if none is left.
-func (s *Script) next() (Act, bool) {
+// next removes and returns the next behavior. It returns false if none is left.
+func (s *Script) next() (Behavior, bool) {
 	if s == nil {
 		return nil, false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.acts) == 0 {
+	if len(s.behaviors) == 0 {
 		return nil, false
 	}
-	a := s.acts[0]
-	s.acts = s.acts[1:]
+	a := s.behaviors[0]
+	s.behaviors = s.behaviors[1:]
 	return a, true
 }
--- a/internal/testing/standin/platformtest/store.go
+++ b/internal/testing/standin/platformtest/store.go
@@ -37,7 +37,7 @@
 	Key      string `json:"privateKey"`
 	Value    []byte `json:"value,omitempty"`
 	Revision uint64 `json:"revision"`
-	Gone     bool   `json:"gone,omitempty"`
+	Removed  bool   `json:"gone,omitempty"`
 	Lease    int    `json:"lease,omitempty"` // whose end removes the entry
 }
 
@@ -46,11 +46,11 @@
 
 // The faults of a store.
 const (
-	Sound  Fault = iota // works
-	Busy                // answers 503
-	Many                // answers 429
-	Reset               // closes the connection
-	Silent              // does not answer
+	NoFault         Fault = iota // works
+	Busy                         // answers 503
+	TooManyRequests              // answers 429
+	Reset                        // closes the connection
+	Silent                       // does not answer
 )
 
 // NewStore starts a store on a free port of the loopback address.
@@ -90,7 +90,7 @@
 }
 
 // Remove removes an entry.
-func (s *Store) Remove(key string) { s.change(Item{Key: key, Gone: true}) }
+func (s *Store) Remove(key string) { s.change(Item{Key: key, Removed: true}) }
 
 func (s *Store) change(i Item) {
 	s.mu.Lock()
@@ -102,7 +102,7 @@
 // changeAt applies a change at a revision. The store is locked.
 func (s *Store) changeAt(revision uint64, i Item) {
 	i.Revision = revision
-	if i.Gone {
+	if i.Removed {
 		delete(s.items, i.Key)
 	} else {
 		s.items[i.Key] = i
@@ -112,8 +112,8 @@
 	s.changed = make(chan struct{})
 }
 
-// Forget drops the history, so that watches of older revisions fail.
-func (s *Store) Forget() {
+// CompactHistory drops the history, so that watches of older revisions fail.
+func (s *Store) CompactHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.oldestRevision = s.revision
@@ -122,12 +122,12 @@
 	s.changed = make(chan struct{})
 }
 
-// SetFault makes the store fail, or work again for Sound.
+// SetFault makes the store fail, or work again for NoFault.
 func (s *Store) SetFault(f Fault) {
 	s.mu.Lock()
 	s.fault = f
 	s.mu.Unlock()
-	if f != Sound {
+	if f != NoFault {
 		s.server.CloseClientConnections()
 	}
 }
@@ -139,11 +139,11 @@
 		f := s.fault
 		s.mu.Unlock()
 		switch f {
-		case Sound:
+		case NoFault:
 			h(w, r)
 		case Busy:
 			w.WriteHeader(http.StatusServiceUnavailable)
-		case Many:
+		case TooManyRequests:
 			w.WriteHeader(http.StatusTooManyRequests)
 		case Reset:
 			abort(w)
@@ -260,11 +260,11 @@
 // Evacuate asks that no more requests be sent to a zone.
 func (s *Store) Evacuate(zone string) { s.Put(evacuationPrefix+zone, struct{}{}) }
 
-// GiveBack ends the evacuation of a zone.
-func (s *Store) GiveBack(zone string) { s.Remove(evacuationPrefix + zone) }
+// EndEvacuation ends the evacuation of a zone.
+func (s *Store) EndEvacuation(zone string) { s.Remove(evacuationPrefix + zone) }
 
-// Enter writes a runner's record with a state to the store.
-func (s *Store) Enter(r *Runner, state string) { s.Put(endpointPrefix+r.ID, r.Entry(state)) }
+// PutEndpoint writes a runner's record with a state to the store.
+func (s *Store) PutEndpoint(r *Runner, state string) { s.Put(endpointPrefix+r.ID, r.Record(state)) }
 
-// Lose removes a runner's record from the store.
-func (s *Store) Lose(r *Runner) { s.Remove(endpointPrefix + r.ID) }
+// RemoveEndpoint removes a runner's record from the store.
+func (s *Store) RemoveEndpoint(r *Runner) { s.Remove(endpointPrefix + r.ID) }
--- a/internal/testing/standin/platformtest/txn.go
+++ b/internal/testing/standin/platformtest/txn.go
@@ -35,7 +35,7 @@
 		s.changeAt(s.revision, i)
 	}
 	for _, key := range t.Remove {
-		s.changeAt(s.revision, Item{Key: key, Gone: true})
+		s.changeAt(s.revision, Item{Key: key, Removed: true})
 	}
 	reply(w, struct {
 		Revision uint64 `json:"revision"`
@@ -111,7 +111,7 @@
 	for key, i := range s.items {
 		if i.Lease == name {
 			s.revision++
-			s.changeAt(s.revision, Item{Key: key, Gone: true})
+			s.changeAt(s.revision, Item{Key: key, Removed: true})
 		}
 	}
 }
--- a/internal/testing/standin/service.go
+++ b/internal/testing/standin/service.go
@@ -16,7 +16,7 @@
 // Service is a plain service that records the calls that it executes. The zero value is
 // ready for use.
 type Service struct {
-	Takes time.Duration // per call
+	Latency time.Duration // per call
 
 	// OnStart, if set, is called with the path and body of each call.
 	OnStart func(call string)
@@ -48,7 +48,7 @@
 	if s.OnStart != nil {
 		s.OnStart(path + " " + string(body))
 	}
-	time.Sleep(s.Takes)
+	time.Sleep(s.Latency)
 	return "done: " + call
 }
 
--- a/internal/testing/standin/standin_test.go
+++ b/internal/testing/standin/standin_test.go
@@ -43,7 +43,7 @@
 // load is reported with a delay.
 func TestEnginePriorityAndLag(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := &standin.Engine{Card: standin.Card{Step: 10 * time.Millisecond, Most: 1, Lag: time.Second}}
+		e := &standin.Engine{Card: standin.Card{Step: 10 * time.Millisecond, MaxBatch: 1, LoadLag: time.Second}}
 		var all sync.WaitGroup
 		sinks := make([]firstTextSink, 3)
 		for n, tier := range []int{0, 2, 0} {
--- a/internal/testing/standin/store.go
+++ b/internal/testing/standin/store.go
@@ -78,8 +78,8 @@
 	s.scheduleList(append(s.without(m.Name), m))
 }
 
-// DropMember removes a member from the list, after ListLag.
-func (s *Store) DropMember(name string) {
+// RemoveMember removes a member from the list, after ListLag.
+func (s *Store) RemoveMember(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.scheduleList(s.without(name))
--- a/internal/testing/suspension/suspension.go
+++ b/internal/testing/suspension/suspension.go
@@ -22,15 +22,15 @@
 // that follow.
 func Suspend(d time.Duration) (undo func()) {
 	lastCompared.Add(int64(d))
-	undoExact := Waken(d)
+	undoExact := SuspendUnnoticed(d)
 	return func() {
 		lastCompared.Add(-int64(d))
 		undoExact()
 	}
 }
 
-// Waken is Suspend for a machine that has just resumed: only exact readings include the suspension.
-func Waken(d time.Duration) (undo func()) {
+// SuspendUnnoticed is Suspend for a machine that has just resumed: only exact readings include the suspension.
+func SuspendUnnoticed(d time.Duration) (undo func()) {
 	suspended.Add(int64(d))
 	return func() { suspended.Add(-int64(d)) }
 }
