--- a/coord/placement/admit.go
+++ b/coord/placement/admit.go
@@ -1,13 +1,13 @@
 // Decides whether a request is sent to the chosen endpoint or rejected for now.
 //
-// Rule: only long prompts are rejected. A prompt is admitted wherever it would start at once,
-// whatever its length. Otherwise it is admitted only if its first event is expected within
-// maxFirstEventTargets, or within maxInterferenceFirstEventTargets where streams miss their
-// targets during prefill. Once half of the service's slots are busy, it must also harm no more
-// than one request. Expected times are multiplied by the recent overrun of such prompts. With
-// short queues, nearly as many long prompts are served under overload, more of them are served
-// in time, and streams beside them miss fewer of their targets, where engines lose time to
-// exhausted memory and recomputation.
+// Rule: only long prompts are rejected. A prompt that would start at once is in time, whatever its
+// length. Any other is in time if its first event is expected within maxFirstEventTargets, or
+// within maxInterferenceFirstEventTargets where streams miss their targets during prefill. A
+// prompt is admitted if it is in time and, once half of the service's slots are busy, its
+// interference is at most maxBusyInterference. Expected times are multiplied by the recent
+// overrun of such prompts. If engines lose time to exhausted memory and recomputation, short
+// queues allow nearly as many long prompts to be served under overload, more of them in time, and
+// streams beside them miss fewer of their targets.
 // Inputs: the estimates of a Choice, the request's target, the time to its deadline.
 // Unit: times in first-event targets; interference in requests.
 // Never: a short prompt, or a call of a service without a model, is rejected here; a request is
@@ -23,7 +23,7 @@
 	// service is seldom free.
 	immediateStartTargets = 0.15
 	// maxFirstEventTargets is the latest expected first event of a prompt that waits, in
-	// first-event targets. A later answer has little value and delays all prompts behind it.
+	// first-event targets. A later response has little value and delays all prompts behind it.
 	maxFirstEventTargets = 1.0
 	// maxInterferenceFirstEventTargets is the same where streams miss their targets during
 	// prefill.
--- a/coord/placement/backoff_simulation_test.go
+++ b/coord/placement/backoff_simulation_test.go
@@ -182,16 +182,16 @@
 func (p *backoffSimulation) applyRejection(now time.Time, table *placement.Table, id placement.AttemptID, endpoint string, delay time.Duration) {
 	if p.fault == lastDelayWins && table == p.table {
 		list := table.States(now)
-		var kept []placement.Endpoint
+		var relisted []placement.Endpoint
 		for _, e := range list {
 			startedMS := int64(0)
 			if e.ID == endpoint {
 				startedMS = int64(p.lastNumber) // a new incarnation has no backoff
 			}
-			kept = append(kept, placement.Endpoint{ID: e.ID, Service: "desk", Slots: slotsPerEndpoint, StartedMS: startedMS})
+			relisted = append(relisted, placement.Endpoint{ID: e.ID, Service: "desk", Slots: slotsPerEndpoint, StartedMS: startedMS})
 		}
-		table.SetEndpoints(now, kept)
-		for _, e := range kept {
+		table.SetEndpoints(now, relisted)
+		for _, e := range relisted {
 			if e.ID == endpoint {
 				table.ApplyBackoff(now, e.Incarnation(), delay, p.random)
 			}
--- a/coord/placement/bench_test.go
+++ b/coord/placement/bench_test.go
@@ -22,10 +22,10 @@
 	}
 }
 
-// BenchmarkDecisionWithMoves is the same with engines that fetch from each other. On a shared
+// BenchmarkDecisionWithFetches is the same with engines that fetch from each other. On a shared
 // machine it takes 0.21 to 0.34 ms and 7 allocations, against 0.21 to 0.27 ms and 5 without
 // fetches. Most of the time is spent on the estimates for each of the 200 engines.
-func BenchmarkDecisionWithMoves(b *testing.B) {
+func BenchmarkDecisionWithFetches(b *testing.B) {
 	benchmarkDecision(b, 200, 0, memory.Rate{TokenBytes: 163_840, LinkMbps: 260_000})
 }
 
--- a/coord/placement/cost.go
+++ b/coord/placement/cost.go
@@ -2,17 +2,17 @@
 //
 // Rule: the cost is the sum of seven terms, each an expected loss:
 //
-//	late      lateness of the request's own first event against its target
-//	harm      missed inter-event targets: those of the running streams that the prefill
-//	          delays, and its own because of long prompts that arrive later
-//	reread    prompt tokens to compute, above all those of prefixes that another
-//	          endpoint caches, and tokens to fetch from one
-//	crowding  exhaustion of slots and memory
-//	pool      a long prompt outside the pool of long prompts, or a short one inside
-//	trouble   recent failures, recent unreachability, stalls, draining
-//	distance  another data centre
+//	Late           lateness of the request's own first event against its target
+//	Interference   missed inter-event targets: those of the running streams that the
+//	               prefill delays, and its own because of long prompts that arrive later
+//	Recompute      prompt tokens to compute, above all those of prefixes that another
+//	               endpoint caches, and tokens to fetch from one
+//	Saturation     exhaustion of slots and memory
+//	Pool           a long prompt outside the pool of long prompts, or a short one inside
+//	Unreliability  recent failures, recent unreachability, stalls, draining
+//	Distance       another data centre
 //
-// Unit: one request answered within its targets is worth 1.
+// Unit: one request served within its targets is worth 1.
 // Inputs: the table's state of the endpoint; of a class, only its targets.
 // Never: the name of a class, service or data centre has a weight of its own.
 
@@ -25,8 +25,8 @@
 	latenessStart = 0.5
 	// latenessFull is the share of the target from which latenessWeight applies in full.
 	latenessFull = 1.2
-	// latenessWeight is the cost of a late answer. It is below 1 since a late answer retains
-	// some value.
+	// latenessWeight is the cost of a late response. It is below 1 since a late response
+	// retains some value.
 	latenessWeight = 0.8
 	// extraLatenessWeight is the cost per multiple of the first-event target.
 	extraLatenessWeight = 0.1
@@ -124,7 +124,7 @@
 	prefillMS := (float64(c.PrefillTokens) + c.Fetch.ExpectedMiss()) * perTokenMS * e.slowdown
 	c.WaitMS = max(e.waitMS(q.now, q.request.Priority), c.Fetch.MS())
 	c.FirstMS = baseMS*e.slowdown + c.WaitMS + prefillMS
-	target := q.request.firstTokenMS()
+	target := q.request.firstEventTargetMS()
 	c.Terms.Late = latenessCost(c.FirstMS / target)
 	c.Terms.Unreliability += overdueWeight * e.overdueMS(q.now) / target
 	c.Terms.Interference = q.interferenceCost(e, prefillMS)
@@ -157,7 +157,7 @@
 	for _, a := range e.attempts {
 		oldestMS = max(oldestMS, milliseconds(q.now.Sub(a.sentAt)))
 	}
-	overdueTargets := max(oldestMS/q.request.firstTokenMS()-1, 0)
+	overdueTargets := max(oldestMS/q.request.firstEventTargetMS()-1, 0)
 	c.Terms.Saturation = nonEngineLoadWeight*load + overloadWeight*max(load-1, 0) + overdueWeight*overdueTargets
 }
 
--- a/coord/placement/endpoint.go
+++ b/coord/placement/endpoint.go
@@ -26,7 +26,7 @@
 	slowdown    float64   // observed over expected time to a first event, 1 for as expected; set by setSlowdown
 	logSlowdown float64   // natural logarithm of slowdown
 	lastEvent   time.Time // of any attempt of this entry
-	openTokens  int       // of the open attempts, prompts and answers
+	openTokens  int       // of the open attempts, prompts and outputs
 	backlog     backlog
 	lastSent    time.Time // when the last prompt was sent here
 	link        memory.Link
--- a/coord/placement/interval.go
+++ b/coord/placement/interval.go
@@ -7,8 +7,8 @@
 	intervalDecay = 0.02
 	// minIntervals is the number of values below which the statistics are not used.
 	minIntervals = 10
-	// highDeviations is the number of standard deviations between the mean and upperEstimate.
-	highDeviations = 1.5
+	// upperDeviations is the number of standard deviations between the mean and upperEstimate.
+	upperDeviations = 1.5
 )
 
 // intervalStats is the decayed mean and variance of the ms between events of streams, at a
@@ -37,7 +37,7 @@
 	if i.Count < minIntervals {
 		return 0, false
 	}
-	return i.Mean + highDeviations*math.Sqrt(i.Variance), true
+	return i.Mean + upperDeviations*math.Sqrt(i.Variance), true
 }
 
 // prefillInterferes reports whether streams with the service's strictest inter-event target are
--- a/coord/placement/placement.go
+++ b/coord/placement/placement.go
@@ -84,7 +84,7 @@
 type Request struct {
 	Service          string        `cbor:"1,keyasint"`
 	Prompt           memory.Prompt `cbor:"2,keyasint"`
-	FirstEventTarget time.Duration `cbor:"3,keyasint,omitempty"` // target for the first event, or for a whole answer
+	FirstEventTarget time.Duration `cbor:"3,keyasint,omitempty"` // target for the first event, or for a whole response
 	InterEventTarget time.Duration `cbor:"4,keyasint,omitempty"` // target between events, 0 for no stream
 	Priority         int           `cbor:"5,keyasint,omitempty"` // 0 is the most urgent
 	TimeLeft         time.Duration `cbor:"6,keyasint,omitempty"` // until its deadline, 0 for unknown
@@ -93,8 +93,8 @@
 	Regions eligibility.Regions `cbor:"-"` // in which it may be served; not sent to other entries
 }
 
-// firstTokenMS returns the target for the first event in ms, at least 1.
-func (r Request) firstTokenMS() float64 { return max(milliseconds(r.FirstEventTarget), 1) }
+// firstEventTargetMS returns the target for the first event in ms, at least 1.
+func (r Request) firstEventTargetMS() float64 { return max(milliseconds(r.FirstEventTarget), 1) }
 
 // Outcome is the result of an attempt.
 type Outcome uint8
@@ -104,8 +104,8 @@
 	Succeeded   Outcome = iota
 	Abandoned           // the caller left or the deadline passed
 	Rejected            // the endpoint reported that it did not run the request
-	Errored             // the endpoint answered with an error of its own
-	Broken              // the connection failed or delivered no valid answer
+	Errored             // the endpoint responded with an error of its own
+	Broken              // the connection failed or delivered no valid response
 	Unreachable         // no connection was established
 	PushedBack          // the endpoint asked this entry to back off; entries of earlier versions count it as a success
 )
--- a/coord/placement/placement_test.go
+++ b/coord/placement/placement_test.go
@@ -312,9 +312,9 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(r, "ms")) * time.Millisecond)
 			switch rapid.IntRange(0, 4).Draw(r, "event") {
 			case 0, 1:
-				request := shortRequest(rapid.Uint64Range(1, 9).Draw(r, "part"))
+				request := shortRequest(rapid.Uint64Range(1, 9).Draw(r, "own part"))
 				if rapid.Bool().Draw(r, "long") {
-					request = longRequest(rapid.Uint64Range(1, 9).Draw(r, "subject"), 77)
+					request = longRequest(rapid.Uint64Range(1, 9).Draw(r, "shared part"), 77)
 				}
 				c, ok := table.Choose(now, request, excludeNone, random)
 				if ok != (listed > 0) {
@@ -332,7 +332,7 @@
 				open = append(open, id)
 			case 2:
 				if len(open) > 0 {
-					table.FirstEvent(now, open[rapid.IntRange(0, len(open)-1).Draw(r, "begin")])
+					table.FirstEvent(now, open[rapid.IntRange(0, len(open)-1).Draw(r, "first event")])
 				}
 			case 3:
 				if len(open) > 0 {
--- a/coord/placement/pool.go
+++ b/coord/placement/pool.go
@@ -45,9 +45,9 @@
 // add adds the prefill time of a prompt to the demand.
 func (p *pool) add(now time.Time, prefillMS float64, long bool) {
 	if !p.updatedAt.IsZero() {
-		keep := math.Exp(-float64(now.Sub(p.updatedAt)) / float64(demandDecay))
-		p.longMS *= keep
-		p.shortMS *= keep
+		decay := math.Exp(-float64(now.Sub(p.updatedAt)) / float64(demandDecay))
+		p.longMS *= decay
+		p.shortMS *= decay
 	}
 	p.updatedAt = now
 	if long {
--- a/coord/placement/signals.go
+++ b/coord/placement/signals.go
@@ -45,7 +45,7 @@
 	return s.limit.Limited() || s.backoff.Active(now) || s.drain.Draining()
 }
 
-// findSignals returns the signals of an endpoint, listed or not, or nil if it has no entry.
+// findSignals returns the signals of an endpoint, listed or not, or nil if none are stored.
 func (t *Table) findSignals(incarnation string) *signals {
 	if e := t.endpoints[incarnation]; e != nil {
 		return &e.signals
--- a/coord/placement/snapshot.go
+++ b/coord/placement/snapshot.go
@@ -202,8 +202,8 @@
 	}
 	for _, x := range s.Limits {
 		if e := t.endpoints[x.ID]; e != nil {
-			named := now.Add(-time.Duration(x.AdvertisedMS) * time.Millisecond)
-			e.limit.Apply(eligibility.LimitUpdate{PerSecond: x.PerSecond, Sent: named, Received: named})
+			advertised := now.Add(-time.Duration(x.AdvertisedMS) * time.Millisecond)
+			e.limit.Apply(eligibility.LimitUpdate{PerSecond: x.PerSecond, Sent: advertised, Received: advertised})
 		}
 	}
 	for _, x := range s.Drains {
@@ -245,7 +245,8 @@
 	}
 }
 
-// restore replaces those observations of the service of which another table has more.
+// restore replaces the service's observations by those of another table, each kind only if the
+// other table has more of it.
 func (s *service) restore(now time.Time, x ServiceSnapshot) {
 	if x.Prefill[0] > s.prefill.weight {
 		s.prefill = prefillModel{weight: x.Prefill[0], sumX: x.Prefill[1], sumY: x.Prefill[2], sumXX: x.Prefill[3], sumXY: x.Prefill[4]}
--- a/coord/placement/snapshot_test.go
+++ b/coord/placement/snapshot_test.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// A restored table sends prompts to the engines that cache their shared parts, and has the load
-// of attempts sent before it started. Without the snapshot it has neither.
+// A restored table sends prompts to the engines that cache their shared parts, and includes the
+// load of attempts sent before it started. A table without the snapshot does neither.
 func TestRestoredTablePlacesLikeTheOriginal(t *testing.T) {
 	const engines, sharedParts = 20, 40
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
--- a/coord/placement/source.go
+++ b/coord/placement/source.go
@@ -2,7 +2,7 @@
 //
 // Rule: the maxSources engines of the service that are estimated to cache the most of the
 // prompt; in a large service, among those that used its last shared part recently. An engine
-// that is leaving, failing, unreachable, overdue or slow is no source, nor is one that is
+// that is draining, failing, unreachable, overdue or slow is no source, nor is one that is
 // evacuated or outside the request's regions.
 // Inputs: the cached parts of each engine and its health.
 // Never: an engine of another service is a source, nor one whose service transfers no memory.
@@ -40,12 +40,12 @@
 		engines = q.cachingEngines
 	}
 	for _, e := range engines {
-		kept := e.cache.Fetchable(prompt)
-		if kept == 0 || !q.canBeSource(e) {
+		cachedTokens := e.cache.Fetchable(prompt)
+		if cachedTokens == 0 || !q.canBeSource(e) {
 			continue
 		}
 		found = append(found, memory.Source{
-			ID: e.Incarnation(), Address: e.Address, DataCentre: e.DataCentre, CachedTokens: kept, Link: &e.link, MissRate: &e.missRate,
+			ID: e.Incarnation(), Address: e.Address, DataCentre: e.DataCentre, CachedTokens: cachedTokens, Link: &e.link, MissRate: &e.missRate,
 		})
 	}
 	slices.SortStableFunc(found, func(a, b memory.Source) int { return cmp.Compare(b.CachedTokens, a.CachedTokens) })
@@ -58,12 +58,12 @@
 		e.slowdown <= maxSourceSlowdown && e.overdueMS(q.now) == 0
 }
 
-// estimateFetch returns the expected fetch of an engine that caches the first kept tokens of
-// the prompt.
-func (q *query) estimateFetch(e *endpoint, kept int, perTokenMS float64) memory.Fetch {
+// estimateFetch returns the expected fetch of an engine that caches the first cachedTokens
+// tokens of the prompt.
+func (q *query) estimateFetch(e *endpoint, cachedTokens int, perTokenMS float64) memory.Fetch {
 	if len(q.sources) == 0 || !e.Engine {
 		return memory.Fetch{}
 	}
-	to := memory.Target{ID: e.Incarnation(), DataCentre: e.DataCentre, CachedTokens: kept, Link: &e.link, ComputeMS: perTokenMS * e.slowdown}
+	to := memory.Target{ID: e.Incarnation(), DataCentre: e.DataCentre, CachedTokens: cachedTokens, Link: &e.link, ComputeMS: perTokenMS * e.slowdown}
 	return memory.Best(q.now, q.service.TransferRate, q.sources, to)
 }
--- a/coord/placement/table.go
+++ b/coord/placement/table.go
@@ -159,7 +159,7 @@
 		t.lastSweep = now
 		t.sweepShared(now)
 	}
-	for id := range t.sharedParts { // removes any parts, if removing the unused ones was not enough
+	for id := range t.sharedParts { // removes arbitrary parts if removing the unused ones was not enough
 		if len(t.sharedParts) <= maxSharedParts {
 			return
 		}
@@ -180,7 +180,7 @@
 	return u
 }
 
-// sweepSharedParts removes the shared parts that were not used within ReuseWindow.
+// sweepShared removes the shared parts that were not used within ReuseWindow.
 func (t *Table) sweepShared(now time.Time) {
 	for id, u := range t.sharedParts {
 		if now.Sub(u.lastUsed) > t.ReuseWindow {
--- a/coord/placement/unavailability.go
+++ b/coord/placement/unavailability.go
@@ -1,7 +1,8 @@
 // Determines why no endpoint can take a request now, and when one can.
 //
-// Rule: of the reasons why the service's endpoints are unavailable, the one that ends first counts. They are
-// compared by their remaining times if both are known, else by their reasons.
+// Rule: among the reasons why the service's endpoints are unavailable, the one that ends first is
+// returned. Two of them are compared by their remaining times if both are known, else by the
+// order of the reasons in package eligibility.
 // Inputs: the table, the request, the time.
 // Units: times.
 // Never: an endpoint that is leaving counts.
