--- a/coord/eligibility/drain.go
+++ b/coord/eligibility/drain.go
@@ -11,8 +11,7 @@
 
 import "time"
 
-// Drain is the drain state of one endpoint from one start to the next. The zero value is not
-// draining.
+// Drain is the drain state of one incarnation of an endpoint. The zero value is not draining.
 type Drain struct {
 	since     time.Time // time of the earliest signal
 	announced time.Time // time of the last announcement to other entries
--- a/coord/eligibility/limit.go
+++ b/coord/eligibility/limit.go
@@ -29,8 +29,8 @@
 	// announceInterval is the interval at which a signal is announced again, for entries that
 	// missed it.
 	announceInterval = 250 * time.Millisecond
-	// endAnnounceDuration is how long the end of a limit is announced. Entries keep the state of lost
-	// entries for the same time.
+	// endAnnounceDuration is how long the end of a limit is announced. Entries keep the state of
+	// lost entries for the same time.
 	endAnnounceDuration = time.Minute
 )
 
@@ -125,8 +125,8 @@
 	return !l.Limited() || l.sharedRate.Allows(now, l.perSecond, g)
 }
 
-// CandidateProbability returns the probability with which the endpoint is a candidate for a request.
-// arrivalsPerSecond is the rate of the service's requests at all entries.
+// CandidateProbability returns the probability with which the endpoint is a candidate for a
+// request. arrivalsPerSecond is the rate of the service's requests at all entries.
 func (l *Limit) CandidateProbability(now time.Time, arrivalsPerSecond float64, g Group) float64 {
 	if !l.Limited() {
 		return 1
--- a/coord/eligibility/need_test.go
+++ b/coord/eligibility/need_test.go
@@ -143,7 +143,8 @@
 	return result
 }
 
-// recoveredBy returns the time after the origin by which all entries have to send without the limit.
+// recoveredBy returns the time after the origin by which all entries have to send without the
+// limit.
 func (s limitSimulation) recoveredBy() time.Duration {
 	return limitEnd + recoveryTime + time.Duration(2/s.rate*float64(time.Second))
 }
--- a/coord/eligibility/sharedrate.go
+++ b/coord/eligibility/sharedrate.go
@@ -32,15 +32,16 @@
 	// rate fills in debtDuration, plus extraDebtTokens.
 	debtDuration    = 4 * time.Second
 	extraDebtTokens = 5.0
-	// targetFactor and targetExtraPerSecond set targetRate: a multiple of the rate, plus requests per second.
-	// Lower values leave a part of the rate unused; with higher ones the entries send too many
-	// requests before reports of them arrive.
+	// targetFactor and targetExtraPerSecond set targetRate: a multiple of the rate, plus requests
+	// per second. Lower values leave a part of the rate unused; with higher ones the entries send
+	// too many requests before reports of them arrive.
 	targetFactor         = 1.5
 	targetExtraPerSecond = 0.75
-	// demandTimeConstant is the time constant of the decay of the demand while a token is unused: after
-	// it the estimate has fallen by a factor of e. It is well above the delay of reports.
+	// demandTimeConstant is the time constant of the decay of the demand while a token is unused:
+	// after it the estimate has fallen by a factor of e. It is well above the delay of reports.
 	demandTimeConstant = time.Second
-	// minDemandSamples is the minimum number of requests that the estimate of the demand averages over.
+	// minDemandSamples is the minimum number of requests that the estimate of the demand averages
+	// over.
 	minDemandSamples = 2.0
 	// slotDuration is the length of the time slot of an entry that sees half of all or fewer.
 	slotDuration = 500 * time.Millisecond
@@ -56,8 +57,8 @@
 // seesMajority reports whether more than half of all entries are visible.
 func (g Group) seesMajority() bool { return 2*g.Visible > g.Entries }
 
-// SharedRate limits the rate at which all entries together send to one endpoint. The zero value has
-// counted nothing.
+// SharedRate limits the rate at which all entries together send to one endpoint. The zero value
+// has counted no requests.
 type SharedRate struct {
 	tokens    float64
 	updatedAt time.Time // time of the last update of tokens
@@ -65,53 +66,53 @@
 	lastOwn   time.Time // when this entry last sent a request
 }
 
-// RecordSend counts a request sent to the endpoint by this entry, if own, or by another one. Reports
-// of other entries may arrive out of order.
-func (p *SharedRate) RecordSend(at time.Time, perSecond float64, own bool, g Group) {
+// RecordSend counts a request sent to the endpoint by this entry, if own, or by another one.
+// Reports of other entries may arrive out of order.
+func (r *SharedRate) RecordSend(at time.Time, perSecond float64, own bool, g Group) {
 	rate := g.visibleFraction() * perSecond
-	p.advance(at, rate)
-	p.tokens = max(p.tokens-1, -rate*debtDuration.Seconds()-extraDebtTokens)
+	r.advance(at, rate)
+	r.tokens = max(r.tokens-1, -rate*debtDuration.Seconds()-extraDebtTokens)
 	if own {
-		p.lastOwn = at
+		r.lastOwn = at
 	}
-	p.demand *= 1 + 1/demandSamples(rate)
+	r.demand *= 1 + 1/demandSamples(rate)
 }
 
 // Allows reports whether the entry may send one more request to the endpoint.
-func (p *SharedRate) Allows(now time.Time, perSecond float64, g Group) bool {
+func (r *SharedRate) Allows(now time.Time, perSecond float64, g Group) bool {
 	if g.Entries <= 0 {
 		return false
 	}
 	if !g.seesMajority() {
-		return p.inUnusedSlot(now, perSecond, g)
+		return r.inUnusedSlot(now, perSecond, g)
 	}
-	p.advance(now, g.visibleFraction()*perSecond)
-	return p.tokens >= 1
+	r.advance(now, g.visibleFraction()*perSecond)
+	return r.tokens >= 1
 }
 
-// CandidateProbability returns the probability with which the endpoint is a candidate for a request.
-// arrivalsPerSecond is the rate of the service's requests at all entries.
-func (p *SharedRate) CandidateProbability(now time.Time, perSecond, arrivalsPerSecond float64, g Group) float64 {
+// CandidateProbability returns the probability with which the endpoint is a candidate for a
+// request. arrivalsPerSecond is the rate of the service's requests at all entries.
+func (r *SharedRate) CandidateProbability(now time.Time, perSecond, arrivalsPerSecond float64, g Group) float64 {
 	if !g.seesMajority() {
 		return 1
 	}
 	rate := g.visibleFraction() * perSecond
-	if p.demand == 0 {
-		p.demand = arrivalsPerSecond
+	if r.demand == 0 {
+		r.demand = arrivalsPerSecond
 	}
-	p.advance(now, rate)
-	return min(1, targetRate(rate)/max(p.demand, 1))
+	r.advance(now, rate)
+	return min(1, targetRate(rate)/max(r.demand, 1))
 }
 
 // Wait estimates how long it takes until there is a token, from the requests that this entry
 // has counted.
-func (p *SharedRate) Wait(now time.Time, perSecond float64, g Group) time.Duration {
+func (r *SharedRate) Wait(now time.Time, perSecond float64, g Group) time.Duration {
 	rate := g.visibleFraction() * perSecond
 	if rate <= 0 {
 		rate = perSecond
 	}
-	p.advance(now, rate)
-	return time.Duration(max(1-p.tokens, 0) / rate * float64(time.Second))
+	r.advance(now, rate)
+	return time.Duration(max(1-r.tokens, 0) / rate * float64(time.Second))
 }
 
 // visibleFraction returns the fraction of the entries that are visible.
@@ -133,32 +134,32 @@
 
 // advance fills the bucket up to now, and lowers the demand by the time in which a token was
 // unused.
-func (p *SharedRate) advance(now time.Time, rate float64) {
-	if p.updatedAt.IsZero() {
-		p.updatedAt = now
+func (r *SharedRate) advance(now time.Time, rate float64) {
+	if r.updatedAt.IsZero() {
+		r.updatedAt = now
 	}
-	elapsed := now.Sub(p.updatedAt).Seconds()
+	elapsed := now.Sub(r.updatedAt).Seconds()
 	if elapsed <= 0 || rate <= 0 {
 		return
 	}
-	p.updatedAt = now
+	r.updatedAt = now
 	unused := elapsed
-	if deficit := 1 - p.tokens; deficit > 0 {
+	if deficit := 1 - r.tokens; deficit > 0 {
 		unused -= deficit / rate
 	}
-	p.tokens = min(p.tokens+rate*elapsed, max(minBurst, 1+rate*burstDuration.Seconds()))
-	if unused > 0 && p.demand > 0 {
-		p.demand = max(p.demand*math.Exp(-unused*targetRate(rate)/demandSamples(rate)), targetRate(rate))
+	r.tokens = min(r.tokens+rate*elapsed, max(minBurst, 1+rate*burstDuration.Seconds()))
+	if unused > 0 && r.demand > 0 {
+		r.demand = max(r.demand*math.Exp(-unused*targetRate(rate)/demandSamples(rate)), targetRate(rate))
 	}
 }
 
 // inUnusedSlot reports whether the entry is in its time slot and has sent no request in it.
-func (p *SharedRate) inUnusedSlot(now time.Time, perSecond float64, g Group) bool {
+func (r *SharedRate) inUnusedSlot(now time.Time, perSecond float64, g Group) bool {
 	period := time.Duration(float64(time.Second) * float64(g.Entries) / perSecond)
 	if period <= 0 {
 		return true
 	}
 	begin := time.Duration(float64(rendezvous.Rank(uint64(g.Entries), g.Self)) / math.MaxUint64 * float64(period))
 	since := (time.Duration(now.UnixNano())%period + period - begin) % period
-	return since < slotDuration && now.Sub(p.lastOwn) > since
+	return since < slotDuration && now.Sub(r.lastOwn) > since
 }
--- a/coord/eligibility/warmup.go
+++ b/coord/eligibility/warmup.go
@@ -56,8 +56,8 @@
 	return !w.limits(now, l) || w.sharedRate.Allows(now, l.PerSecond, g)
 }
 
-// CandidateProbability returns the probability with which the endpoint is a candidate for a request.
-// arrivalsPerSecond is the rate of the service's requests at all entries.
+// CandidateProbability returns the probability with which the endpoint is a candidate for a
+// request. arrivalsPerSecond is the rate of the service's requests at all entries.
 func (w *Warmup) CandidateProbability(now time.Time, l WarmupLimit, arrivalsPerSecond float64, g Group) float64 {
 	if !w.limits(now, l) {
 		return 1
--- a/coord/eligibility/warmup_test.go
+++ b/coord/eligibility/warmup_test.go
@@ -82,8 +82,8 @@
 		}
 		chosen := -1
 		for _, e := range random.Perm(r.endpoints) {
-			shown := r.unlimited || random.Float64() < warmups[n][e].CandidateProbability(now, limit, r.rate, groups[n])
-			if shown && (r.unlimited || warmups[n][e].Allows(now, limit, groups[n])) {
+			candidate := r.unlimited || random.Float64() < warmups[n][e].CandidateProbability(now, limit, r.rate, groups[n])
+			if candidate && (r.unlimited || warmups[n][e].Allows(now, limit, groups[n])) {
 				chosen = e
 				break
 			}
