--- a/coord/quarantine/burst_test.go
+++ b/coord/quarantine/burst_test.go
@@ -26,8 +26,8 @@
 // once and crash six endpoints within a tenth of a second, and do so again some seconds later.
 // Endpoints that crash together count once, so the content has one or two counted crashes after
 // the first burst, and all requests of the next one are sent before any of them crashes an
-// endpoint. Crashes that happened together then never counted as more than one event, though no
-// run of the content had succeeded: 10 of 70 runs of this test sent 6 or 12 requests too late,
+// endpoint. If crashes that happen together never counted as more than one event, although no
+// run of the content succeeds, 10 of 70 runs of this test would send 6 or 12 requests too late,
 // all with at most two counted crashes.
 func TestModelBoundsBursts(t *testing.T) {
 	const (
--- a/coord/quarantine/model_test.go
+++ b/coord/quarantine/model_test.go
@@ -69,7 +69,7 @@
 type modelRun struct {
 	content string
 	entry   int
-	began   time.Duration
+	started time.Duration
 	known   int // crashes that its entry counted against the content at the start
 	retries int
 }
@@ -127,7 +127,7 @@
 		return
 	}
 	e := up[m.random.IntN(len(up))]
-	r := &modelRun{content: content, entry: entry, began: m.now, known: v.Crashes, retries: retries}
+	r := &modelRun{content: content, entry: entry, started: m.now, known: v.Crashes, retries: retries}
 	e.running[r] = true
 	m.sent[content] = append(m.sent[content], m.now)
 	starts := e.starts
@@ -188,10 +188,10 @@
 		all = append(all, r)
 	}
 	slices.SortFunc(all, func(a, b *modelRun) int {
-		return cmp.Or(cmp.Compare(a.began, b.began), cmp.Compare(a.content, b.content), cmp.Compare(a.entry, b.entry))
+		return cmp.Or(cmp.Compare(a.started, b.started), cmp.Compare(a.content, b.content), cmp.Compare(a.entry, b.entry))
 	})
 	for _, r := range all {
-		run := quarantine.Run{Content: key(r.content), Started: start.Add(r.began), KnownCrashes: r.known}
+		run := quarantine.Run{Content: key(r.content), Started: start.Add(r.started), KnownCrashes: r.known}
 		m.report(r.entry, func(t *quarantine.Table) { t.RecordCrash(name, at, 0, run) }, func(t *quarantine.Table, age time.Duration) {
 			t.ApplyCrash(m.clock(), quarantine.CrashReport{
 				Endpoint: name, AgeMS: age.Milliseconds(), From: uint64(r.entry) + 1, Runs: []quarantine.RunReport{quarantine.ReportOf(run, at)},
@@ -338,8 +338,8 @@
 	return float64(refused) / float64(requested)
 }
 
-// crashRandomly crashes a random endpoint at each interval, and on average at every eighth a third of all
-// endpoints.
+// crashRandomly crashes a random endpoint at each interval, or a third of all endpoints at one
+// interval in eight on average.
 func (m *model) crashRandomly(interval, until time.Duration) {
 	var next func()
 	next = func() {
--- a/coord/quarantine/quarantine.go
+++ b/coord/quarantine/quarantine.go
@@ -5,8 +5,8 @@
 // not count if the last counted crash was less than correlationWindow earlier and the run had
 // started by then: endpoints that crash together with the same content count as one event. If no
 // run of the content succeeds within correlationWindow after the last of maxCrashes or more
-// crashes, the next request is a trial even if they do not count. The number of crashes that the
-// sender of a run counted when the run started counts, whatever the reported times.
+// crashes, the next request is a trial even if they do not count. If the sender of a run had
+// counted n crashes when the run started, at least n+1 crashes count, whatever the reported times.
 //
 // A content with maxCrashes counted crashes is held: it is sent to no endpoint for minHold after
 // the last one. Then one request at a time is a trial; if its endpoint crashes, the content is
@@ -62,7 +62,7 @@
 	Content Key
 	Started time.Time
 	// KnownCrashes is the number of crashes that the sender counted against the content when the run
-	// began. It orders runs and crashes without a clock: a retry begins within 1 ms of the crash
+	// started. It orders runs and crashes without a clock: a retry begins within 1 ms of the crash
 	// before it, while reports of crashes have a resolution of 1 ms and take some ms to arrive.
 	KnownCrashes int
 }
@@ -113,8 +113,8 @@
 // neverSucceeded reports whether a content was in progress at maxCrashes crashes, together or
 // not, and no run of it has succeeded within correlationWindow. Many callers that send the same
 // content at once crash endpoints together; a popular content also runs elsewhere, and has
-// succeeded by then. Without this check a content was sent 12 times too often
-// (TestModelBoundsBursts).
+// succeeded by then. Without this check, a content is sent up to 12 times after it has to be
+// held (TestModelBoundsBursts).
 func (c *content) neverSucceeded(now time.Time) bool {
 	return len(c.crashes) >= maxCrashes && now.Sub(c.crashes[len(c.crashes)-1].at) >= correlationWindow
 }
@@ -164,7 +164,7 @@
 	for _, x := range c.crashes {
 		r := x.runs[c.key]
 		known = max(known, r.knownCrashes)
-		if x.at.Sub(last) >= correlationWindow || r.began.After(last) {
+		if x.at.Sub(last) >= correlationWindow || r.started.After(last) {
 			separate++
 			last = x.at
 		}
--- a/coord/quarantine/quarantine_test.go
+++ b/coord/quarantine/quarantine_test.go
@@ -113,9 +113,9 @@
 // this process records its first crash.
 func TestCrashKeepsReportedHold(t *testing.T) {
 	var x quarantine.Table
-	x.Hold(key("told"), 3, 0, at(60))
+	x.Hold(key("reported"), 3, 0, at(60))
 	crash(&x, "i-1", 1, "another")
-	if !held(&x, 2, "told") {
+	if !held(&x, 2, "reported") {
 		t.Error("the reported hold is lost")
 	}
 }
@@ -201,7 +201,7 @@
 }
 
 // TestLongRunsCountSeparately checks that a content is held after its third crash if the crashes
-// are more than a second apart, though its runs began before the first one.
+// are more than a second apart, though its runs started before the first one.
 func TestLongRunsCountSeparately(t *testing.T) {
 	var x quarantine.Table
 	for n := range 3 {
@@ -287,13 +287,13 @@
 	var x quarantine.Table
 	run := func(name string) quarantine.Run { return quarantine.Run{Content: key(name), Started: at(0)} }
 	x.RecordUnanswered(at(1), "i-1", run("old"))
-	x.RecordUnanswered(at(5), "i-1", run("left"))
+	x.RecordUnanswered(at(5), "i-1", run("recent"))
 	x.RecordUnanswered(at(5), "i-2", run("elsewhere"))
 	if got := x.UnansweredAt(at(6)); len(got) != 2 {
 		t.Errorf("runs without a response at %v", got)
 	}
 	got := x.TakeUnanswered(at(10), "i-1")
-	if len(got) != 1 || got[0].Content != key("left") {
+	if len(got) != 1 || got[0].Content != key("recent") {
 		t.Errorf("in progress at the crash: %v", got)
 	}
 	if again := x.TakeUnanswered(at(10), "i-1"); len(again) != 0 {
@@ -304,7 +304,7 @@
 func TestExpire(t *testing.T) {
 	var x quarantine.Table
 	crash(&x, "i-1", 0, "bad")
-	x.Hold(key("told"), 3, 0, at(60))
+	x.Hold(key("reported"), 3, 0, at(60))
 	x.Expire(at(7000))
 	if x.Empty() {
 		t.Error("removed before two hours have passed")
--- a/coord/quarantine/report.go
+++ b/coord/quarantine/report.go
@@ -70,8 +70,9 @@
 	return s
 }
 
-// Snapshot is the transferable state of a table, for a process that has just started, or a part
-// of it, for one that lacks this part. It and its parts are encoded on the wire.
+// Snapshot is the state of a table, or a part of it, as sent to another process: all of it to a
+// process that has just started, and new data to the others. Its encoding is part of the protocol
+// between processes.
 type Snapshot struct {
 	Crashes []CrashReport `cbor:"1,keyasint,omitempty"`
 	Holds   []HoldReport  `cbor:"2,keyasint,omitempty"`
@@ -95,7 +96,7 @@
 	_       struct{} `cbor:",toarray"`
 	Content []byte   // key of the content
 	RanMS   int64    // ms from the start of the run to the crash
-	Known   int      // crashes that the sender counted against the content when the run began
+	Known   int      // crashes that the sender counted against the content when the run started
 }
 
 // HoldReport is the report of a held content.
@@ -161,7 +162,7 @@
 		x := CrashReport{Endpoint: name, AgeMS: now.Sub(known.at).Milliseconds(), From: cmp.Or(known.from, self)}
 		for k, r := range known.runs {
 			if !r.cleared {
-				x.Runs = append(x.Runs, ReportOf(Run{Content: k, Started: r.began, KnownCrashes: r.knownCrashes}, known.at))
+				x.Runs = append(x.Runs, ReportOf(Run{Content: k, Started: r.started, KnownCrashes: r.knownCrashes}, known.at))
 			}
 		}
 		if len(x.Runs) > 0 {
--- a/coord/quarantine/report_test.go
+++ b/coord/quarantine/report_test.go
@@ -14,12 +14,12 @@
 func TestSnapshot(t *testing.T) {
 	var from, to quarantine.Table
 	for n := range 3 {
-		crash(&from, fmt.Sprint("i-", n), float64(n), "bad", fmt.Sprint("beside-", n))
+		crash(&from, fmt.Sprint("i-", n), float64(n), "bad", fmt.Sprint("other-", n))
 	}
-	from.RecordSuccess(key("beside-1"))
-	from.Hold(key("told"), 4, 1, at(100))
+	from.RecordSuccess(key("other-1"))
+	from.Hold(key("reported"), 4, 1, at(100))
 	to.Merge(at(10), from.Snapshot(at(10), 7))
-	for _, content := range []string{"bad", "beside-0", "beside-1", "told"} {
+	for _, content := range []string{"bad", "other-0", "other-1", "reported"} {
 		want, got := from.Verdict(at(10), key(content)), to.Verdict(at(10), key(content))
 		if got != want {
 			t.Errorf("%s: %+v, was %+v", content, got, want)
@@ -40,9 +40,9 @@
 		var own, other quarantine.Table
 		now := start
 		for n := range 3 {
-			began := now.Add(time.Duration(rapid.IntRange(50, 900).Draw(t, "us after the crash")) * time.Microsecond)
-			now = began.Add(time.Duration(rapid.IntRange(20, 200).Draw(t, "ms from start to crash")) * time.Millisecond)
-			r := quarantine.Run{Content: key("bad"), Started: began, KnownCrashes: own.Verdict(began, key("bad")).Crashes}
+			started := now.Add(time.Duration(rapid.IntRange(50, 900).Draw(t, "us after the crash")) * time.Microsecond)
+			now = started.Add(time.Duration(rapid.IntRange(20, 200).Draw(t, "ms from start to crash")) * time.Millisecond)
+			r := quarantine.Run{Content: key("bad"), Started: started, KnownCrashes: own.Verdict(started, key("bad")).Crashes}
 			own.RecordCrash(fmt.Sprint("i-", n), now, 0, r)
 			transit := time.Duration(rapid.IntRange(1, 40).Draw(t, "ms of transit")) * time.Millisecond
 			other.ApplyCrash(now.Add(transit), quarantine.CrashReport{
@@ -100,7 +100,7 @@
 func TestMergeReturnsNewDataOnce(t *testing.T) {
 	var from, to quarantine.Table
 	crash(&from, "i-1", 1, "bad")
-	from.Hold(key("told"), 3, 1, at(100))
+	from.Hold(key("reported"), 3, 1, at(100))
 	snapshot := from.Snapshot(at(2), 7)
 	if _, added := to.Merge(at(2), snapshot); len(added.Crashes) != 1 || len(added.Holds) != 1 {
 		t.Errorf("new data: %+v", added)
@@ -108,7 +108,7 @@
 	if _, added := to.Merge(at(2.1), snapshot); !added.Empty() {
 		t.Errorf("known data returned as new: %+v", added)
 	}
-	crash(&from, "i-1", 1, "beside")
+	crash(&from, "i-1", 1, "other")
 	if _, added := to.Merge(at(3), from.Snapshot(at(3), 7)); len(added.Crashes) != 1 {
 		t.Errorf("new run at a known crash: %+v", added)
 	}
--- a/coord/quarantine/table.go
+++ b/coord/quarantine/table.go
@@ -43,7 +43,7 @@
 
 // run combines the runs of a content in progress at a crash.
 type run struct {
-	began        time.Time // latest start, if the content had several runs
+	started      time.Time // latest start, if the content had several runs
 	knownCrashes int       // highest KnownCrashes of the runs
 	cleared      bool      // the content has succeeded since
 }
@@ -111,10 +111,10 @@
 	case former.cleared:
 		return
 	}
-	if former.began.After(r.Started) {
-		r.Started = former.began
+	if former.started.After(r.Started) {
+		r.Started = former.started
 	}
-	x.runs[r.Content] = run{began: r.Started, knownCrashes: max(former.knownCrashes, r.KnownCrashes)}
+	x.runs[r.Content] = run{started: r.Started, knownCrashes: max(former.knownCrashes, r.KnownCrashes)}
 	c := t.content(r.Content)
 	if !ok {
 		at, _ := slices.BinarySearchFunc(c.crashes, x.at, func(x *crash, t time.Time) int { return x.at.Compare(t) })
@@ -159,16 +159,16 @@
 	c.until = until
 }
 
-// RecordTrial records a trial of a held content. trials is the number of its trials, this one included;
-// another trial may start at the time until.
+// RecordTrial records a trial of a held content. trials is the number of its trials, this one
+// included; another trial may start at the time until.
 func (t *Table) RecordTrial(k Key, trials int, until time.Time) {
 	c := t.content(k)
 	c.trials = trials
 	c.until = until
 }
 
-// RecordUnanswered records a run that ended without a response, or whose caller disconnected. If the
-// endpoint turns out to have crashed, the run was in progress there.
+// RecordUnanswered records a run that ended without a response, or whose caller disconnected. If
+// the endpoint turns out to have crashed, the run was in progress there.
 func (t *Table) RecordUnanswered(now time.Time, endpoint string, r Run) {
 	t.unanswered = t.unanswered[t.expired(now):]
 	if len(t.unanswered) >= maxUnanswered {
