--- a/coord/memory/cache.go
+++ b/coord/memory/cache.go
@@ -35,23 +35,23 @@
 // Uncached returns how many tokens of the prompt have to be computed: all except
 // those of the parts before the first missing part.
 func (c *Cache) Uncached(p Prompt) int {
-	cachedPart := 0
+	cachedTokens := 0
 	for _, part := range p.Parts {
 		if !c.Has(part.ID) {
 			break
 		}
-		cachedPart += part.Tokens
+		cachedTokens += part.Tokens
 	}
-	return p.Tokens - min(cachedPart, p.Tokens)
+	return p.Tokens - min(cachedTokens, p.Tokens)
 }
 
 // UncachedShared returns how many tokens of the prompt's shared parts have to be computed.
 func (c *Cache) UncachedShared(p Prompt) int {
 	tokens := 0
-	cachedPart := true
+	cached := true
 	for _, part := range p.Shared() {
-		cachedPart = cachedPart && c.Has(part.ID)
-		if !cachedPart {
+		cached = cached && c.Has(part.ID)
+		if !cached {
 			tokens += part.Tokens
 		}
 	}
--- a/coord/memory/fetch.go
+++ b/coord/memory/fetch.go
@@ -1,13 +1,13 @@
-// The choice whether an engine fetches the missing parts of a prompt, and from which engine.
+// Decides whether an engine fetches the missing parts of a prompt, and from which engine.
 //
-// Rule: among the engines of the service that cache more of the prompt, the source is the one whose
-// fetch saves the most time over computing the tokens, if it saves any and brings at least
-// minFetchTokens. The saving allows for the probability that the source has evicted the tokens: they
-// are computed then, after the failed fetch.
+// Rule: among the engines of the service that cache more of the prompt, the source is the one
+// whose fetch saves the most time over computing the tokens, if it saves any and transfers at
+// least minFetchTokens. The saving allows for the probability that the source has evicted the
+// tokens, which are then computed after the failed fetch.
 // Inputs: the estimated cache of each engine, the transfers in progress at both ends, the
 // time to compute a token, the results of earlier fetches from the source.
 // Units: tokens, milliseconds.
-// Never: a source is leaving, failing, silent or slow; the caller leaves those out.
+// Never: a source is draining, failing, unreachable, overdue or slow; the caller leaves those out.
 
 package memory
 
--- a/coord/memory/missrate.go
+++ b/coord/memory/missrate.go
@@ -18,11 +18,11 @@
 }
 
 // Probability returns the probability that the next fetch misses.
-func (t *MissRate) Probability() float64 { return t.missRate }
+func (m *MissRate) Probability() float64 { return m.missRate }
 
-// Observe adds the result of a fetch and reports whether the fetch missed. lateMS is the delay of the
-// first event over the expected time, computeMS the time to compute the fetched tokens.
-func (t *MissRate) Observe(lateMS, computeMS float64) bool {
+// Observe adds the result of a fetch and reports whether the fetch missed. lateMS is the delay of
+// the first event over the expected time, computeMS the time to compute the fetched tokens.
+func (m *MissRate) Observe(lateMS, computeMS float64) bool {
 	if computeMS < minComputeMS {
 		return false
 	}
@@ -31,9 +31,9 @@
 	if missed {
 		newest = 1
 	}
-	t.missRate += newestWeight * (newest - t.missRate)
+	m.missRate += newestWeight * (newest - m.missRate)
 	return missed
 }
 
-// Restore adopts the miss rate of another table if it is higher.
-func (t *MissRate) Restore(missRate float64) { t.missRate = max(t.missRate, min(missRate, 1)) }
+// Restore raises the miss rate to that of another table if that one is higher.
+func (m *MissRate) Restore(missRate float64) { m.missRate = max(m.missRate, min(missRate, 1)) }
--- a/coord/memory/move.go
+++ b/coord/memory/move.go
@@ -3,10 +3,10 @@
 // Rule: a transfer takes setUpMS plus the time of its bytes on the link. Between data centres the
 // time of the bytes doubles. The transfers of one engine run one after another, whether it sends
 // or receives, so a transfer starts when both ends are free.
-// Inputs: the settings of the service's engines; the transfers of all entries that have been
-// received from them.
-// Units: milliseconds, tokens, 10^6 bits a second.
-// Never: an engine whose settings name no token size or no link sends or receives.
+// Inputs: the settings of the service's engines; the transfers that this entry has started or
+// other entries have announced.
+// Units: milliseconds, tokens, 10^6 bits per second.
+// Never: an engine sends or receives if its settings have no token size or no link rate.
 
 package memory
 
--- a/coord/memory/prompt.go
+++ b/coord/memory/prompt.go
@@ -7,7 +7,7 @@
 	Tokens int    `cbor:"2,keyasint"`
 }
 
-// Prompt describes the prompt of a request and the length of its answer, in tokens. The last part
+// Prompt describes the prompt of a request and the length of its output, in tokens. The last part
 // belongs to this request only; others may be shared.
 type Prompt struct {
 	Tokens             int    `cbor:"1,keyasint,omitempty"`
@@ -16,7 +16,7 @@
 	Parts              []Part `cbor:"4,keyasint,omitempty"` // in order
 }
 
-// ExpectedOutput returns the expected length of the answer, in tokens.
+// ExpectedOutput returns the expected length of the output, in tokens.
 func (p Prompt) ExpectedOutput() int {
 	if p.LikelyOutputTokens > 0 {
 		return p.LikelyOutputTokens
