--- a/coord/clock/clock.go
+++ b/coord/clock/clock.go
@@ -1,11 +1,11 @@
 // Package clock estimates the true time from several clocks, some of which may be wrong.
 //
-// Rule: a process has the offset of its own wall clock from its monotonic clock, and that of other
+// Rule: a process has the offset of its own wall clock from its steady clock, and that of other
 // processes' wall clocks, taken from their messages at receipt. The estimate is the median of these
 // offsets, so that clocks that jump have no effect while they are a minority. For each process
 // the largest offset within sampleLifetime counts: a delay of a message in transit, or in a socket
 // buffer while this process is paused, makes an offset smaller, never larger.
-// Inputs: readings of the monotonic clock and of wall clocks.
+// Inputs: readings of the steady clock and of wall clocks.
 // Never: the process's own wall clock has more weight than that of any other process.
 //
 // This package does no I/O, starts no goroutine and reads no clock.
@@ -30,7 +30,7 @@
 // Estimator is the estimate that one process has of the true time. The zero value has no samples.
 // It is not safe for concurrent use.
 type Estimator struct {
-	firstReading time.Time // monotonic reading of the first sample
+	firstReading time.Time // reading of the steady clock at the first sample
 	sources      map[Source]source
 }
 
@@ -41,27 +41,27 @@
 	pending sample // largest offset since best was taken
 }
 
-// sample is one offset of a wall clock from the monotonic clock.
+// sample is one offset of a wall clock from the steady clock.
 type sample struct {
 	offset time.Duration
-	at     time.Time // monotonic reading
+	at     time.Time // reading of the steady clock
 }
 
-// Observe records the wall clock time of a process at a reading of the monotonic clock. The reading
+// Observe records the wall clock time of a process at a reading of the steady clock. The reading
 // needs Go's monotonic clock; the wall clock time does not.
-func (e *Estimator) Observe(monotonic time.Time, from Source, wall time.Time) {
+func (e *Estimator) Observe(steady time.Time, from Source, wall time.Time) {
 	if e.sources == nil {
 		e.sources = map[Source]source{}
-		e.firstReading = monotonic
+		e.firstReading = steady
 	}
 	s, known := e.sources[from]
 	if !known && len(e.sources) >= maxSources {
-		e.removeExpired(monotonic)
+		e.removeExpired(steady)
 		if len(e.sources) >= maxSources {
 			return
 		}
 	}
-	e.sources[from] = s.with(sample{offset: wall.Sub(time.Unix(0, 0)) - monotonic.Sub(e.firstReading), at: monotonic})
+	e.sources[from] = s.with(sample{offset: wall.Sub(time.Unix(0, 0)) - steady.Sub(e.firstReading), at: steady})
 }
 
 // with returns the source with one more sample.
@@ -82,18 +82,18 @@
 }
 
 // removeExpired removes the sources without a recent sample.
-func (e *Estimator) removeExpired(monotonic time.Time) {
+func (e *Estimator) removeExpired(steady time.Time) {
 	for name, s := range e.sources {
-		if monotonic.Sub(s.newest.at) > sampleLifetime {
+		if steady.Sub(s.newest.at) > sampleLifetime {
 			delete(e.sources, name)
 		}
 	}
 }
 
-// Now returns the estimated true time at a reading of the monotonic clock. It returns false if
+// Now returns the estimated true time at a reading of the steady clock. It returns false if
 // there is no recent sample.
-func (e *Estimator) Now(monotonic time.Time) (now time.Time, ok bool) {
-	offsets := e.offsets(monotonic)
+func (e *Estimator) Now(steady time.Time) (now time.Time, ok bool) {
+	offsets := e.offsets(steady)
 	if len(offsets) == 0 {
 		return time.Time{}, false
 	}
@@ -102,15 +102,15 @@
 	if len(offsets)%2 == 0 {
 		median += (offsets[len(offsets)/2] - median) / 2
 	}
-	return time.Unix(0, 0).Add(median + monotonic.Sub(e.firstReading)), true
+	return time.Unix(0, 0).Add(median + steady.Sub(e.firstReading)), true
 }
 
-// offsets returns the offsets of the processes with a recent sample at a reading of the monotonic
+// offsets returns the offsets of the processes with a recent sample at a reading of the steady
 // clock.
-func (e *Estimator) offsets(monotonic time.Time) []time.Duration {
+func (e *Estimator) offsets(steady time.Time) []time.Duration {
 	var all []time.Duration
 	for _, s := range e.sources {
-		if monotonic.Sub(s.newest.at) <= sampleLifetime {
+		if steady.Sub(s.newest.at) <= sampleLifetime {
 			all = append(all, s.best.offset)
 		}
 	}
--- a/coord/clock/clock_test.go
+++ b/coord/clock/clock_test.go
@@ -10,14 +10,14 @@
 )
 
 func Example() {
-	monotonic := time.Now()
+	steady := time.Now()
 	noon := time.Date(2030, 1, 1, 12, 0, 0, 0, time.UTC)
 	var e clock.Estimator
-	e.Observe(monotonic, 0, noon.Add(5*time.Second)) // the process's own clock has jumped
-	e.Observe(monotonic, 1, noon)
-	e.Observe(monotonic, 2, noon.Add(10*time.Millisecond))
-	now, _ := e.Now(monotonic.Add(time.Second))
-	fmt.Println(now.UTC().Format(time.TimeOnly), e.Compared(monotonic.Add(time.Second)))
+	e.Observe(steady, 0, noon.Add(5*time.Second)) // the process's own clock has jumped
+	e.Observe(steady, 1, noon)
+	e.Observe(steady, 2, noon.Add(10*time.Millisecond))
+	now, _ := e.Now(steady.Add(time.Second))
+	fmt.Println(now.UTC().Format(time.TimeOnly), e.Compared(steady.Add(time.Second)))
 	// Output: 12:00:01 3
 }
 
