--- a/coord/duty/election.go
+++ b/coord/duty/election.go
@@ -1,6 +1,6 @@
 // The election of the holder of the duties.
 //
-// Rule: a process that reads the platform's store, gets answers from it and sees no live holder
+// Rule: a process that reads the platform's store, gets responses from it and sees no live holder
 // reads the holder's record, and tries to write its own if there is none; at most once per
 // attemptInterval. The holder renews its lease several times per TTL, and retries sooner while that
 // fails, until the store reports the lease expired or it has been expired for giveUpAfter.
@@ -26,7 +26,7 @@
 
 // Situation is the input of an election at one process.
 type Situation struct {
-	Eligible    bool // the process reads the store, gets answers from it, and is not leaving
+	Eligible    bool // the process reads the store, gets responses from it, and is not leaving
 	OtherHolder bool // another process is a live holder
 }
 
@@ -81,7 +81,7 @@
 	e.nextCall = requestedAt.Add(e.Terms.TTL / renewalsPerTTL)
 }
 
-// RenewalFailed records that a renewal got no answer at the given time.
+// RenewalFailed records that a renewal got no response at the given time.
 func (e *Election) RenewalFailed(at time.Time) { e.nextCall = at.Add(renewRetryInterval) }
 
 // Lost records the end of the lease: the store reported it expired, a higher fence exists, or the
--- a/coord/duty/tally.go
+++ b/coord/duty/tally.go
@@ -2,8 +2,8 @@
 //
 // Rule: a request counts in the window of true time in which it began. Counts only rise, and each
 // statement holds the full counts of a window, so that a later statement replaces a lost one. A
-// window is stated until its end, and for repeatFor after its last change. A new holder receives
-// all windows that are kept.
+// window is stated until repeatFor after its end or its last change, whichever is later. A new
+// holder receives all windows that are kept.
 // Inputs: requests that begin, the true time.
 // Never: a request counts in a window that was already stated as complete.
 
@@ -15,8 +15,8 @@
 )
 
 const (
-	// repeatFor is how long a window is stated after its last change. It covers several
-	// statements, most of which may be lost.
+	// repeatFor is how long a window is stated after its end or its last change. It covers
+	// several statements, most of which may be lost.
 	repeatFor = 1500 * time.Millisecond
 	// keepFor is how long a process keeps the counts of a window after its end. It is longer
 	// than the known outages of the store.
--- a/internal/direct/duties/campaign.go
+++ b/internal/direct/duties/campaign.go
@@ -92,8 +92,8 @@
 	return h.Owner == d.options.Owner
 }
 
-// adopt takes over the duties with a record of this process that was written although the store's
-// answer was lost.
+// adopt holds the duties by a record that this process has written although the store's response
+// was lost.
 func (d *Duties) adopt(ctx context.Context, r driver.Record) {
 	requestedAt := steady.Now()
 	if err := d.options.Records.Renew(ctx, r.LeaseName); err != nil {
--- a/internal/direct/duties/model_test.go
+++ b/internal/direct/duties/model_test.go
@@ -13,8 +13,8 @@
 	"foxcross.dev/foxcross/internal/storeerr"
 )
 
-// memoryStore is a store in memory. Its calls take time. Faults lose answers, execute calls late, or
-// refuse calls.
+// memoryStore is a store in memory. Its calls take time. Faults lose responses, execute calls late,
+// or refuse calls.
 type memoryStore struct {
 	mu          sync.Mutex
 	random      *rand.Rand
@@ -23,8 +23,8 @@
 	leases      map[string]*memoryLease
 	lastLease   int
 	unavailable bool    // refuses all calls
-	lossRate    float64 // fraction of calls whose answer is lost
-	lateRate    float64 // fraction of calls that are executed late and get no answer
+	lossRate    float64 // fraction of calls whose response is lost
+	lateRate    float64 // fraction of calls that are executed late and get no response
 
 	ignoreConditions bool // deliberate fault
 }
@@ -44,7 +44,7 @@
 	return &memoryStore{random: random, items: map[string]driver.Record{}, leases: map[string]*memoryLease{}}
 }
 
-var errNoAnswer = errors.New("no answer")
+var errNoResponse = errors.New("no response")
 
 // call executes do as a call of the store.
 func (sc storeClient) call(ctx context.Context, do func() error) error {
@@ -63,10 +63,10 @@
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			s.expire()
-			_ = do() // the caller gets no answer
+			_ = do() // the caller gets no response
 		})
 		time.Sleep(800 * time.Millisecond)
-		return errors.Join(storeerr.ErrUnavailable, errNoAnswer)
+		return errors.Join(storeerr.ErrUnavailable, errNoResponse)
 	}
 	time.Sleep(latency)
 	s.mu.Lock()
@@ -80,7 +80,7 @@
 	time.Sleep(latency)
 	if lost {
 		time.Sleep(800 * time.Millisecond)
-		return errors.Join(storeerr.ErrUnavailable, errNoAnswer)
+		return errors.Join(storeerr.ErrUnavailable, errNoResponse)
 	}
 	return err
 }
@@ -102,7 +102,7 @@
 	}
 }
 
-// The following calls return results only with an answer. A call that is executed late has none.
+// The following calls return results only with a response. A call that is executed late has none.
 
 func (sc storeClient) Read(ctx context.Context, key string) (driver.Record, error) {
 	var found driver.Record
@@ -212,8 +212,8 @@
 	arrived time.Time
 }
 
-// fakePlatform records reports. Faults lose answers and execute calls late, as if the entry had been
-// suspended between the check of its lease and the call.
+// fakePlatform records reports. Faults lose responses and execute calls late, as if the entry had
+// been suspended between the check of its lease and the call.
 type fakePlatform struct {
 	mu          sync.Mutex
 	random      *rand.Rand
@@ -246,17 +246,17 @@
 	switch {
 	case unavailable:
 		time.Sleep(100 * time.Millisecond)
-		return errNoAnswer
+		return errNoResponse
 	case late:
 		time.AfterFunc(delay, func() { _ = p.receive(x) })
 		time.Sleep(1500 * time.Millisecond)
-		return errNoAnswer
+		return errNoResponse
 	}
 	time.Sleep(2 * time.Millisecond)
 	err := p.receive(x)
 	if lost {
 		time.Sleep(1500 * time.Millisecond)
-		return errNoAnswer
+		return errNoResponse
 	}
 	return err
 }
@@ -344,8 +344,8 @@
 	}
 }
 
-// followedStore is a Store that is always followed.
-type followedStore struct{}
+// respondingStore is a Store that always responds.
+type respondingStore struct{}
 
-func (followedStore) ReadsStore() bool    { return true }
-func (followedStore) StoreResponds() bool { return true }
+func (respondingStore) ReadsStore() bool    { return true }
+func (respondingStore) StoreResponds() bool { return true }
--- a/internal/direct/duties/simulation_test.go
+++ b/internal/direct/duties/simulation_test.go
@@ -71,7 +71,7 @@
 		Owner:    r.nextID,
 		Terms:    driver.Duties{Usage: true, UsageWindow: r.plan.window, Alternate: alternate, Thaw: thaw, MinLeaseTime: time.Second},
 		Group:    m.member,
-		Store:    followedStore{},
+		Store:    respondingStore{},
 		Records:  storeClient{r.store, &m.disconnected},
 		Reporter: platformClient{r.platform, m.name},
 		Metrics:  r.plan.metrics,
@@ -255,7 +255,7 @@
 }
 
 // TestDutiesUnderFaults simulates kills, resignations, disconnections from the store and from other
-// entries, outages, lost answers and calls that are executed late.
+// entries, outages, lost responses and calls that are executed late.
 func TestDutiesUnderFaults(t *testing.T) {
 	for seed := range uint64(seedsPerPlan) {
 		for _, p := range []plan{
