--- a/coord/binding/binding_test.go
+++ b/coord/binding/binding_test.go
@@ -148,7 +148,7 @@
 		Expect(finish[0].Run).To(Equal(result.Unknown))
 	})
 
-	It("does not retry an unresumable answer", func() {
+	It("does not retry an unresumable response", func() {
 		c := newCore("a", "b")
 		id, s := started(c, request(true))
 		Expect(c.Progress(now, id, 1, true)).To(BeTrue())
@@ -190,7 +190,7 @@
 		Expect(actionsOf[binding.Send](c.Tick(at))).To(HaveLen(binding.DefaultFanout))
 	})
 
-	It("offers to more agents on a timer while none answers", func() {
+	It("offers to more agents on a timer while none responds", func() {
 		c := coreWithFree(0, "a", "b", "c", "d", "e")
 		_, actions := c.Accept(now, request(true))
 		Expect(actionsOf[binding.Send](actions)).To(HaveLen(binding.DefaultFanout))
--- a/coord/binding/choose.go
+++ b/coord/binding/choose.go
@@ -21,8 +21,8 @@
 	// hashSaving is the fraction of the time to the first token that the preferred agent of the
 	// prompt's hash is assumed to save.
 	hashSaving = 0.3
-	// answerSlack is the time that an agent may take to answer beyond two round trips.
-	answerSlack = 5 * time.Millisecond
+	// responseSlack is the time that an agent may take to respond beyond two round trips.
+	responseSlack = 5 * time.Millisecond
 )
 
 // candidate is a route with its expected time to first token.
@@ -142,12 +142,12 @@
 
 // hasFreeSlot reports whether the agent reported more free slots than this entry has
 // sent offers since. Such an agent first gets the only offer: if others got offers
-// too, the fastest answer would win, not the best choice.
+// too, the fastest response would win, not the best choice.
 func (o *route) hasFreeSlot() bool { return o.sent < o.load.Free }
 
-// answerTime returns how long to wait for the answer of an agent with a free slot before the
+// responseTime returns how long to wait for the response of an agent with a free slot before the
 // request is offered to others.
-func (o *route) answerTime() time.Duration { return 2*o.agent.roundTrip + answerSlack }
+func (o *route) responseTime() time.Duration { return 2*o.agent.roundTrip + responseSlack }
 
 // slowness returns a penalty for endpoints that miss the target of the time between tokens.
 func (o *route) slowness(t message.Terms) time.Duration {
--- a/coord/binding/events.go
+++ b/coord/binding/events.go
@@ -54,9 +54,9 @@
 	return c.takeActions()
 }
 
-// Progress reports whether a chunk of an answer belongs to the current attempt
+// Progress reports whether a chunk of a response belongs to the current attempt
 // and so may be forwarded to the caller. unresumable means that another endpoint
-// can't continue the answer once this chunk is sent.
+// can't continue the response once this chunk is sent.
 func (c *Core) Progress(now time.Time, id message.RequestID, a message.Attempt, unresumable bool) bool {
 	r := c.requests[id]
 	if r == nil || r.state != started || r.attempt != a {
--- a/coord/binding/offer.go
+++ b/coord/binding/offer.go
@@ -20,7 +20,7 @@
 	r.nextWiden = now.Add(r.widenAfter(now))
 	if len(r.offers) == 0 && len(chosen) > 0 && chosen[0].hasFreeSlot() {
 		chosen = chosen[:1]
-		r.nextWiden = now.Add(chosen[0].answerTime())
+		r.nextWiden = now.Add(chosen[0].responseTime())
 	}
 	for _, o := range chosen {
 		c.offer(now, r, o)
--- a/coord/binding/request.go
+++ b/coord/binding/request.go
@@ -63,7 +63,7 @@
 	startAgent   string // agent to which the start was sent
 	mayHaveRun   bool   // a start was sent that is not known as not run
 	ranBefore    bool   // mayHaveRun before the current start
-	unresumable  bool   // another endpoint can't continue the answer sent so far
+	unresumable  bool   // another endpoint can't continue the response sent so far
 	preempted    int
 	failures     int // attempts that failed
 	rounds       int // times that the request was offered to all agents and none accepted
--- a/coord/binding/retry.go
+++ b/coord/binding/retry.go
@@ -31,7 +31,7 @@
 }
 
 // retry offers the request again if it is repeatable and its failed attempts, its
-// class's budget and the answer sent so far allow it. spend is whether the retry counts as a
+// class's budget and the response sent so far allow it. If spend is set, the retry counts as a
 // failure and against the budget.
 func (c *Core) retry(now time.Time, r *request, m message.End, spend bool) {
 	code := m.Code
--- a/coord/claim/claim.go
+++ b/coord/claim/claim.go
@@ -1,5 +1,5 @@
 // Package claim decides which request owns an idempotency key. The keys of a partition are stored
-// in one value of a key-value service, the head. A claim is in force once a compare-and-swap has
+// in one value of a key-value service, the head. A claim takes effect once a compare-and-swap has
 // stored it there; that operation is the only fence. When a period ends or the head is full, its
 // claims move to an immutable segment whose name is added to the head. The functions are pure; the
 // caller does the I/O.
--- a/coord/claim/claim_test.go
+++ b/coord/claim/claim_test.go
@@ -10,7 +10,7 @@
 	. "github.com/onsi/gomega"
 )
 
-var rules = claim.Settings{Period: time.Minute, RetainPeriods: 2}
+var settings = claim.Settings{Period: time.Minute, RetainPeriods: 2}
 
 func none(claim.Key) (claim.Nonce, bool) { return "", false }
 
@@ -22,54 +22,54 @@
 	now := time.Unix(6000, 0)
 
 	It("grants a key to the first claim, also within a batch", func() {
-		h, v := claim.Head{}.Apply(now, rules, []claim.Request{request("k", "a"), request("k", "b")}, none)
+		h, v := claim.Head{}.Apply(now, settings, []claim.Request{request("k", "a"), request("k", "b")}, none)
 		Expect(v).To(Equal([]claim.Outcome{claim.Granted, claim.Conflict}))
-		_, v = h.Apply(now, rules, []claim.Request{request("k", "c"), request("k", "a")}, none)
+		_, v = h.Apply(now, settings, []claim.Request{request("k", "c"), request("k", "a")}, none)
 		Expect(v).To(Equal([]claim.Outcome{claim.Conflict, claim.Granted}))
 	})
 
 	It("releases a key only for its owner", func() {
-		h, _ := claim.Head{}.Apply(now, rules, []claim.Request{request("k", "a")}, none)
+		h, _ := claim.Head{}.Apply(now, settings, []claim.Request{request("k", "a")}, none)
 		other := request("k", "b")
 		other.Release = true
 		own := request("k", "a")
 		own.Release = true
-		h, _ = h.Apply(now, rules, []claim.Request{other}, none)
+		h, _ = h.Apply(now, settings, []claim.Request{other}, none)
 		Expect(h.Claims).To(HaveLen(1))
-		h, _ = h.Apply(now, rules, []claim.Request{own}, none)
+		h, _ = h.Apply(now, settings, []claim.Request{own}, none)
 		Expect(h.Claims).To(BeEmpty())
 	})
 
 	It("retains claims in segments after a new period has started", func() {
-		h, _ := claim.Head{}.Apply(now, rules, []claim.Request{request("k", "a")}, none)
+		h, _ := claim.Head{}.Apply(now, settings, []claim.Request{request("k", "a")}, none)
 		kept := h.Claims
 		later := now.Add(time.Minute)
-		Expect(h.NeedsRoll(now, rules)).To(BeFalse())
-		Expect(h.NeedsRoll(later, rules)).To(BeTrue())
-		h = h.Roll(later, rules, "s")
+		Expect(h.NeedsRoll(now, settings)).To(BeFalse())
+		Expect(h.NeedsRoll(later, settings)).To(BeTrue())
+		h = h.Roll(later, settings, "s")
 		older := func(k claim.Key) (claim.Nonce, bool) {
 			n, ok := kept[k]
 			return n, ok
 		}
-		_, v := h.Apply(later, rules, []claim.Request{request("k", "b")}, older)
+		_, v := h.Apply(later, settings, []claim.Request{request("k", "b")}, older)
 		Expect(v).To(Equal([]claim.Outcome{claim.Conflict}))
-		Expect(h.Roll(now.Add(2*time.Minute), rules, "t").Segments).To(HaveLen(2))
-		Expect(h.Roll(now.Add(10*time.Minute), rules, "t").Segments).To(HaveLen(0))
+		Expect(h.Roll(now.Add(2*time.Minute), settings, "t").Segments).To(HaveLen(2))
+		Expect(h.Roll(now.Add(10*time.Minute), settings, "t").Segments).To(HaveLen(0))
 	})
 
 	It("does not decrease the period for a clock that is behind", func() {
-		h, _ := claim.Head{}.Apply(now.Add(time.Hour), rules, []claim.Request{request("k", "a")}, none)
-		behind, v := h.Apply(now, rules, []claim.Request{request("k", "b")}, none)
+		h, _ := claim.Head{}.Apply(now.Add(time.Hour), settings, []claim.Request{request("k", "a")}, none)
+		behind, v := h.Apply(now, settings, []claim.Request{request("k", "b")}, none)
 		Expect(v).To(Equal([]claim.Outcome{claim.Conflict}))
 		Expect(behind.Period).To(Equal(h.Period))
-		Expect(h.NeedsRoll(now, rules)).To(BeFalse())
+		Expect(h.NeedsRoll(now, settings)).To(BeFalse())
 	})
 })
 
 func ExampleHead_Apply() {
 	now := time.Unix(0, 0)
 	batch := []claim.Request{request("order-7", "entry-1"), request("order-7", "entry-2")}
-	_, verdicts := claim.Head{}.Apply(now, rules, batch, none)
+	_, verdicts := claim.Head{}.Apply(now, settings, batch, none)
 	fmt.Println(verdicts[0] == claim.Granted, verdicts[1] == claim.Conflict)
 	// Output: true true
 }
--- a/coord/dispatch/core.go
+++ b/coord/dispatch/core.go
@@ -158,7 +158,8 @@
 	return c.takeActions()
 }
 
-// recordOutcome updates the endpoint's statistics by an end that the endpoint itself caused.
+// recordOutcome updates the health and the statistics of the endpoint by an end that the endpoint
+// itself caused.
 func (c *Core) recordOutcome(now time.Time, p *pool, w *work, end message.End) {
 	if end.Code != result.OK {
 		p.recordFailure(now, w.endpoint)
--- a/coord/dispatch/endpoint.go
+++ b/coord/dispatch/endpoint.go
@@ -43,7 +43,7 @@
 	endpoint  *endpoint
 	state     state
 	preempt   bool // its start stops work of a lower tier
-	guarded   bool // held by the starvation guard: never preempted
+	guarded   bool // past its class's starvation bound when it was held: never preempted
 	heldUntil time.Time
 	started   time.Time
 	lastToken time.Time // time of the last token
@@ -51,7 +51,7 @@
 }
 
 // latencyTarget returns the target of the learned limit: the time between tokens
-// for a model, the time of the whole answer for a plain service.
+// for a model, the time of the whole response for a plain service.
 func latencyTarget(i *queue.Item) time.Duration {
 	if i.Offer.Terms.BetweenTokens > 0 {
 		return i.Offer.Terms.BetweenTokens
--- a/coord/dispatch/example_test.go
+++ b/coord/dispatch/example_test.go
@@ -8,7 +8,7 @@
 	"foxcross.dev/coord/message"
 )
 
-// An offer for which a slot is free is answered at once. The slot is held until the
+// An offer for which a slot is free is accepted at once. The slot is held until the
 // start arrives.
 func ExampleCore() {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
--- a/coord/dispatch/fill.go
+++ b/coord/dispatch/fill.go
@@ -8,7 +8,8 @@
 // Inputs: the queue, the endpoints' learned limits, health and work, the time.
 // Units: slots; times since the entry accepted the request.
 // Never: work is stopped for an offer of its own or a lower tier, if its class
-// is not preemptible and repeatable, or if the starvation guard started it.
+// is not preemptible and repeatable, or if it exceeded its class's starvation bound before it got
+// its slot.
 
 package dispatch
 
--- a/coord/limit/estimator.go
+++ b/coord/limit/estimator.go
@@ -52,41 +52,42 @@
 	peak        float64 // recent maximum of running requests, decaying
 }
 
-// Observe records a sample: the time that one token or response took while so many requests ran.
-func (l *Estimator) Observe(running int, sample time.Duration) {
-	l.count = min(l.count+1, decaySamples)
-	weight := 1 / l.count
-	deltaRunning := float64(running) - l.meanRunning
-	deltaSample := sample.Seconds() - l.meanSample
-	l.meanRunning += weight * deltaRunning
-	l.meanSample += weight * deltaSample
-	l.varRunning += weight * ((1-weight)*deltaRunning*deltaRunning - l.varRunning)
-	l.varSample += weight * ((1-weight)*deltaSample*deltaSample - l.varSample)
-	l.covariance += weight * ((1-weight)*deltaRunning*deltaSample - l.covariance)
-	l.peak = max(float64(running), l.peak*peakDecay)
+// Observe records a sample: the time that one token or response took at the given number of running
+// requests.
+func (e *Estimator) Observe(running int, sample time.Duration) {
+	e.count = min(e.count+1, decaySamples)
+	weight := 1 / e.count
+	deltaRunning := float64(running) - e.meanRunning
+	deltaSample := sample.Seconds() - e.meanSample
+	e.meanRunning += weight * deltaRunning
+	e.meanSample += weight * deltaSample
+	e.varRunning += weight * ((1-weight)*deltaRunning*deltaRunning - e.varRunning)
+	e.varSample += weight * ((1-weight)*deltaSample*deltaSample - e.varSample)
+	e.covariance += weight * ((1-weight)*deltaRunning*deltaSample - e.covariance)
+	e.peak = max(float64(running), e.peak*peakDecay)
 }
 
 // Limit returns the limit for a target. A target of 0 does not bound the latency.
-func (l *Estimator) Limit(target time.Duration) int {
-	if l.count < minSamples {
+func (e *Estimator) Limit(target time.Duration) int {
+	if e.count < minSamples {
 		return FirstLimit
 	}
-	maximum := min(MaxLimit, l.peak*growth+headroom)
+	maximum := min(MaxLimit, e.peak*growth+headroom)
 	if target <= 0 {
 		return int(maximum)
 	}
-	slope := l.slope()
-	margin := zScore95 * math.Sqrt(max(0, l.varSample-slope*l.covariance))
-	fitted := l.meanRunning + (targetFraction*target.Seconds()-margin-l.meanSample)/slope
+	slope := e.slope()
+	margin := zScore95 * math.Sqrt(max(0, e.varSample-slope*e.covariance))
+	fitted := e.meanRunning + (targetFraction*target.Seconds()-margin-e.meanSample)/slope
 	return int(max(1, min(maximum, fitted)))
 }
 
 // slope returns the seconds that one more running request adds to a sample. It is bounded: a sample
 // can't grow faster than in proportion to the number of requests, and the minimum slope is positive.
-func (l *Estimator) slope() float64 {
-	maxSlope := l.meanSample / max(1, l.meanRunning)
-	if l.varRunning < minVariance {
+func (e *Estimator) slope() float64 {
+	maxSlope := e.meanSample / max(1, e.meanRunning)
+	if e.varRunning < minVariance {
 		return maxSlope / 2
 	}
-	return max(maxSlope/slopeRange, min(maxSlope, l.covariance/l.varRunning))
+	return max(maxSlope/slopeRange, min(maxSlope, e.covariance/e.varRunning))
 }
--- a/coord/limit/team.go
+++ b/coord/limit/team.go
@@ -15,8 +15,8 @@
 	Concurrency int     // concurrent requests, 0 for no limit
 }
 
-// Share returns the share of a team's allowance for one of so many entries. A concurrency limit
-// is at least one request at each entry.
+// Share returns the share of a team's allowance for one of the given number of entries. A
+// concurrency limit is at least one request at each entry.
 func (a Allowance) Share(entries int) Allowance {
 	entries = max(1, entries)
 	shared := Allowance{Rate: a.Rate / float64(entries)}
--- a/coord/queue/queue.go
+++ b/coord/queue/queue.go
@@ -201,7 +201,7 @@
 }
 
 // starving returns the item past its class's starvation bound that is most overdue. Its class must
-// not use its full floor share, and either no queued item of a higher tier misses its target by it,
+// not use its full floor share, and either no queued item of a higher tier misses its target because of it,
 // or the wait has reached twice the bound.
 func (q *Queue) starving(now time.Time, r Capacity) *Item {
 	var mostOverdue *Item
--- a/coord/result/code.go
+++ b/coord/result/code.go
@@ -71,7 +71,7 @@
 	FileField      Code = 1703
 )
 
-// Execution is whether a request was executed at an endpoint.
+// Execution states whether a request was executed at an endpoint.
 type Execution uint8
 
 // The values. The zero value makes no assumption.
