--- a/coord/fanout/fanout.go
+++ b/coord/fanout/fanout.go
@@ -4,8 +4,8 @@
 // Rule: in each data centre the first maxRelays members by rank are relays. A member sends its
 // messages to one relay of its own data centre. That relay forwards them to the members there and
 // to one relay of each other data centre, which forwards them to the members of its own. A member
-// that notices that a relay does not answer uses the next in rank instead.
-// Inputs: the live members, their ranks, and which of them do not answer this member.
+// that notices that a relay does not respond uses the next in rank instead.
+// Inputs: the live members, their ranks, and which of them do not respond to this member.
 // Units: members.
 // Never: members have to agree on relays. Any member that receives messages as a relay forwards
 // them, so that members with different views cause a second copy and no loss. Messages from another
@@ -47,7 +47,7 @@
 	Address    string
 	DataCentre string
 	Rank       Rank
-	Silent     bool // does not answer this member
+	Silent     bool // does not respond to this member
 }
 
 // Plan holds the recipients of a member's messages.
@@ -75,13 +75,13 @@
 	if !contains(relays, self) {
 		plan.Relay = choose(self, relays).Address
 		plan.Probed = append(addresses(relays), addresses(skipped)...)
-		return plan.across(self, centres)
+		return plan.withRemote(self, centres)
 	}
-	return plan.across(self, centres)
+	return plan.withRemote(self, centres)
 }
 
-// across adds one relay of each other data centre. Only a relay probes them.
-func (p Plan) across(self Member, centres map[string][]Member) Plan {
+// withRemote returns the plan with one relay of each other data centre. Only a relay probes them.
+func (p Plan) withRemote(self Member, centres map[string][]Member) Plan {
 	for centre, members := range centres {
 		if centre == self.DataCentre {
 			continue
@@ -98,7 +98,7 @@
 }
 
 // relaysOf returns the relays among the members of one data centre, and the silent members
-// that would be relays if they answered. If all are silent, the first by rank are relays
+// that would be relays if they responded. If all are silent, the first by rank are relays
 // nevertheless.
 func relaysOf(members []Member) (relays, skipped []Member) {
 	slices.SortFunc(members, func(a, b Member) int { return a.Rank.compare(b.Rank) })
--- a/coord/fanout/fanout_test.go
+++ b/coord/fanout/fanout_test.go
@@ -41,8 +41,8 @@
 func broadcast(from string, all []fanout.Member, byAddress map[string]fanout.Plan) (received map[string]int, crossings int) {
 	received = map[string]int{}
 	relay := from
-	if up := byAddress[from].Relay; up != "" {
-		relay = up
+	if r := byAddress[from].Relay; r != "" {
+		relay = r
 	}
 	received[relay]++
 	for _, a := range byAddress[relay].Local {
@@ -98,7 +98,7 @@
 		silent[n].Silent = true
 	}
 	if none := fanout.PlanFor(self, silent); len(none.Remote) != 1 || none.Relay != "" {
-		t.Errorf("plan among silent members: %+v, want it to relay itself, and one relay across", none)
+		t.Errorf("plan among silent members: %+v, want it to relay itself, and one remote relay", none)
 	}
 }
 
--- a/coord/settings/recompile_test.go
+++ b/coord/settings/recompile_test.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// BenchmarkRecompile measures applying a version that changes one of many routes.
+// BenchmarkRecompile measures compiling a version that changes one of many routes.
 func BenchmarkRecompile(b *testing.B) {
 	for _, routes := range []int{100, 1_000, 10_000} {
 		nodes := map[string]Node{"": {}, "routes": {}}
--- a/coord/settings/route.go
+++ b/coord/settings/route.go
@@ -122,10 +122,10 @@
 	Name           string
 	MaxConnections int           // most connections to one endpoint, over all entries
 	Slots          int           // concurrent requests of one engine, 0 for unknown; decisions use the values that endpoints report
-	MemoryTokens   int           // tokens in the memory of one engine, 0 for unknown
+	MemoryTokens   int           // tokens that one engine can cache, 0 for unknown
 	EventTokens    int           // tokens in one event of a stream
 	TokenBytes     int           // bytes of one token in memory, 0 for unknown
-	LinkMbps       int           // of the link over which engines transfer memory, 0 for none
+	LinkMbps       int           // bandwidth between engines for transfers of cached parts, in Mbit/s, 0 for none
 	Warmup         time.Duration // duration of an endpoint's warm-up from its start, 0 for none
 	WarmupRate     float64       // requests a second to one endpoint during its warm-up, 0 for no limit
 }
--- a/coord/settings/snapshot.go
+++ b/coord/settings/snapshot.go
@@ -272,7 +272,7 @@
 	}
 	c.Route = routeOf(f, *c)
 	if !c.Route.IsRoute() && c.Service != "" {
-		c.Terms.BetweenTokens = 0 // the answer of a plain service has no tokens
+		c.Terms.BetweenTokens = 0 // the response of a plain service has no tokens
 	}
 	return c
 }
@@ -330,7 +330,7 @@
 	return nil
 }
 
-// Check validates a tree before it is applied: its form by the schema and
+// Check validates a tree before it is activated: its form by the schema and
 // its meaning by Compile.
 func Check(t Tree) error {
 	data, err := t.MarshalJSON()
--- a/coord/settings/version.go
+++ b/coord/settings/version.go
@@ -24,7 +24,7 @@
 type Root struct {
 	Version uint64            `json:"version"`
 	Parent  uint64            `json:"parent"`
-	Change  string            `json:"change"` // id of the change, by which an author recognises it after a lost answer
+	Change  string            `json:"change"` // id of the change, by which an author recognises it after a lost response
 	Author  string            `json:"author,omitempty"`
 	Note    string            `json:"note,omitempty"`
 	At      time.Time         `json:"at"`
@@ -112,6 +112,5 @@
 	return t, nil
 }
 
-// Newer reports whether the root replaces the current one: only a higher version
-// does.
-func (r Root) Newer(current Root) bool { return r.Version > current.Version }
+// Newer reports whether the root replaces the active one: only a higher version does.
+func (r Root) Newer(active Root) bool { return r.Version > active.Version }
