--- a/internal/direct/gateway/capacity.go
+++ b/internal/direct/gateway/capacity.go
@@ -53,7 +53,7 @@
 	c.open++
 }
 
-// leave counts a request that has been answered.
+// leave removes an answered request from the count.
 func (c *capacity) leave() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/direct/gateway/deny.go
+++ b/internal/direct/gateway/deny.go
@@ -4,7 +4,7 @@
 // maxConfirmationAge of the last confirmation that the settings are the newest. After that, a newer
 // version may contain the route or key, so the answer is "not ready" with a Retry-After.
 // Inputs: the time at which the store or another entry last confirmed the settings.
-// Never: a request whose route and key are in the settings is refused because of their age.
+// Never: a request whose route and key are in the settings is refused because of the settings' age.
 
 package gateway
 
--- a/internal/direct/gateway/eligible_test.go
+++ b/internal/direct/gateway/eligible_test.go
@@ -55,7 +55,7 @@
 		Expect(eventIDs(a.body)).To(Equal(sequence(5)))
 	})
 
-	It("does not resume a stream that broke in another one", func() {
+	It("does not resume a stream that broke in another data centre", func() {
 		hold := make(chan struct{})
 		h := newHarness(platformtest.Events{To: 3, Hold: hold, Broken: true}, platformtest.Events{To: 3, Hold: hold, Broken: true})
 		h.runners[1].DataCentre = "zone-2"
--- a/internal/direct/gateway/fetch_test.go
+++ b/internal/direct/gateway/fetch_test.go
@@ -28,15 +28,15 @@
 		h := newHarness(okResponse, okResponse)
 		h.engines(engine)
 		h.do(prompt(h, "ab:8000,cd:1000")).expectWhole(200)
-		keeper, other := h.runners[0], h.runners[1]
-		if len(keeper.Runs()) == 0 {
-			keeper, other = other, keeper
+		first, other := h.runners[0], h.runners[1]
+		if len(first.Runs()) == 0 {
+			first, other = other, first
 		}
 		between(h)
-		keeper.Enqueue(platformtest.Fail{Status: 500})
+		first.Enqueue(platformtest.Fail{Status: 500})
 		h.do(prompt(h, "ab:8000,ef:1000")).expectWhole(200)
 		Expect(other.Runs()).To(HaveLen(1))
-		return keeper.Address(), other.Runs()[0].Header
+		return first.Address(), other.Runs()[0].Header
 	}
 
 	fetchSettings := map[string]any{"slots": 8, "kvCapacity": 500_000, "kvBytes": 1_000, "linkMbps": 260_000.0}
--- a/internal/direct/gateway/forward.go
+++ b/internal/direct/gateway/forward.go
@@ -138,8 +138,8 @@
 }
 
 // isStream reports whether a response is a stream of events.
-func (f *forwarding) isStream(a *upstream.Response) bool {
-	return f.request.class.Route.Streaming && succeeded(a.Status)
+func (f *forwarding) isStream(response *upstream.Response) bool {
+	return f.request.class.Route.Streaming && succeeded(response.Status)
 }
 
 // retryState returns the current input to decide.
@@ -199,14 +199,14 @@
 
 // discardResponse discards a response that is not relayed. The connection of a valid one can be
 // reused.
-func discardResponse(a *upstream.Response, res attemptResult) {
-	if a == nil {
+func discardResponse(response *upstream.Response, res attemptResult) {
+	if response == nil {
 		return
 	}
 	switch res.(type) {
 	case notRun, endpointError:
-		a.Drain()
+		response.Drain()
 	default:
-		a.Close()
+		response.Close()
 	}
 }
--- a/internal/direct/gateway/forward_test.go
+++ b/internal/direct/gateway/forward_test.go
@@ -198,7 +198,7 @@
 		}
 	})
 
-	It("uses another endpoint if the address belongs to another one", func() {
+	It("uses another endpoint if a listed address belongs to a different endpoint", func() {
 		h := newHarness(okResponse, okResponse)
 		e := h.runners[0].Record("ready")
 		h.store.Put("servers/i-ghost", e)
--- a/internal/direct/gateway/gateway.go
+++ b/internal/direct/gateway/gateway.go
@@ -125,7 +125,7 @@
 // MemberGone implements peers.Listener.
 func (l listener) MemberGone(owner uint64) { l.dispatcher.dropMember(owner) }
 
-// setEndpoints sets the list of endpoints.
+// setEndpoints sets the list of endpoints and records the crashes of those that have restarted.
 func (g *Gateway) setEndpoints(list []placement.Endpoint) {
 	g.dispatcher.setEndpoints(list)
 	g.detectRestarts(list)
@@ -134,7 +134,7 @@
 // Join sets the group to which the gateway broadcasts the events of its attempts.
 func (g *Gateway) Join(group *peers.Group) { g.dispatcher.join(group) }
 
-// SetBounds sets changed bounds of the process.
+// SetBounds applies changed bounds of the process.
 func (g *Gateway) SetBounds(b driver.Bounds) {
 	g.directory.SetBounds(b)
 	g.dispatcher.setBounds(b)
@@ -143,8 +143,8 @@
 // Owner returns the incarnation of this process.
 func (g *Gateway) Owner() uint64 { return g.options.Owner }
 
-// expireInterval is the time between two searches for attempts of other entries whose deadline has
-// passed.
+// expireInterval is the time between two removals of other entries' attempts whose deadline has
+// passed, and of expired state of contents.
 const expireInterval = time.Second
 
 // Run maintains the gateway's connections and its view of other entries' attempts until ctx is
--- a/internal/direct/gateway/golden_test.go
+++ b/internal/direct/gateway/golden_test.go
@@ -80,9 +80,9 @@
 	received *strings.Builder
 }
 
-func (t *recordingConn) Read(b []byte) (int, error) {
-	n, err := t.Conn.Read(b)
-	t.received.Write(b[:n])
+func (c *recordingConn) Read(b []byte) (int, error) {
+	n, err := c.Conn.Read(b)
+	c.received.Write(b[:n])
 	return n, err
 }
 
--- a/internal/direct/gateway/held.go
+++ b/internal/direct/gateway/held.go
@@ -9,7 +9,7 @@
 // Inputs: the store's records, true time.
 // Units: calls to the store: one for a content that becomes held, three for a trial, one for a data
 // centre that starts anew. None for a content that is not held.
-// Never: a trial is sent while the store does not answer; the content stays held. Only if it is
+// Never: a trial is sent while the store does not respond; the content stays held. Only if it is
 // doubtful whether the content caused the crashes does each entry try it on its own.
 
 package gateway
@@ -42,7 +42,7 @@
 	// Endpoints that crashed are back after seconds.
 	abandonedTrialHold = 2 * time.Second
 	// trialTimeout limits the store calls before a trial, and how long an entry without live peers
-	// waits for the records. The store answers within some ms.
+	// waits for the records. The store responds within some ms.
 	trialTimeout = 300 * time.Millisecond
 	// maxStoreTries limits the tries to write, read or delete a record, and storeRetryInterval is
 	// the time between two tries. Together they cover a store outage of half a minute.
--- a/internal/direct/gateway/idle_test.go
+++ b/internal/direct/gateway/idle_test.go
@@ -15,18 +15,18 @@
 // atomicLimit is a limit that may change while timers read it.
 type atomicLimit struct{ nanoseconds atomic.Int64 }
 
-func (b *atomicLimit) set(d time.Duration) { b.nanoseconds.Store(int64(d)) }
+func (l *atomicLimit) set(d time.Duration) { l.nanoseconds.Store(int64(d)) }
 
-func (b *atomicLimit) get() time.Duration { return time.Duration(b.nanoseconds.Load()) }
+func (l *atomicLimit) get() time.Duration { return time.Duration(l.nanoseconds.Load()) }
 
 // testIdleLimit is the idle limit of most tests.
 const testIdleLimit = 10 * time.Second
 
 // newIdleConn returns an idle connection and the caller's end of it.
-func newIdleConn(b *atomicLimit) (*callerConn, net.Conn) {
+func newIdleConn(limit *atomicLimit) (*callerConn, net.Conn) {
 	server, caller := net.Pipe()
-	b.set(testIdleLimit)
-	c := &callerConn{Conn: server, idleLimit: b.get}
+	limit.set(testIdleLimit)
+	c := &callerConn{Conn: server, idleLimit: limit.get}
 	connStateChanged(c, http.StateIdle)
 	return c, caller
 }
@@ -40,13 +40,13 @@
 
 func TestIdleConnectionIsClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var b atomicLimit
-		_, caller := newIdleConn(&b)
+		var limit atomicLimit
+		_, caller := newIdleConn(&limit)
 		time.Sleep(9 * time.Second)
 		if !isOpen(caller) {
 			t.Error("closed before the limit")
 		}
-		b.set(15 * time.Second)
+		limit.set(15 * time.Second)
 		time.Sleep(5 * time.Second)
 		if !isOpen(caller) {
 			t.Error("closed although the limit was raised")
--- a/internal/direct/gateway/outcome_test.go
+++ b/internal/direct/gateway/outcome_test.go
@@ -16,8 +16,8 @@
 
 // allResults are the results of an attempt of whose response nothing was relayed.
 var allResults = []struct {
-	name  string
-	event attemptResult
+	name   string
+	result attemptResult
 }{
 	{"no connection", unreachable{errors.New("refused")}},
 	{"no valid answer", noResponse{errors.New("broke off")}},
@@ -71,18 +71,18 @@
 	for _, e := range allResults {
 		for n := range 8 {
 			s := retryState{attemptsLeft: n&4 == 0, failedDialsLeft: n&4 == 0, repeatable: n&2 == 0, mayHaveRun: n&1 != 0}
-			fmt.Fprintf(&got, "| %s | %s | %s | %s | %s |\n", e.name, yesNo(s.attemptsLeft), yesNo(s.repeatable), yesNo(s.mayHaveRun), decisionText(decide(s, e.event)))
+			fmt.Fprintf(&got, "| %s | %s | %s | %s | %s |\n", e.name, yesNo(s.attemptsLeft), yesNo(s.repeatable), yesNo(s.mayHaveRun), decisionText(decide(s, e.result)))
 		}
 	}
 	fmt.Fprintln(&got, "\nOnce some of a stream was passed on:")
 	fmt.Fprintln(&got, "\n| what happened | can it be resumed | what follows |")
 	fmt.Fprintln(&got, "| --- | --- | --- |")
 	for _, e := range []struct {
-		name  string
-		event attemptResult
+		name   string
+		result attemptResult
 	}{{"the stream broke", noResponse{errors.New("broke off")}}, {"deadline", deadlineExceeded{sent: true}}, {"caller left", callerLeft{}}} {
 		for _, resumable := range []bool{true, false} {
-			fmt.Fprintf(&got, "| %s | %s | %s |\n", e.name, yesNo(resumable), decisionText(decideBrokenStream(retryState{resumable: resumable}, e.event)))
+			fmt.Fprintf(&got, "| %s | %s | %s |\n", e.name, yesNo(resumable), decisionText(decideBrokenStream(retryState{resumable: resumable}, e.result)))
 		}
 	}
 	golden.Compare(t, "outcomes.golden", got.String())
@@ -95,11 +95,11 @@
 		for n := range 4 {
 			s := retryState{attemptsLeft: n&1 == 0, failedDialsLeft: n&1 == 0, mayHaveRun: n&2 != 0}
 			ran := false
-			switch e.event.(type) {
+			switch e.result.(type) {
 			case noResponse, endpointError:
 				ran = true
 			}
-			switch d := decide(s, e.event).(type) {
+			switch d := decide(s, e.result).(type) {
 			case retry:
 				if ran || d.mayHaveRun != s.mayHaveRun {
 					t.Errorf("%s in %+v: sent again: %+v", e.name, s, d)
@@ -163,6 +163,6 @@
 
 func TestMayDeny(t *testing.T) {
 	if !mayDeny(maxConfirmationAge) || mayDeny(maxConfirmationAge+1) {
-		t.Error("settings may be used for denials for another time than maxConfirmationAge")
+		t.Error("mayDeny does not change at maxConfirmationAge")
 	}
 }
--- a/internal/direct/gateway/server_test.go
+++ b/internal/direct/gateway/server_test.go
@@ -70,7 +70,7 @@
 		if _, err := caller.Write([]byte("GET / HTTP/1.1\r\nHost: a")); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(testIdleLimit - 2*time.Millisecond) // isOpen takes another one
+		time.Sleep(testIdleLimit - 2*time.Millisecond) // isOpen takes another millisecond
 		if !isOpen(caller) {
 			t.Error("closed before the limit")
 		}
--- a/internal/direct/gateway/slow_test.go
+++ b/internal/direct/gateway/slow_test.go
@@ -17,7 +17,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// Bodies of slow callers. A process with this memory reserves at most a megabyte for bodies.
+// Sizes in bytes for the tests of slow callers. A process with smallMemory reserves at most
+// maxBodyMemory for bodies.
 const (
 	smallMemory   = 4 << 20
 	maxBodyMemory = 1 << 20
@@ -30,7 +31,8 @@
 	responses *bufio.Reader
 }
 
-// connect opens a connection with a small receive buffer.
+// connect opens a connection with a small receive buffer, so that little of a response is accepted
+// unless the test reads it.
 func (h *harness) connect() *slowCaller {
 	GinkgoHelper()
 	c, err := net.Dial("tcp", h.address)
--- a/internal/direct/gateway/snapshot.go
+++ b/internal/direct/gateway/snapshot.go
@@ -25,7 +25,7 @@
 }
 
 // Snapshot returns the state that an entry needs when it starts: the attempts of all entries, the
-// prompt parts that engines keep, and suspect contents.
+// prompt parts that engines have cached, and suspect contents.
 func (g *Gateway) Snapshot() ([]byte, error) {
 	now := steady.Now()
 	d := &g.dispatcher
@@ -66,26 +66,26 @@
 }
 
 const (
-	// maxKeptParts limits the parts recorded per engine; the largest are preferred. Broadcasting
+	// maxCachedParts limits the parts recorded per engine; the largest are preferred. Broadcasting
 	// them takes 4 KB to each entry.
-	maxKeptParts = 300
-	// keptPerEvent is the number of parts in one event, so that the event fits into a datagram.
-	keptPerEvent = 60
+	maxCachedParts = 300
+	// partsPerEvent is the number of parts in one event, so that the event fits into a datagram.
+	partsPerEvent = 60
 	// maxQueriedEngines limits the engines that one entry queries. Entries that do not know each
-	// other each consider more engines their own. It is several times the number of engines per
+	// other are each responsible for more engines. It is several times the number of engines per
 	// entry in known fleets.
 	maxQueriedEngines = 32
-	// keptPartsTimeout limits one query to an engine.
-	keptPartsTimeout = 500 * time.Millisecond
+	// cachedPartsTimeout limits one query to an engine.
+	cachedPartsTimeout = 500 * time.Millisecond
 )
 
-// QueryCachedParts asks the engines that this entry is responsible for which prompt parts they keep, and
-// broadcasts the answers.
+// QueryCachedParts asks the engines that this entry is responsible for which prompt parts they have
+// cached, and broadcasts the responses.
 func (g *Gateway) QueryCachedParts(ctx context.Context, responsible func(endpoint, dataCentre string) bool) {
 	queried := 0
 	endpoints := g.directory.Endpoints().List
 	evacuations := g.directory.Evacuations()
-	rand.Shuffle(len(endpoints), func(i, j int) { endpoints[i], endpoints[j] = endpoints[j], endpoints[i] }) // entries that exceed the maximum query different engines
+	rand.Shuffle(len(endpoints), func(i, j int) { endpoints[i], endpoints[j] = endpoints[j], endpoints[i] }) // entries that reach the maximum query different engines
 	for _, e := range endpoints {
 		if !e.Engine || e.Leaving || evacuations.Has(e.DataCentre) || !responsible(e.ID, e.DataCentre) || g.dispatcher.mustWithdraw(e.Incarnation()) {
 			continue
@@ -94,34 +94,34 @@
 			break
 		}
 		queried++
-		parts, err := g.keptParts(ctx, e.Address)
+		parts, err := g.cachedParts(ctx, e.Address)
 		if err != nil {
-			log.With("endpoint", e.ID).With("reason", err.Error()).WarnLimited("kept", "An engine did not report the prompt parts it keeps.")
+			log.With("endpoint", e.ID).With("reason", err.Error()).WarnLimited("kept", "An engine did not report its cached prompt parts.")
 			continue
 		}
-		g.dispatcher.recordKeptParts(e.Incarnation(), parts)
+		g.dispatcher.recordCachedParts(e.Incarnation(), parts)
 	}
-	log.With("engines", queried).Info("Engines were asked for the prompt parts they keep.")
+	log.With("engines", queried).Info("Engines were asked for their cached prompt parts.")
 }
 
-// keptParts returns the largest parts that an engine keeps.
-func (g *Gateway) keptParts(ctx context.Context, address string) ([]memory.Part, error) {
-	ctx, cancel := context.WithTimeout(ctx, keptPartsTimeout)
+// cachedParts returns the largest parts that an engine has cached.
+func (g *Gateway) cachedParts(ctx context.Context, address string) ([]memory.Part, error) {
+	ctx, cancel := context.WithTimeout(ctx, cachedPartsTimeout)
 	defer cancel()
 	parts, err := g.options.Driver.CachedParts(ctx, address)
 	if err != nil {
 		return nil, err
 	}
 	slices.SortFunc(parts, func(a, b memory.Part) int { return cmp.Compare(b.Tokens, a.Tokens) })
-	return parts[:min(len(parts), maxKeptParts)], nil
+	return parts[:min(len(parts), maxCachedParts)], nil
 }
 
-// recordKeptParts records which parts an engine keeps and broadcasts them.
-func (d *dispatcher) recordKeptParts(endpoint string, parts []memory.Part) {
+// recordCachedParts records which parts an engine has cached and broadcasts them.
+func (d *dispatcher) recordCachedParts(endpoint string, parts []memory.Part) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.table.AddCached(steady.Now(), endpoint, parts)
-	for chunk := range slices.Chunk(parts, keptPerEvent) {
+	for chunk := range slices.Chunk(parts, partsPerEvent) {
 		d.broadcastLocked(peers.Event{Kind: peers.PartsCached, Endpoint: endpoint, Parts: chunk})
 	}
 }
--- a/internal/direct/gateway/snapshot_test.go
+++ b/internal/direct/gateway/snapshot_test.go
@@ -13,7 +13,7 @@
 
 var _ = Describe("an entry that has just started", func() {
 	const engines, subjects = 3, 9
-	// newHarnessWithParts starts engines that each keep the parts of several subjects. Without
+	// newHarnessWithParts starts engines that each have cached the parts of several subjects. Without
 	// knowledge of the parts, placement would not send all prompts to the right engine by chance.
 	newHarnessWithParts := func() *harness {
 		h := newHarness(okResponse, okResponse, okResponse)
@@ -23,8 +23,8 @@
 		}
 		return h
 	}
-	// countHits sends a prompt on each subject and returns how many ran at the engine that keeps its
-	// subject.
+	// countHits sends a prompt on each subject and returns how many ran at the engine that has
+	// cached its part.
 	countHits := func(h *harness) int {
 		for n := range subjects {
 			q := h.request(http.MethodGet, "/page/", "")
@@ -47,7 +47,7 @@
 	}
 	all := func(string, string) bool { return true }
 
-	It("sends prompts to the engines that report to keep their parts", func() {
+	It("sends prompts to the engines that report their parts as cached", func() {
 		h := newHarnessWithParts()
 		h.gateway.QueryCachedParts(context.Background(), all)
 		Expect(countHits(h)).To(Equal(subjects))
@@ -60,7 +60,7 @@
 		Expect(h.runners[1].ConnectionCount()).To(Equal(1))
 	})
 
-	It("continues if an engine does not answer", func() {
+	It("continues if an engine does not respond", func() {
 		h := newHarnessWithParts()
 		h.runners[1].Close()
 		h.gateway.QueryCachedParts(context.Background(), all)
--- a/internal/direct/gateway/stream.go
+++ b/internal/direct/gateway/stream.go
@@ -56,8 +56,8 @@
 	return done{}
 }
 
-// start relays the header before the first event. If the stream is resumed, the header of the
-// second endpoint is not relayed.
+// start relays the header before the first event. The header of an endpoint at which the stream is
+// resumed is not relayed.
 func (s *stream) start(a *attempt, response *upstream.Response) {
 	s.gateway.dispatcher.recordFirstEvent(s.request, a)
 	s.gateway.countRun(s.request)
@@ -150,7 +150,7 @@
 	return s.endAttempt(a, res)
 }
 
-// retryState returns the request's retryState with whether the stream can be resumed.
+// retryState returns the request's retryState, including whether the stream can be resumed.
 func (s *stream) retryState() retryState {
 	state := s.forwarding.retryState()
 	state.resumable = s.request.class.Route.Resumable && s.lastEventID != ""
--- a/internal/direct/gateway/stream_test.go
+++ b/internal/direct/gateway/stream_test.go
@@ -32,7 +32,7 @@
 }
 
 var _ = Describe("streams", func() {
-	It("relay all events in order", func() {
+	It("are relayed with all events in order", func() {
 		h := newHarness(platformtest.Events{To: 20})
 		a := h.do(h.request(http.MethodPost, "/chat/1", "x"))
 		a.expectWhole(200)
@@ -40,7 +40,7 @@
 		Expect(a.header.Get("Content-Type")).To(Equal("text/event-stream"))
 	})
 
-	It("relay an event before the next one arrives", func() {
+	It("are relayed event by event, before the next one arrives", func() {
 		hold := make(chan struct{})
 		h := newHarness(platformtest.Events{To: 2, Hold: hold})
 		a, err := h.client.Do(h.request(http.MethodPost, "/chat/1", "x"))
--- a/internal/direct/gateway/suspects.go
+++ b/internal/direct/gateway/suspects.go
@@ -8,8 +8,8 @@
 	"foxcross.dev/coord/quarantine"
 )
 
-// suspects is the state of the contents with which endpoints have crashed. The zero value is empty.
-// It is safe for concurrent use.
+// suspects is the state of the contents that endpoints have crashed on. The zero value is empty. It
+// is safe for concurrent use.
 type suspects struct {
 	any atomic.Bool // crashes are counted against some content
 
@@ -26,7 +26,7 @@
 	s.any.Store(!s.table.Empty())
 }
 
-// verdict returns whether a content is held.
+// verdict returns whether a content is held, and the crashes counted against it.
 func (s *suspects) verdict(now time.Time, k quarantine.Key) quarantine.Verdict {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/direct/gateway/whole.go
+++ b/internal/direct/gateway/whole.go
@@ -106,11 +106,11 @@
 }
 
 // writeResponseHeader relays the status and header of a response. A length of -1 is unknown.
-func writeResponseHeader(w http.ResponseWriter, a *upstream.Response, length int64) {
+func writeResponseHeader(w http.ResponseWriter, response *upstream.Response, length int64) {
 	h := w.Header()
-	copyResponseHeader(h, a.Header)
-	if length >= 0 && a.Status != http.StatusNoContent && a.Status != http.StatusNotModified {
+	copyResponseHeader(h, response.Header)
+	if length >= 0 && response.Status != http.StatusNoContent && response.Status != http.StatusNotModified {
 		h.Set("Content-Length", strconv.FormatInt(length, 10))
 	}
-	w.WriteHeader(a.Status)
+	w.WriteHeader(response.Status)
 }
