--- a/internal/direct/driver/driver.go
+++ b/internal/direct/driver/driver.go
@@ -53,8 +53,8 @@
 	RetryRatio  float64       // retries per request of a service, over all processes
 	RetryWindow time.Duration
 	RetrySlack  int           // retries in a window in addition to the ratio
-	LeaveWithin time.Duration // no new requests go to an endpoint this long after it left the list
-	ReuseWithin time.Duration // recomputing a prompt prefix has a cost this long after its last use
+	LeaveWithin time.Duration // time after which an endpoint that left the list gets no new requests
+	ReuseWithin time.Duration // time after its last use for which recomputing a prompt prefix has a cost
 }
 
 // Settings is one version of the settings tree.
--- a/internal/direct/driver/duties.go
+++ b/internal/direct/driver/duties.go
@@ -11,8 +11,8 @@
 	Address      string        // address of the calls, empty if there are none
 	Usage        bool          // the usage of teams is reported
 	UsageWindow  time.Duration // length of a usage window
-	Alternate    time.Duration // two holders must not make calls in turns within this time
-	Thaw         time.Duration // the platform tolerates stale calls of a process this long after it was suspended
+	Alternate    time.Duration // time within which two holders must not make calls in turns
+	Thaw         time.Duration // time after a suspension for which the platform tolerates stale calls of a process
 	MinLeaseTime time.Duration // shortest lease that the store grants
 }
 
@@ -81,7 +81,7 @@
 
 // Reporter makes the calls of the duties.
 type Reporter interface {
-	// ReportUsage reports the number of requests of each team that started in a window. It is
-	// idempotent.
+	// ReportUsage reports the number of requests of each team that endpoints began to run in a
+	// window. It is idempotent.
 	ReportUsage(ctx context.Context, h Holder, window int64, counts map[string]int64) error
 }
--- a/internal/direct/record/record.go
+++ b/internal/direct/record/record.go
@@ -20,7 +20,7 @@
 	Raw     string    `json:"-"` // the line's JSON
 }
 
-// Request holds the fields of the line of a completed request.
+// Request holds the fields of the line of an ended request.
 type Request struct {
 	ID              string      `json:"request"`
 	Class           string      `json:"class"`
--- a/internal/direct/upstream/exchange.go
+++ b/internal/direct/upstream/exchange.go
@@ -37,7 +37,7 @@
 
 // Request is a request to an endpoint.
 type Request struct {
-	Endpoint string // id
+	Endpoint string // ID
 	Address  string
 	Method   string
 	Target   string // path and query, as received from the caller
@@ -52,7 +52,7 @@
 }
 
 // HeaderNames are the header fields that match responses to requests. A response belongs to
-// the request whose id it carries; one to a request that was not run may carry none.
+// the request whose ID it carries; one to a request that was not run may carry none.
 type HeaderNames struct {
 	RequestID string
 	NotRun    string
@@ -84,19 +84,19 @@
 	}
 	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Unix(1, 0)) }) // fails only on a closed connection
 	w := c.send(r)
-	a, err := c.receive(names, r)
+	response, err := c.receive(names, r)
 	if err != nil {
 		stop()
 		c.close()
 		return nil, err
 	}
-	a.pool = p
-	a.stop = stop
-	a.write = w
-	if !a.framed() {
-		a.Body = closeDelimitedBody{a}
+	response.pool = p
+	response.stop = stop
+	response.write = w
+	if !response.framed() {
+		response.Body = closeDelimitedBody{response}
 	}
-	return a, nil
+	return response, nil
 }
 
 // connect returns an idle or new connection for the request.
@@ -235,55 +235,55 @@
 
 // framed reports whether the body has a length or is chunked, so that it does not end
 // with its connection.
-func (a *Response) framed() bool {
-	return a.response.ContentLength >= 0 || len(a.response.TransferEncoding) > 0
+func (r *Response) framed() bool {
+	return r.response.ContentLength >= 0 || len(r.response.TransferEncoding) > 0
 }
 
 // closeDelimitedBody is the body of a response that ends when its connection closes. It is
 // complete unless the endpoint has crashed by then.
-type closeDelimitedBody struct{ answer *Response }
+type closeDelimitedBody struct{ response *Response }
 
 // Read implements io.Reader.
 func (b closeDelimitedBody) Read(p []byte) (int, error) {
-	a := b.answer
-	n, err := a.response.Body.Read(p)
-	if errors.Is(err, io.EOF) && a.pool.Crashed(a.request.Endpoint, a.request.Address, steady.Now()) {
+	r := b.response
+	n, err := r.response.Body.Read(p)
+	if errors.Is(err, io.EOF) && r.pool.Crashed(r.request.Endpoint, r.request.Address, steady.Now()) {
 		err = fmt.Errorf("%w: the endpoint is gone", ErrBroken)
 	}
 	return n, err
 }
 
 // Finish returns the connection to the pool after the whole body was read.
-func (a *Response) Finish() {
-	if !a.stop() {
-		a.conn.close()
+func (r *Response) Finish() {
+	if !r.stop() {
+		r.conn.close()
 		return
 	}
-	reusable := a.framed() && !a.response.Close && !a.conn.mismatched &&
-		a.write.succeeded() && a.conn.reader.Buffered() == 0
+	reusable := r.framed() && !r.response.Close && !r.conn.mismatched &&
+		r.write.succeeded() && r.conn.reader.Buffered() == 0
 	if !reusable {
-		a.conn.close()
+		r.conn.close()
 		return
 	}
-	a.conn.setUsableUntil(steady.Now(), a.Header)
-	a.pool.putIdle(a.request.Endpoint, a.conn)
+	r.conn.setUsableUntil(steady.Now(), r.Header)
+	r.pool.putIdle(r.request.Endpoint, r.conn)
 }
 
 // Close aborts the exchange by closing the connection, so that the endpoint stops its work.
-func (a *Response) Close() {
-	a.stop()
-	a.conn.close()
+func (r *Response) Close() {
+	r.stop()
+	r.conn.close()
 }
 
 // Drain reads the rest of a short body and returns the connection to the pool.
-func (a *Response) Drain() {
-	if !a.framed() || a.Length > maxDrain {
-		a.Close()
+func (r *Response) Drain() {
+	if !r.framed() || r.Length > maxDrain {
+		r.Close()
 		return
 	}
-	if n, err := io.Copy(io.Discard, io.LimitReader(a.Body, maxDrain)); err != nil || n == maxDrain {
-		a.Close()
+	if n, err := io.Copy(io.Discard, io.LimitReader(r.Body, maxDrain)); err != nil || n == maxDrain {
+		r.Close()
 		return
 	}
-	a.Finish()
+	r.Finish()
 }
--- a/internal/direct/upstream/pool.go
+++ b/internal/direct/upstream/pool.go
@@ -1,5 +1,5 @@
 // Package upstream pools connections to endpoints and reads their responses strictly:
-// a response belongs to the request whose id it carries, and is complete only if its
+// a response belongs to the request whose ID it carries, and is complete only if its
 // framing says so.
 package upstream
 
@@ -40,8 +40,8 @@
 // expired connections. It is safe for concurrent use.
 type Pool struct {
 	mu          sync.Mutex
-	idle        map[string][]*conn     // by endpoint id, the last used one at the end
-	crashChecks map[string]*crashCheck // by endpoint id
+	idle        map[string][]*conn     // by endpoint ID, the last used one at the end
+	crashChecks map[string]*crashCheck // by endpoint ID
 }
 
 // getIdle removes and returns an idle connection that is still usable, or nil.
--- a/internal/direct/upstream/upstream_test.go
+++ b/internal/direct/upstream/upstream_test.go
@@ -109,9 +109,9 @@
 	}
 }
 
-// FuzzAnswer reads arbitrary bytes as a response: a response with another id is never accepted,
+// FuzzResponse reads arbitrary bytes as a response: a response with another ID is never accepted,
 // nor a body shorter or longer than its framing says.
-func FuzzAnswer(f *testing.F) {
+func FuzzResponse(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 200 OK\r\nX-Id: a\r\nContent-Length: 2\r\n\r\nok"))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nX-Id: b\r\nContent-Length: 2\r\n\r\nnoHTTP/1.1 200 OK\r\nX-Id: a\r\nContent-Length: 2\r\n\r\nok"))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nX-Id: a\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n"))
@@ -129,7 +129,7 @@
 		}
 		id := a.Header.Get("X-Id")
 		if id != "a" && a.Header.Get("X-Not-Run") == "" && a.Status != http.StatusMisdirectedRequest {
-			t.Fatalf("accepted a response with id %q", id)
+			t.Fatalf("accepted a response with ID %q", id)
 		}
 		body, err := io.ReadAll(a.Body)
 		if err == nil && a.Length >= 0 && int64(len(body)) != a.Length {
