--- a/internal/command/tree.go
+++ b/internal/command/tree.go
@@ -116,7 +116,7 @@
 	return err
 }
 
-// PutTree replaces the tree in force.
+// PutTree replaces the active tree.
 type PutTree struct {
 	adminClient
 	File   string `long:"file" short:"f" required:"yes" description:"file with the whole tree"`
@@ -204,7 +204,7 @@
 	return c.print(http.MethodGet, admin.HistoryPath, url.Values{"count": {strconv.Itoa(c.Count)}}, nil, "")
 }
 
-// RollbackTree puts an older tree in force as a new version.
+// RollbackTree activates an older tree as a new version.
 type RollbackTree struct {
 	adminClient
 	Version uint64 `long:"version" required:"yes" description:"version whose tree is to be in force again"`
--- a/internal/direct/directory/changes.go
+++ b/internal/direct/directory/changes.go
@@ -12,7 +12,7 @@
 	list []driver.Change // oldest first
 }
 
-// reset drops all changes after the list was replaced at a revision.
+// reset drops all changes: the list has been replaced at a revision.
 func (h *endpointHistory) reset(revision uint64) {
 	h.from = revision
 	h.list = nil
--- a/internal/direct/directory/directory.go
+++ b/internal/direct/directory/directory.go
@@ -49,7 +49,7 @@
 	endpointHistory   endpointHistory
 
 	retained    map[string]retainedEndpoint // by ID
-	leaveWithin time.Duration               // no new requests go to an endpoint this long after it left
+	leaveWithin time.Duration               // time after which an endpoint that left gets no new requests
 	store       storeStatus
 	role        Role
 	roleChanged chan struct{}
--- a/internal/direct/directory/directory_test.go
+++ b/internal/direct/directory/directory_test.go
@@ -171,7 +171,7 @@
 	withFollowing(t, s, func(d *directory.Directory) {
 		time.Sleep(time.Second)
 		if d.Ready() {
-			t.Error("Known reports true before the first settings")
+			t.Error("Ready reports true before the first settings")
 		}
 		s.set(func() { s.version, s.revision = 1, 4 })
 		time.Sleep(100 * time.Millisecond)
@@ -298,14 +298,14 @@
 	expectVersions(t, d, 1, 0)
 }
 
-func TestSince(t *testing.T) {
+func TestEndpointChangesSince(t *testing.T) {
 	d := empty()
 	if _, ok := d.EndpointChangesSince(0); ok {
-		t.Error("Since returns changes before the first list")
+		t.Error("EndpointChangesSince returns changes before the first list")
 	}
 	d.ReplaceEndpoints(driver.Endpoints{Revision: 5, List: endpointsOf("a", "b")}, "test")
 	if _, ok := d.EndpointChangesSince(4); ok {
-		t.Error("Since returns changes before the revision of the list")
+		t.Error("EndpointChangesSince returns changes before the revision of the list")
 	}
 	d.Apply(driver.Change{Revision: 6, Changed: endpointsOf("c"), Gone: []string{"a"}})
 	d.Apply(driver.Change{Revision: 7}) // no change of endpoints
--- a/internal/direct/directory/follow.go
+++ b/internal/direct/directory/follow.go
@@ -27,7 +27,7 @@
 	// noticed soon after.
 	endpointsWatchTimeout = 700 * time.Millisecond
 	// settingsWatchTimeout is the same for settings, which change less often. It is twice as
-	// long, so that it adds half a call of a reader to each watch of endpoints.
+	// long, so that a reader makes one such call for every two watches of endpoints.
 	settingsWatchTimeout = 1400 * time.Millisecond
 	// watchPause is the pause between changes and the next watch, which batches further changes.
 	watchPause = 100 * time.Millisecond
@@ -238,7 +238,7 @@
 func (p *settingsPoller) reset() { p.fullyRead = false }
 
 // handleError logs the first of consecutive failures. While the store does not respond, only
-// the calls for endpoints are retried, since each call counts against the platform's rates.
+// the calls for endpoints are retried, since each call has a price.
 func (p *settingsPoller) handleError(err error) <-chan struct{} {
 	if !p.failing {
 		p.failing = true
--- a/internal/direct/directory/role.go
+++ b/internal/direct/directory/role.go
@@ -8,7 +8,7 @@
 // Role determines whether a process reads the store. Package peers chooses it.
 type Role int
 
-// The roles. Calls to the store are rate limited, so few processes read it and send its
+// The roles. Each call to the store has a price, so few processes read it and send its
 // changes to the others.
 const (
 	Reader   Role = iota // reads the store
--- a/internal/direct/directory/settings_test.go
+++ b/internal/direct/directory/settings_test.go
@@ -89,7 +89,7 @@
 		d.ReplaceEndpoints(driver.Endpoints{Revision: 7, List: endpointsOf("a")}, "test")
 		expectVersions(t, d, 1, 7)
 		if !d.Ready() {
-			t.Error("Known reports false while a version is activated")
+			t.Error("Ready reports false while a version is activated")
 		}
 		close(release)
 		synctest.Wait()
@@ -210,7 +210,7 @@
 	}
 }
 
-// TestBehind checks how far the settings lag behind those of the peers.
+// TestSettingsLag checks how far the settings lag behind those of the peers.
 func TestSettingsLag(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := empty()
--- a/internal/direct/peers/catchup.go
+++ b/internal/direct/peers/catchup.go
@@ -1,8 +1,8 @@
 // Fetching of newer settings or endpoints from another peer.
 //
 // Rule: a fetch goes to a live peer that has been ahead, by version of the settings or revision
-// of the endpoints, for fetchDelay. While this process reads the store itself and gets answers,
-// the delay is readerFetchDelay, since the store then delivers updates sooner. There is no delay
+// of the endpoints, for fetchDelay. While this process reads the store itself and gets
+// responses, the delay is readerFetchDelay, since the store then delivers updates sooner. There is no delay
 // while this process has no version yet. Of several peers that are ahead the one with the least
 // recent request is chosen. Peers in other data centres count as asked remoteFetchDelay later,
 // so that an update that a whole data centre lacks crosses between data centres once. Each part
@@ -42,8 +42,8 @@
 	// fetchDelay is how long another peer must be ahead before it is asked, so that updates
 	// already in transit arrive first.
 	fetchDelay = 40 * time.Millisecond
-	// readerFetchDelay is the same while the store answers this process. It is above the wait of
-	// a watch.
+	// readerFetchDelay is the same while the store responds to this process. It is above the wait
+	// of a watch.
 	readerFetchDelay = 900 * time.Millisecond
 	// remoteFetchDelay is how much longer a peer in another data centre must be ahead, unless
 	// this process is a relay. The relays of the local data centre have the update by then.
--- a/internal/direct/peers/fetch.go
+++ b/internal/direct/peers/fetch.go
@@ -35,7 +35,7 @@
 var errBusy = errors.New("peers: peer is busy, it sends to others")
 
 // FetchState reads a part of the state of another peer into the directory. It requests settings
-// as changes to the version in force, and reads them whole if the changes do not apply.
+// as changes to the active version, and reads them whole if the changes do not apply.
 func FetchState(ctx context.Context, d *directory.Directory, address string, p Part) error {
 	version, revision := d.Versions()
 	err := fetch(ctx, d, address, p, version, revision)
@@ -159,14 +159,14 @@
 	case s.Version > 0:
 		d.ApplySettings(s.Version, settings.NewTree(s.Nodes), "peer")
 	}
-	if s.InForce > 0 {
-		d.ConfirmRevision(s.InForce, s.Revision)
+	if s.ActiveVersion > 0 {
+		d.ConfirmRevision(s.ActiveVersion, s.Revision)
 	}
 	switch {
 	case s.Endpoints != nil:
-		d.ReplaceEndpointsFromPeer(*s.Endpoints, s.Lapsed)
+		d.ReplaceEndpointsFromPeer(*s.Endpoints, s.Retained)
 	case s.Change != nil:
-		d.ApplyFromPeer(*s.Change, s.Lapsed)
+		d.ApplyFromPeer(*s.Change, s.Retained)
 	}
 	return nil
 }
--- a/internal/direct/peers/fetch_test.go
+++ b/internal/direct/peers/fetch_test.go
@@ -46,9 +46,9 @@
 type recordingHandler struct {
 	http.Handler
 
-	mu     sync.Mutex
-	asked  []string
-	latest map[string]*atomic.Int64 // size of the last response for each part
+	mu        sync.Mutex
+	requested []string
+	latest    map[string]*atomic.Int64 // size of the last response for each part
 }
 
 func (c *recordingHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -57,7 +57,7 @@
 	if c.latest == nil {
 		c.latest = map[string]*atomic.Int64{}
 	}
-	c.asked = append(c.asked, r.URL.RawQuery)
+	c.requested = append(c.requested, r.URL.RawQuery)
 	c.latest[r.URL.Query().Get("part")] = bytes
 	c.mu.Unlock()
 	c.Handler.ServeHTTP(&countingWriter{w, bytes}, r)
@@ -79,7 +79,7 @@
 func (c *recordingHandler) queries() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return slices.Clone(c.asked)
+	return slices.Clone(c.requested)
 }
 
 type countingWriter struct {
@@ -143,7 +143,7 @@
 		t.Errorf("%d bytes for a change", c.bytes())
 	}
 	if version, revision := b.ConfirmedRevision(); version != 6 || revision != 9 {
-		t.Errorf("version %d, settled at %d", version, revision)
+		t.Errorf("version %d, confirmed at %d", version, revision)
 	}
 }
 
@@ -158,8 +158,8 @@
 	c := &recordingHandler{Handler: peers.StateHandler(a)}
 	fetchAll(t, b, startServer(t, c))
 	expectSame(t, b, a)
-	if asked := c.queries(); len(asked) != 3 || !strings.Contains(asked[2], "version=0") {
-		t.Errorf("asked %q", asked)
+	if requested := c.queries(); len(requested) != 3 || !strings.Contains(requested[2], "version=0") {
+		t.Errorf("requested %q", requested)
 	}
 }
 
--- a/internal/direct/peers/fuzz_test.go
+++ b/internal/direct/peers/fuzz_test.go
@@ -48,7 +48,7 @@
 			return // no port is free
 		}
 		defer func() { _ = g.socket.Close() }() // the group was never run
-		relay := heartbeat{Name: "relay", Relayed: true, DataCentre: "z", ConfirmedAgeMS: unknownAge, StoreAnswerAgeMS: unknownAge}
+		relay := heartbeat{Name: "relay", Relayed: true, DataCentre: "z", ConfirmedAgeMS: unknownAge, StoreResponseAgeMS: unknownAge}
 		g.handlePacket(packet{Owner: 2, Heartbeat: &relay}, from)
 		if g.isOtherOwner(p.Owner) {
 			g.handlePacket(p, from)
--- a/internal/direct/peers/golden_test.go
+++ b/internal/direct/peers/golden_test.go
@@ -46,7 +46,7 @@
 		{"placed, least", packet{Owner: 7, Events: []Event{{Kind: AttemptSent, Number: 5, Endpoint: "i-1", Request: &placement.Request{Service: "app"}}}}},
 		{"begun and ended", packet{Owner: 7, Events: []Event{{Kind: FirstEvent, Number: 5}, {Kind: AttemptEnded, Number: 5, Outcome: placement.Unreachable}}}},
 		{"heartbeat", packet{Owner: 7, Version: 3, Revision: 9, Heartbeat: &heartbeat{
-			Name: "entry-1", Members: []string{"10.0.0.1:7340"}, Leaving: true, ConfirmedAgeMS: 12, StoreAnswerAgeMS: -1, Reading: true, StoreCallFailed: true,
+			Name: "entry-1", Members: []string{"10.0.0.1:7340"}, Leaving: true, ConfirmedAgeMS: 12, StoreResponseAgeMS: -1, Reading: true, StoreCallFailed: true,
 		}}},
 		{"question", packet{Owner: 7, Version: 3, Revision: 9, Probe: probeRequest}},
 		{"answer", packet{Owner: 7, Probe: probeReply}},
@@ -58,12 +58,12 @@
 		{"limit", packet{Owner: 7, Events: []Event{{Kind: LimitAnnounced, Endpoint: "i-1@5", Limit: 2.5, ResponseMS: 40, AgeMS: 2}}}},
 		{"limit over", packet{Owner: 7, Events: []Event{{Kind: LimitAnnounced, Endpoint: "i-1@5", ResponseMS: 40}}}},
 		{"report", packet{Owner: 7, Hop: hopLocal, Reports: []report{{Address: "10.0.0.1:7340", Owner: 8, Version: 3, Revision: 9, AgeMS: 5,
-			Heartbeat: heartbeat{Name: "entry-2", ConfirmedAgeMS: 1, StoreAnswerAgeMS: 2, Relayed: true, DataCentre: "z", Reply: true, Informed: true}}}}},
-		{"holder", packet{Owner: 7, Heartbeat: &heartbeat{Name: "entry-1", ConfirmedAgeMS: -1, StoreAnswerAgeMS: -1, ClockMS: 1_700_000_000_000, Fence: 12}}},
+			Heartbeat: heartbeat{Name: "entry-2", ConfirmedAgeMS: 1, StoreResponseAgeMS: 2, Relayed: true, DataCentre: "z", Reply: true, Informed: true}}}}},
+		{"holder", packet{Owner: 7, Heartbeat: &heartbeat{Name: "entry-1", ConfirmedAgeMS: -1, StoreResponseAgeMS: -1, ClockMS: 1_700_000_000_000, Fence: 12}}},
 		{"usage", packet{Owner: 7, Usage: &usage{ThroughMS: 1_700_000_000_000, Windows: []usageCount{{Window: 340_000_000, Total: 5, Counts: map[string]int64{"a": 5}}}}}},
-		{"evacuations", packet{Owner: 7, Heartbeat: &heartbeat{Name: "entry-1", ConfirmedAgeMS: -1, StoreAnswerAgeMS: -1, Evacuated: []string{"z"}, EvacuatedAt: 12, Presence: true}}},
+		{"evacuations", packet{Owner: 7, Heartbeat: &heartbeat{Name: "entry-1", ConfirmedAgeMS: -1, StoreResponseAgeMS: -1, Evacuated: []string{"z"}, EvacuatedAt: 12, Presence: true}}},
 		{"presence", packet{Owner: 7, Hop: hopRemote, Presence: &presence{DataCentre: "z", Members: []byte{0, 0, 0, 8, 30}}}},
-		{"first heartbeat", packet{Owner: 7, Heartbeat: &heartbeat{Name: "entry-1", ConfirmedAgeMS: -1, StoreAnswerAgeMS: -1}}},
+		{"first heartbeat", packet{Owner: 7, Heartbeat: &heartbeat{Name: "entry-1", ConfirmedAgeMS: -1, StoreResponseAgeMS: -1}}},
 	} {
 		data, err := cbor.Marshal(s.packet)
 		if err != nil {
--- a/internal/direct/peers/heartbeat.go
+++ b/internal/direct/peers/heartbeat.go
@@ -57,16 +57,16 @@
 func (g *Group) newHeartbeat() *heartbeat {
 	d := g.options.Directory
 	h := &heartbeat{
-		Name:             g.options.Name,
-		ConfirmedAgeMS:   ageMS(d.Confirmed()),
-		StoreAnswerAgeMS: ageMS(d.LastStoreContact()),
-		Reading:          d.ReadsStore(),
-		ReadCost:         g.options.ReadCost,
-		Relayed:          true,
-		DataCentre:       g.options.DataCentre,
-		Informed:         g.snapshotRestored.Load() || steady.Since(g.startedAt) > discoveryPeriod,
-		ClockMS:          steady.Wall().UnixMilli(),
-		Presence:         true,
+		Name:               g.options.Name,
+		ConfirmedAgeMS:     ageMS(d.Confirmed()),
+		StoreResponseAgeMS: ageMS(d.LastStoreContact()),
+		Reading:            d.ReadsStore(),
+		ReadCost:           g.options.ReadCost,
+		Relayed:            true,
+		DataCentre:         g.options.DataCentre,
+		Informed:           g.snapshotRestored.Load() || steady.Since(g.startedAt) > discoveryPeriod,
+		ClockMS:            steady.Wall().UnixMilli(),
+		Presence:           true,
 	}
 	h.StoreCallFailed = h.Reading && !d.StoreResponds()
 	evacuations := d.Evacuations()
@@ -138,7 +138,7 @@
 		m.name = h.Name
 		log.With("peer", h.Name).With("address", m.address.String()).Info("Discovered a peer.")
 	}
-	m.storeAnswered = h.StoreAnswerAgeMS >= 0 && h.StoreAnswerAgeMS <= storeTimeout.Milliseconds()
+	m.storeResponded = h.StoreResponseAgeMS >= 0 && h.StoreResponseAgeMS <= storeTimeout.Milliseconds()
 	m.storeLost = h.StoreCallFailed
 	switch {
 	case !h.Reading:
--- a/internal/direct/peers/member.go
+++ b/internal/direct/peers/member.go
@@ -54,7 +54,7 @@
 	revision           uint64    // of its list of endpoints
 	aheadStates        [partCount]aheadState
 	readingSince       time.Time   // since when it reads the store, zero if it does not
-	storeAnswered      bool        // the store had answered it within storeTimeout of its last heartbeat
+	storeResponded     bool        // the store had responded to it within storeTimeout before its last heartbeat
 	storeLost          bool        // its last call to the store failed
 	rank               fanout.Rank // among the peers that may read the store or act as relays
 	unansweredSince    time.Time   // time of the first unanswered probe, zero for none
@@ -101,7 +101,7 @@
 
 // MemberCounts returns the number of live peers, and the number of known peers: live ones and lost
 // ones that have not been removed, which may still be sending requests. Both include this
-// process.
+// process, and neither includes a peer before its first heartbeat.
 func (g *Group) MemberCounts() (live, known int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -211,7 +211,7 @@
 	return append(local, remote[:min(len(remote), maxNamedMembers-len(local))]...)
 }
 
-// unreachableAddresses returns the addresses of seeds that have not answered yet and of some
+// unreachableAddresses returns the addresses of seeds that have not responded yet and of some
 // lost peers. g.mu must be held.
 func (g *Group) unreachableAddresses(now time.Time) []*net.UDPAddr {
 	var all []*net.UDPAddr
--- a/internal/direct/peers/packet.go
+++ b/internal/direct/peers/packet.go
@@ -72,7 +72,7 @@
 // every process sends its events to them directly.
 type packet struct {
 	Owner     uint64     `cbor:"1,keyasint"`           // incarnation of the sender
-	Version   uint64     `cbor:"2,keyasint,omitempty"` // of the settings in force
+	Version   uint64     `cbor:"2,keyasint,omitempty"` // of the active settings
 	Revision  uint64     `cbor:"3,keyasint,omitempty"` // of the list of endpoints
 	Events    []Event    `cbor:"4,keyasint,omitempty"` // to and from peers of older versions
 	Heartbeat *heartbeat `cbor:"5,keyasint,omitempty"`
@@ -128,14 +128,14 @@
 
 // heartbeat is the periodic status of a peer.
 type heartbeat struct {
-	Name             string   `cbor:"1,keyasint"`
-	Members          []string `cbor:"2,keyasint,omitempty"` // addresses of some live peers, in some heartbeats
-	Leaving          bool     `cbor:"3,keyasint,omitempty"` // reserved: never sent, ignored
-	ConfirmedAgeMS   int64    `cbor:"4,keyasint"`           // time since the settings were confirmed as the newest, -1 for never
-	StoreAnswerAgeMS int64    `cbor:"5,keyasint"`           // time since the last call that the store answered, -1 for never
-	Reading          bool     `cbor:"6,keyasint,omitempty"` // the sender reads the store
-	StoreCallFailed  bool     `cbor:"7,keyasint,omitempty"` // the sender's last call to the store failed
-	ReadCost         int      `cbor:"8,keyasint,omitempty"` // ms to read a large version of the settings, 0 if unknown
+	Name               string   `cbor:"1,keyasint"`
+	Members            []string `cbor:"2,keyasint,omitempty"` // addresses of some live peers, in some heartbeats
+	Leaving            bool     `cbor:"3,keyasint,omitempty"` // reserved: never sent, ignored
+	ConfirmedAgeMS     int64    `cbor:"4,keyasint"`           // time since the settings were confirmed as the newest, -1 for never
+	StoreResponseAgeMS int64    `cbor:"5,keyasint"`           // time since the last call to which the store responded, -1 for never
+	Reading            bool     `cbor:"6,keyasint,omitempty"` // the sender reads the store
+	StoreCallFailed    bool     `cbor:"7,keyasint,omitempty"` // the sender's last call to the store failed
+	ReadCost           int      `cbor:"8,keyasint,omitempty"` // ms to read a large version of the settings, 0 if unknown
 
 	// Peers of older versions send none of these.
 	Relayed    bool   `cbor:"9,keyasint,omitempty"`  // relays forward events to the sender
@@ -161,7 +161,7 @@
 	maxPayloadBytes = 1200
 	// maxDatagram is the largest datagram that UDP carries, in bytes.
 	maxDatagram = 64 << 10
-	// unknownAge is the age of an event that has not happened.
+	// unknownAge stands for the age, in ms, of an event that has not happened.
 	unknownAge = -1
 )
 
--- a/internal/direct/peers/presence.go
+++ b/internal/direct/peers/presence.go
@@ -67,21 +67,21 @@
 // attributes are the properties of a member that affect the decisions of its peers. A change is
 // sent to other data centres at once.
 type attributes struct {
-	owner         uint64
-	name          string
-	readCost      int
-	fence         uint64
-	reading       bool
-	storeAnswered bool
-	storeLost     bool
-	relayed       bool
-	informed      bool
+	owner          uint64
+	name           string
+	readCost       int
+	fence          uint64
+	reading        bool
+	storeResponded bool
+	storeLost      bool
+	relayed        bool
+	informed       bool
 }
 
 func (m *member) attributes() attributes {
 	return attributes{
 		owner: m.owner, name: m.name, readCost: m.heartbeat.ReadCost, fence: m.heartbeat.Fence,
-		reading: m.heartbeat.Reading, storeAnswered: m.storeAnswered, storeLost: m.storeLost,
+		reading: m.heartbeat.Reading, storeResponded: m.storeResponded, storeLost: m.storeLost,
 		relayed: m.heartbeat.Relayed, informed: m.heartbeat.Informed,
 	}
 }
--- a/internal/direct/peers/role.go
+++ b/internal/direct/peers/role.go
@@ -3,14 +3,14 @@
 // Rule: the first readerCount live peers by rank are readers, whatever the number of peers; the
 // others receive updates from them. The rank orders peers by the time that their link and
 // processor take to read large settings, then by a hash of the name. A peer of lower rank
-// becomes a standby and also reads while too few of the peers before it get answers from the
+// becomes a standby and also reads while too few of the peers before it get responses from the
 // store or have yet to try. Peers behind the first immediateStandbys do so one after the other.
 // A standby remains one for standbyDuration after it was last needed.
 // A starting process receives updates from others: it does not read the store for startWait,
 // unless it is a seed, which all others contact. It then reads once if it still has no settings
 // or endpoints. Until discoveryPeriod it follows the store only if no known peer does.
-// Inputs: the live members, their read cost, whether each reads the store and gets answers, the
-// seeds, the time.
+// Inputs: the live members, their read cost, whether each reads the store and gets responses,
+// the seeds, the time.
 // Units: peers.
 // Never: peers agree on the roles; two differing views cost some calls, not correctness.
 
@@ -29,9 +29,10 @@
 	// from peer to peer, so more readers would not make updates faster.
 	readerCount = 2
 	// startWait is how long a starting process waits for updates from others before it reads the
-	// store. A long wait delays readiness: after a power loss of all of 121 peers, with seeds
-	// back 0.3 s after the first peers, 300 ms made peers ready 0.31 s after their start and
-	// refused 767 requests, and 120 ms 0.19 s and 405. A live seed answers within some 10 ms.
+	// store. A long wait delays readiness. After a power loss of all of 121 peers, with seeds
+	// back 0.3 s after the first peers, a wait of 300 ms makes peers ready 0.31 s after their
+	// start and refuses 767 requests; a wait of 120 ms makes them ready after 0.19 s and refuses
+	// 405. A live seed responds within some 10 ms.
 	startWait = 50 * time.Millisecond
 	// metPeerWait is the same once another peer is known, which is then asked first. It is above
 	// the time of two transfers on a tenth of a core.
@@ -43,14 +44,14 @@
 	// before it follows the store. Without it peers that start together would each follow the store
 	// until they know each other, for 11 calls instead of 2.
 	isolatedWait = time.Second
-	// storeTimeout is how long a reader may go without an answer from the store before it counts
+	// storeTimeout is how long a reader may go without a response from the store before it counts
 	// as failing: a watch of 0.7 s and its slack.
 	storeTimeout = 1300 * time.Millisecond
-	// immediateStandbys is how many peers try at once in place of readers that get no answer,
+	// immediateStandbys is how many peers try at once in place of readers that get no response,
 	// and standbyStep is the additional delay of each further one. Without the delay every peer
-	// would try while the store answers none: 1,192 calls in a day with an outage of 8 s at 103
+	// would try while the store responds to none: 1,192 calls in a day with an outage of 8 s at 103
 	// peers. If the store rejects two thirds of the machines, in one of 40 outages none of the
-	// immediate standbys gets an answer, and further standbys get one within seconds.
+	// immediate standbys gets a response, and further standbys get one within seconds.
 	immediateStandbys = 8
 	standbyStep       = 500 * time.Millisecond
 	// standbyDuration is how long a standby remains one after it was last needed. The peers
@@ -87,12 +88,12 @@
 	return int(min(ms, maxReadCost))
 }
 
-// storeReadFails reports whether the peer reads the store and gets no answer.
+// storeReadFails reports whether the peer reads the store and gets no response.
 func (m *member) storeReadFails(now time.Time) bool {
 	if m.storeLost {
 		return true
 	}
-	return !m.readingSince.IsZero() && now.Sub(m.readingSince) > storeTimeout && !m.storeAnswered
+	return !m.readingSince.IsZero() && now.Sub(m.readingSince) > storeTimeout && !m.storeResponded
 }
 
 // roleByRank returns the role of this process by its rank among the live peers.
@@ -181,7 +182,7 @@
 			continue
 		}
 		met = true
-		if !m.readingSince.IsZero() && m.storeAnswered && !m.storeReadFails(now) && (!reads || m.rank.Before(own)) {
+		if !m.readingSince.IsZero() && m.storeResponded && !m.storeReadFails(now) && (!reads || m.rank.Before(own)) {
 			reader = true
 		}
 	}
--- a/internal/direct/peers/role_test.go
+++ b/internal/direct/peers/role_test.go
@@ -12,7 +12,7 @@
 )
 
 // newRankedGroup returns a group that ranks behind the given number of members, which are live
-// and get answers from the store.
+// and get responses from the store.
 func newRankedGroup(now time.Time, membersBefore int) (*Group, []*member) {
 	g := &Group{options: Options{Name: "self"}, members: map[string]*member{}}
 	var all []*member
@@ -21,7 +21,7 @@
 		if rankOf(g.options.Name, 0).Before(rankOf(name, 0)) {
 			continue
 		}
-		p := &member{name: name, owner: 1, lastSeen: now, storeAnswered: true, rank: rankOf(name, 0)}
+		p := &member{name: name, owner: 1, lastSeen: now, storeResponded: true, rank: rankOf(name, 0)}
 		g.members[name] = p
 		all = append(all, p)
 	}
@@ -45,25 +45,25 @@
 	for _, p := range before[:2] {
 		p.storeLost = true
 	}
-	expectRole(t, "two of four get no answer from the store, two may try", g.roleByRank(now), directory.Follower)
+	expectRole(t, "two of four get no response from the store, two may try", g.roleByRank(now), directory.Follower)
 	before[2].storeLost = true
-	expectRole(t, "three of four get no answer", g.roleByRank(now), directory.Standby)
+	expectRole(t, "three of four get no response", g.roleByRank(now), directory.Standby)
 	before[2].storeLost = false
 	before[2].readingSince = now
-	before[2].storeAnswered = false
+	before[2].storeResponded = false
 	expectRole(t, "one has just started to read", g.roleByRank(now), directory.Follower)
 	later := now.Add(storeTimeout + time.Millisecond)
 	for _, p := range before {
 		p.lastSeen = later
 	}
-	expectRole(t, "it got no answer within storeTimeout", g.roleByRank(later), directory.Standby)
+	expectRole(t, "it got no response within storeTimeout", g.roleByRank(later), directory.Standby)
 	before[3].lastSeen = now.Add(-time.Minute)
 	before[2].lastSeen = now.Add(-time.Minute)
 	before[1].lastSeen = now.Add(-time.Minute)
 	expectRole(t, "all but one are gone", g.roleByRank(later), directory.Reader)
 }
 
-// TestStandbysTryOneAfterTheOther covers a store that answers no peer: few peers try at the same
+// TestStandbysTryOneAfterTheOther covers a store that responds to no peer: few peers try at the same
 // time, and the others one after the other.
 func TestStandbysTryOneAfterTheOther(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -116,22 +116,22 @@
 	expectRole(t, "first start, no peers found", first.currentRole(startedAt.Add(firstStartWait)), directory.Starter)
 
 	g := start(Options{Seeds: seeds})
-	expectRole(t, "seeds may still answer", g.currentRole(startedAt.Add(startWait-1)), directory.Follower)
+	expectRole(t, "seeds may still respond", g.currentRole(startedAt.Add(startWait-1)), directory.Follower)
 	later := startedAt.Add(startWait)
-	expectRole(t, "no seed answered", g.currentRole(later), directory.Starter)
+	expectRole(t, "no seed responded", g.currentRole(later), directory.Starter)
 	g.members["met"] = &member{name: "met", owner: 2, lastSeen: later}
-	expectRole(t, "a known peer may still answer", g.currentRole(later), directory.Follower)
+	expectRole(t, "a known peer may still respond", g.currentRole(later), directory.Follower)
 	delete(g.members, "met")
 	d := g.options.Directory.(*directory.Directory)
 	d.ApplySettings(3, settings.NewTree(map[string]settings.Node{"": {}}), "test")
 	d.ReplaceEndpoints(driver.Endpoints{Revision: 5}, "test")
 	expectRole(t, "it has read once and knows no peers", g.currentRole(later), directory.Follower)
 	expectRole(t, "it still knows no peers", g.currentRole(startedAt.Add(isolatedWait)), directory.Reader)
-	reader := &member{name: "reader", owner: 1, lastSeen: later, readingSince: later, storeAnswered: true, rank: rankOf("reader", 1)}
+	reader := &member{name: "reader", owner: 1, lastSeen: later, readingSince: later, storeResponded: true, rank: rankOf("reader", 1)}
 	g.members["reader"] = reader
 	expectRole(t, "another peer reads", g.currentRole(later), directory.Follower)
 	reader.storeLost = true
-	expectRole(t, "the other peer gets no answer", g.currentRole(later), directory.Reader)
+	expectRole(t, "the other peer gets no response", g.currentRole(later), directory.Reader)
 	reader.storeLost = false
 	d.SetRole(directory.Reader)
 	expectRole(t, "both read, it ranks first", g.currentRole(later), directory.Reader)
--- a/internal/direct/peers/snapshot.go
+++ b/internal/direct/peers/snapshot.go
@@ -4,9 +4,9 @@
 // one that has received events for at least discoveryPeriod or restored a snapshot. Peers of the
 // local data centre are preferred. If that fails it asks another peer, until discoveryPeriod has
 // passed. Events received in the meantime take precedence over the snapshot. If no such peer is
-// known within snapshotSearchTimeout, all peers have started together, and the contents kept by
-// engines are requested from the engines: from each by one peer, chosen by rank, which sends
-// them to the others.
+// known within snapshotSearchTimeout, all peers have started together, and the lists of cached
+// parts are requested from the engines: from each by one peer, chosen by rank, which sends them to
+// the others.
 // Inputs: heartbeats, the time.
 // Never: requests wait for a snapshot; a peer that has itself just started is asked.
 
--- a/internal/direct/peers/state.go
+++ b/internal/direct/peers/state.go
@@ -22,15 +22,15 @@
 	Nodes     map[string]settings.Node `cbor:"2,keyasint,omitempty"`
 	Endpoints *driver.Endpoints        `cbor:"3,keyasint,omitempty"`
 	Change    *driver.Change           `cbor:"4,keyasint,omitempty"` // since the client's revision, instead of Endpoints
-	Lapsed    map[string]time.Duration `cbor:"5,keyasint,omitempty"` // remaining time of endpoints that left the list and are still used
+	Retained  map[string]time.Duration `cbor:"5,keyasint,omitempty"` // remaining time of retained endpoints, by ID
 
 	// These are in responses to requests for one part. Older versions neither send such requests
 	// nor these fields.
-	Base     uint64   `cbor:"6,keyasint,omitempty"`  // version that Nodes and Removed change, 0 if Nodes are complete
-	Removed  []string `cbor:"7,keyasint,omitempty"`  // paths of nodes of Base that no longer exist
-	Digest   uint64   `cbor:"8,keyasint,omitempty"`  // of the tree of Version
-	InForce  uint64   `cbor:"9,keyasint,omitempty"`  // version in force at the sender
-	Revision uint64   `cbor:"10,keyasint,omitempty"` // of the store, at which InForce was the newest
+	Base          uint64   `cbor:"6,keyasint,omitempty"`  // version that Nodes and Removed change, 0 if Nodes are complete
+	Removed       []string `cbor:"7,keyasint,omitempty"`  // paths of nodes of Base that no longer exist
+	Digest        uint64   `cbor:"8,keyasint,omitempty"`  // of the tree of Version
+	ActiveVersion uint64   `cbor:"9,keyasint,omitempty"`  // active at the sender
+	Revision      uint64   `cbor:"10,keyasint,omitempty"` // of the store, at which ActiveVersion was the newest
 }
 
 // Query parameters: the client's versions, and the part that it requests.
@@ -66,7 +66,7 @@
 	switch query.Get(partField) {
 	case EndpointsPart.String():
 		s := h.endpointsState(revision)
-		s.InForce, s.Revision = h.directory.ConfirmedRevision()
+		s.ActiveVersion, s.Revision = h.directory.ConfirmedRevision()
 		h.writeState(w, r, s)
 	case SettingsPart.String():
 		h.serveSettings(w, r, version)
@@ -79,7 +79,7 @@
 // revision.
 func (h *stateHandler) endpointsState(since uint64) state {
 	d := h.directory
-	s := state{Lapsed: d.Retained()}
+	s := state{Retained: d.Retained()}
 	if c, ok := d.EndpointChangesSince(since); ok && since > 0 {
 		s.Change = &c
 	} else if d.HasEndpoints() {
@@ -138,7 +138,7 @@
 func settingsState(d *directory.Directory, since uint64) state {
 	active, confirmed := d.ConfirmedRevision()
 	now, changes, ok := d.SettingsSince(since)
-	s := state{InForce: active, Revision: confirmed}
+	s := state{ActiveVersion: active, Revision: confirmed}
 	if now.Version <= since {
 		return s
 	}
--- a/internal/direct/spread/spread.go
+++ b/internal/direct/spread/spread.go
@@ -20,7 +20,7 @@
 
 // The kinds of events, each logged with one message.
 const (
-	SettingsInForce Kind = "settings in force"
+	SettingsActive  Kind = "settings in force"
 	EndpointLeaving Kind = "endpoint leaving"
 	EndpointGone    Kind = "endpoint gone"
 	Evacuation      Kind = "evacuations"
@@ -64,7 +64,7 @@
 	f := l.Fields
 	switch l.Message {
 	case "directory: Settings are active.":
-		return SettingsInForce, fmt.Sprint(f.Version), true
+		return SettingsActive, fmt.Sprint(f.Version), true
 	case "directory: An endpoint was added or changed.":
 		return EndpointLeaving, f.Endpoint, f.Leaving
 	case "directory: An endpoint left the list.":
@@ -162,17 +162,17 @@
 
 // writeKind writes the line of one kind.
 func writeKind(w io.Writer, rows []Row) {
-	var middles, lasts []int64
-	var entries []int
+	var medians, lasts []int64
+	var peers []int
 	for _, r := range rows {
-		middles = append(middles, r.Median.Milliseconds())
+		medians = append(medians, r.Median.Milliseconds())
 		lasts = append(lasts, r.Last.Milliseconds())
-		entries = append(entries, r.Peers)
+		peers = append(peers, r.Peers)
 	}
-	slices.Sort(middles)
+	slices.Sort(medians)
 	slices.Sort(lasts)
-	slices.Sort(entries)
+	slices.Sort(peers)
 	half, end := len(rows)/2, len(rows)-1
 	_, _ = fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t\n", // Flush returns the error
-		rows[0].Kind, len(rows), entries[half], middles[half], middles[end], lasts[half], lasts[end])
+		rows[0].Kind, len(rows), peers[half], medians[half], medians[end], lasts[half], lasts[end])
 }
--- a/internal/process/doc.go
+++ b/internal/process/doc.go
@@ -3,8 +3,8 @@
 //
 // RunGateway (gateway.go) runs foxcross-entry serve, the entry on the users'
 // platform. RunEntry (entry.go) and RunAgent (agent.go) run foxcross-entry run and
-// foxcross-agent run, the two processes of the own interface. If a component fails to
-// start, the process exits with the error. Then it runs until it receives a signal to
+// foxcross-agent run, the two processes of relay mode. If a component fails to start,
+// the process exits with the error. Once started, it runs until it receives a signal to
 // stop; an agent also exits when its listener fails.
 package process
 
--- a/internal/process/entry.go
+++ b/internal/process/entry.go
@@ -30,8 +30,8 @@
 	return hex.EncodeToString(b)
 }
 
-// RunEntry runs an entry of the own interface until it receives a signal to stop. It starts,
-// in this order:
+// RunEntry runs an entry in relay mode until it receives a signal to stop. It starts, in this
+// order:
 //
 //  1. the settings file, the log and the certificates;
 //  2. the QUIC dialer for agents, and the client of the platform's key-value service and member
--- a/internal/process/gateway.go
+++ b/internal/process/gateway.go
@@ -143,7 +143,7 @@
 		ReadCost:    peers.ReadCost(settings.Limits.LinkMbps, settings.Limits.Processor),
 		Fetch: func(ctx context.Context, address string, p peers.Part) {
 			if err := peers.FetchState(ctx, d, address, p); err != nil {
-				log.With("peer", address).With("reason", err.Error()).WarnLimited("fetch", "Another entry's state can't be read; an entry with newer state is asked again.")
+				log.With("peer", address).With("reason", err.Error()).WarnLimited("fetch", "Fetching the state of a peer failed; fetching again from a peer that is ahead.")
 			}
 		},
 	})
--- a/internal/process/prepare.go
+++ b/internal/process/prepare.go
@@ -12,7 +12,7 @@
 // defaultLevel is the log level if the settings name none.
 const defaultLevel = "info"
 
-// setUp sets up the log of a process of the own interface and loads its certificates.
+// setUp sets up the log of a process of relay mode and loads its certificates.
 func setUp(c config.Log, f keys.Files) (*tls.Config, error) {
 	level := c.Level
 	if level == "" {
--- a/internal/process/usageduty.go
+++ b/internal/process/usageduty.go
@@ -9,8 +9,8 @@
 )
 
 // usageDuty passes usage from the gateway and the group of entries, which are created
-// first, to the duties. The zero value ignores all usage, also on a platform that
-// requires no usage reports.
+// first, to the duties. Usage is ignored before start, and on a platform that requires
+// no usage reports.
 type usageDuty struct{ duties atomic.Pointer[duties.Duties] }
 
 // start starts the duties if the platform requires usage reports.
--- a/internal/steady/steady.go
+++ b/internal/steady/steady.go
@@ -25,8 +25,8 @@
 	Recent    = systemClocks.recent
 )
 
-// Now returns a reading of the clock. For up to a millisecond after the machine resumes, it does not
-// include the suspension.
+// Now returns a reading of the clock. For up to a millisecond after the machine resumes, it may not
+// include the last suspension.
 func Now() time.Time { return time.Now().Add(Recent()) }
 
 // Exact returns a reading of the clock that always includes the last suspension. It is for the last
--- a/internal/workers/signal_test.go
+++ b/internal/workers/signal_test.go
@@ -8,7 +8,7 @@
 	"foxcross.dev/foxcross/internal/workers"
 )
 
-func TestAwait(t *testing.T) {
+func TestWaitFor(t *testing.T) {
 	signals := make(chan struct{}, 1)
 	remaining := 2
 	condition := func() bool {
