--- a/internal/command/entry.go
+++ b/internal/command/entry.go
@@ -19,7 +19,7 @@
 	Keys    Keys     `command:"keys" description:"make certificates and keys"`
 }
 
-// RunEntry runs an entry.
+// RunEntry runs an entry in relay mode.
 type RunEntry struct {
 	Settings string `long:"settings" short:"s" required:"yes" description:"file with the entry's settings"`
 }
