--- a/coord/claim/claim_test.go
+++ b/coord/claim/claim_test.go
@@ -69,7 +69,7 @@
 func ExampleHead_Apply() {
 	now := time.Unix(0, 0)
 	batch := []claim.Request{request("order-7", "entry-1"), request("order-7", "entry-2")}
-	_, verdicts := claim.Head{}.Apply(now, rules, batch, none)
-	fmt.Println(verdicts[0] == claim.Granted, verdicts[1] == claim.Conflict)
+	_, outcomes := claim.Head{}.Apply(now, rules, batch, none)
+	fmt.Println(outcomes[0] == claim.Granted, outcomes[1] == claim.Conflict)
 	// Output: true true
 }
--- a/coord/duty/duty_test.go
+++ b/coord/duty/duty_test.go
@@ -158,7 +158,7 @@
 		name       string
 		statements []duty.Statement
 		now        time.Time
-		ripe       bool
+		closable   bool
 	}{
 		{"before the end of the window", []duty.Statement{statement(1, windowLength, 1, duty.Counts{"a": 1}), statement(2, windowLength, 0, nil)}, start.Add(windowLength - 1), false},
 		{"complete statements of all", []duty.Statement{statement(1, windowLength, 1, duty.Counts{"a": 1}), statement(2, windowLength, 0, nil)}, afterEnd, true},
@@ -172,8 +172,8 @@
 		for _, s := range c.statements {
 			l.Merge(s)
 		}
-		if got := slices.Contains(l.Closable(c.now, live), w); got != c.ripe {
-			t.Errorf("%s: ripe %v", c.name, got)
+		if got := slices.Contains(l.Closable(c.now, live), w); got != c.closable {
+			t.Errorf("%s: closable %v", c.name, got)
 		}
 	}
 }
--- a/coord/placement/cost.go
+++ b/coord/placement/cost.go
@@ -2,15 +2,15 @@
 //
 // Rule: the cost is the sum of seven terms, each an expected loss:
 //
-//	late      lateness of the request's own first event against its target
-//	harm      missed inter-event targets: those of the running streams that the prefill
-//	          delays, and its own because of long prompts that arrive later
-//	reread    prompt tokens to compute, above all those of prefixes that another
-//	          endpoint caches, and tokens to fetch from one
-//	crowding  exhaustion of slots and memory
-//	pool      a long prompt outside the pool of long prompts, or a short one inside
-//	trouble   recent failures, recent unreachability, stalls, draining
-//	distance  another data centre
+//	late            lateness of the request's own first event against its target
+//	interference    missed inter-event targets: those of the running streams that the prefill
+//	                delays, and its own because of long prompts that arrive later
+//	recompute       prompt tokens to compute, above all those of prefixes that another
+//	                endpoint caches, and tokens to fetch from one
+//	saturation      exhaustion of slots and memory
+//	pool            a long prompt outside the pool of long prompts, or a short one inside
+//	unreliability   recent failures, recent unreachability, stalls, draining
+//	distance        another data centre
 //
 // Unit: one request answered within its targets is worth 1.
 // Inputs: the table's state of the endpoint; of a class, only its targets.
--- a/coord/placement/source.go
+++ b/coord/placement/source.go
@@ -40,12 +40,12 @@
 		engines = q.cachingEngines
 	}
 	for _, e := range engines {
-		kept := e.cache.Fetchable(prompt)
-		if kept == 0 || !q.canBeSource(e) {
+		cached := e.cache.Fetchable(prompt)
+		if cached == 0 || !q.canBeSource(e) {
 			continue
 		}
 		found = append(found, memory.Source{
-			ID: e.Incarnation(), Address: e.Address, DataCentre: e.DataCentre, CachedTokens: kept, Link: &e.link, MissRate: &e.missRate,
+			ID: e.Incarnation(), Address: e.Address, DataCentre: e.DataCentre, CachedTokens: cached, Link: &e.link, MissRate: &e.missRate,
 		})
 	}
 	slices.SortStableFunc(found, func(a, b memory.Source) int { return cmp.Compare(b.CachedTokens, a.CachedTokens) })
@@ -58,12 +58,12 @@
 		e.slowdown <= maxSourceSlowdown && e.overdueMS(q.now) == 0
 }
 
-// estimateFetch returns the expected fetch of an engine that caches the first kept tokens of
+// estimateFetch returns the expected fetch of an engine that caches the first cached tokens of
 // the prompt.
-func (q *query) estimateFetch(e *endpoint, kept int, perTokenMS float64) memory.Fetch {
+func (q *query) estimateFetch(e *endpoint, cached int, perTokenMS float64) memory.Fetch {
 	if len(q.sources) == 0 || !e.Engine {
 		return memory.Fetch{}
 	}
-	to := memory.Target{ID: e.Incarnation(), DataCentre: e.DataCentre, CachedTokens: kept, Link: &e.link, ComputeMS: perTokenMS * e.slowdown}
+	to := memory.Target{ID: e.Incarnation(), DataCentre: e.DataCentre, CachedTokens: cached, Link: &e.link, ComputeMS: perTokenMS * e.slowdown}
 	return memory.Best(q.now, q.service.TransferRate, q.sources, to)
 }
--- a/coord/placement/unavailability.go
+++ b/coord/placement/unavailability.go
@@ -1,7 +1,7 @@
 // Determines why no endpoint can take a request now, and when one can.
 //
-// Rule: of the reasons why the service's endpoints are unavailable, the one that ends first counts. They are
-// compared by their remaining times if both are known, else by their reasons.
+// Rule: of the reasons why the service's endpoints are unavailable, the one that ends first
+// counts. They are compared by their remaining times if both are known, else by their reasons.
 // Inputs: the table, the request, the time.
 // Units: times.
 // Never: an endpoint that is leaving counts.
--- a/coord/quarantine/quarantine_test.go
+++ b/coord/quarantine/quarantine_test.go
@@ -171,31 +171,31 @@
 	crashTogether := func(endpoints int) *quarantine.Table {
 		x := &quarantine.Table{}
 		for n := range endpoints {
-			x.RecordCrash(fmt.Sprint("i-", n), at(10+float64(n)*0.01), 0, quarantine.Run{Content: key("doubtful"), Started: at(9.9)})
+			x.RecordCrash(fmt.Sprint("i-", n), at(10+float64(n)*0.01), 0, quarantine.Run{Content: key("correlated"), Started: at(9.9)})
 		}
 		return x
 	}
 	x := crashTogether(3)
-	if held(x, 11, "doubtful") {
+	if held(x, 11, "correlated") {
 		t.Error("held within a second")
 	}
-	if v := x.Verdict(at(11.02), key("doubtful")); !v.Held || !v.Correlated || v.Remaining != 0 || v.Crashes != 3 {
+	if v := x.Verdict(at(11.02), key("correlated")); !v.Held || !v.Correlated || v.Remaining != 0 || v.Crashes != 3 {
 		t.Errorf("after a second: %+v", v)
 	}
-	x.RecordTrial(key("doubtful"), 1, at(11.02).Add(quarantine.TrialInterval))
-	if v := x.Verdict(at(12.02), key("doubtful")); !v.Held || v.Remaining != 4*time.Second {
+	x.RecordTrial(key("correlated"), 1, at(11.02).Add(quarantine.TrialInterval))
+	if v := x.Verdict(at(12.02), key("correlated")); !v.Held || v.Remaining != 4*time.Second {
 		t.Errorf("during the trial: %+v", v)
 	}
-	x.RecordCrash("trial", at(12.1), 0, quarantine.Run{Content: key("doubtful"), Started: at(12), KnownCrashes: 3})
-	if v := x.Verdict(at(12.1), key("doubtful")); v.Correlated || v.Crashes != 4 || v.Remaining < time.Minute {
+	x.RecordCrash("trial", at(12.1), 0, quarantine.Run{Content: key("correlated"), Started: at(12), KnownCrashes: 3})
+	if v := x.Verdict(at(12.1), key("correlated")); v.Correlated || v.Crashes != 4 || v.Remaining < time.Minute {
 		t.Errorf("after a failed trial: %+v", v)
 	}
-	if held(crashTogether(2), 60, "doubtful") {
+	if held(crashTogether(2), 60, "correlated") {
 		t.Error("held after two crashes")
 	}
 	x = crashTogether(3)
-	x.RecordSuccess(key("doubtful"))
-	if held(x, 60, "doubtful") {
+	x.RecordSuccess(key("correlated"))
+	if held(x, 60, "correlated") {
 		t.Error("held after a success")
 	}
 }
--- a/examples/losses/main.go
+++ b/examples/losses/main.go
@@ -1,4 +1,4 @@
-// Command losses prints the causes by which a played day lost worth. It reads the
+// Command losses prints the causes by which a played day lost score. It reads the
 // player's report and its output, which includes the logs of all entries.
 package main
 
--- a/internal/direct/directory/directory_test.go
+++ b/internal/direct/directory/directory_test.go
@@ -301,11 +301,11 @@
 func TestSince(t *testing.T) {
 	d := empty()
 	if _, ok := d.EndpointChangesSince(0); ok {
-		t.Error("Since returns changes before the first list")
+		t.Error("EndpointChangesSince returns changes before the first list")
 	}
 	d.ReplaceEndpoints(driver.Endpoints{Revision: 5, List: endpointsOf("a", "b")}, "test")
 	if _, ok := d.EndpointChangesSince(4); ok {
-		t.Error("Since returns changes before the revision of the list")
+		t.Error("EndpointChangesSince returns changes before the revision of the list")
 	}
 	d.Apply(driver.Change{Revision: 6, Changed: endpointsOf("c"), Gone: []string{"a"}})
 	d.Apply(driver.Change{Revision: 7}) // no change of endpoints
--- a/internal/direct/gateway/dump.go
+++ b/internal/direct/gateway/dump.go
@@ -41,7 +41,7 @@
 	version, revision := g.directory.Versions()
 	d := Dump{
 		Name:          g.options.Process.Name,
-		State:         g.life.State(),
+		State:         g.lifecycle.State(),
 		Version:       version,
 		Revision:      revision,
 		StoreResponds: g.directory.StoreResponds(),
--- a/internal/direct/gateway/export_test.go
+++ b/internal/direct/gateway/export_test.go
@@ -11,7 +11,7 @@
 
 // RefuseNow starts the last phase of a graceful shutdown.
 func (g *Gateway) RefuseNow() {
-	g.life.Stop()
+	g.lifecycle.Stop()
 	g.refusing.Store(true)
 }
 
--- a/internal/direct/gateway/gateway.go
+++ b/internal/direct/gateway/gateway.go
@@ -77,7 +77,7 @@
 	responseFields upstream.HeaderNames
 	pool           upstream.Pool
 	directory      *directory.Directory
-	life           *lifecycle.Lifecycle
+	lifecycle      *lifecycle.Lifecycle
 	refusing       atomic.Bool // set near the end of a graceful shutdown
 	capacity       capacity
 	bodyMemory     bodyMemory
@@ -97,7 +97,7 @@
 		fields:         f,
 		droppedFields:  droppedFields(f),
 		responseFields: upstream.HeaderNames{RequestID: f.RequestID, NotRun: f.NotRun},
-		life:           lifecycle.New(),
+		lifecycle:      lifecycle.New(),
 	}
 	g.capacity.init(o.Process.Limits)
 	g.bodyMemory.init(o.Process.Limits)
@@ -160,13 +160,13 @@
 // Ready reports whether the load balancer may send requests here.
 func (g *Gateway) Ready() bool {
 	if g.directory.Ready() {
-		g.life.Ready()
+		g.lifecycle.Ready()
 	}
-	return g.life.State() == lifecycle.Serving
+	return g.lifecycle.State() == lifecycle.Serving
 }
 
 // Draining reports whether the process is stopping.
-func (g *Gateway) Draining() bool { return g.life.State() == lifecycle.Draining }
+func (g *Gateway) Draining() bool { return g.lifecycle.State() == lifecycle.Draining }
 
 // State returns the process's lifecycle state.
-func (g *Gateway) State() lifecycle.State { return g.life.State() }
+func (g *Gateway) State() lifecycle.State { return g.lifecycle.State() }
--- a/internal/direct/gateway/held.go
+++ b/internal/direct/gateway/held.go
@@ -203,15 +203,15 @@
 // abandonTrial lets another request try a content soon, because the trial reached no endpoint.
 // Otherwise the content would be held for the duration of a trial that has no result.
 func (g *Gateway) abandonTrial(k quarantine.Key) {
-	doubtful := false
+	correlated := false
 	g.suspects.update(func(t *quarantine.Table) {
 		now := steady.Now()
 		v := t.Verdict(now, k)
-		if doubtful = v.Correlated; doubtful {
-			t.RecordTrial(k, max(v.Trials-1, 0), now.Add(abandonedTrialHold)) // doubtful holds are not broadcast
+		if correlated = v.Correlated; correlated {
+			t.RecordTrial(k, max(v.Trials-1, 0), now.Add(abandonedTrialHold)) // correlated holds are not broadcast
 		}
 	})
-	if doubtful {
+	if correlated {
 		return
 	}
 	g.updateHold(k, func(v quarantine.Verdict) quarantine.Verdict {
--- a/internal/direct/gateway/signals_test.go
+++ b/internal/direct/gateway/signals_test.go
@@ -120,7 +120,7 @@
 			q.Header.Set(platformtest.TargetField, h.runners[0].ID)
 			h.do(q)
 		}),
-		Entry("queries of kept prompt parts", platformtest.KeptPath, func(h *harness) {
+		Entry("queries of cached prompt parts", platformtest.KeptPath, func(h *harness) {
 			h.engines(map[string]any{"slots": 4, "kvCapacity": 1000})
 			h.gateway.QueryCachedParts(context.Background(), func(string, string) bool { return true })
 		}),
--- a/internal/direct/gateway/snapshot.go
+++ b/internal/direct/gateway/snapshot.go
@@ -66,21 +66,21 @@
 }
 
 const (
-	// maxKeptParts limits the parts recorded per engine; the largest are preferred. Broadcasting
+	// maxCachedParts limits the parts recorded per engine; the largest are preferred. Broadcasting
 	// them takes 4 KB to each entry.
-	maxKeptParts = 300
-	// keptPerEvent is the number of parts in one event, so that the event fits into a datagram.
-	keptPerEvent = 60
+	maxCachedParts = 300
+	// cachedPartsPerEvent is the number of parts in one event, so that the event fits into a datagram.
+	cachedPartsPerEvent = 60
 	// maxQueriedEngines limits the engines that one entry queries. Entries that do not know each
 	// other each consider more engines their own. It is several times the number of engines per
 	// entry in known fleets.
 	maxQueriedEngines = 32
-	// keptPartsTimeout limits one query to an engine.
-	keptPartsTimeout = 500 * time.Millisecond
+	// cachedPartsTimeout limits one query to an engine.
+	cachedPartsTimeout = 500 * time.Millisecond
 )
 
-// QueryCachedParts asks the engines that this entry is responsible for which prompt parts they keep, and
-// broadcasts the answers.
+// QueryCachedParts asks the engines that this entry is responsible for which prompt parts they
+// have cached, and broadcasts the responses.
 func (g *Gateway) QueryCachedParts(ctx context.Context, responsible func(endpoint, dataCentre string) bool) {
 	queried := 0
 	endpoints := g.directory.Endpoints().List
@@ -94,34 +94,34 @@
 			break
 		}
 		queried++
-		parts, err := g.keptParts(ctx, e.Address)
+		parts, err := g.cachedParts(ctx, e.Address)
 		if err != nil {
-			log.With("endpoint", e.ID).With("reason", err.Error()).WarnLimited("kept", "An engine did not report the prompt parts it keeps.")
+			log.With("endpoint", e.ID).With("reason", err.Error()).WarnLimited("kept", "An engine did not report its cached prompt parts.")
 			continue
 		}
-		g.dispatcher.recordKeptParts(e.Incarnation(), parts)
+		g.dispatcher.recordCachedParts(e.Incarnation(), parts)
 	}
-	log.With("engines", queried).Info("Engines were asked for the prompt parts they keep.")
+	log.With("engines", queried).Info("Engines were queried for their cached prompt parts.")
 }
 
-// keptParts returns the largest parts that an engine keeps.
-func (g *Gateway) keptParts(ctx context.Context, address string) ([]memory.Part, error) {
-	ctx, cancel := context.WithTimeout(ctx, keptPartsTimeout)
+// cachedParts returns the largest parts that an engine has cached.
+func (g *Gateway) cachedParts(ctx context.Context, address string) ([]memory.Part, error) {
+	ctx, cancel := context.WithTimeout(ctx, cachedPartsTimeout)
 	defer cancel()
 	parts, err := g.options.Driver.CachedParts(ctx, address)
 	if err != nil {
 		return nil, err
 	}
 	slices.SortFunc(parts, func(a, b memory.Part) int { return cmp.Compare(b.Tokens, a.Tokens) })
-	return parts[:min(len(parts), maxKeptParts)], nil
+	return parts[:min(len(parts), maxCachedParts)], nil
 }
 
-// recordKeptParts records which parts an engine keeps and broadcasts them.
-func (d *dispatcher) recordKeptParts(endpoint string, parts []memory.Part) {
+// recordCachedParts records which parts an engine has cached and broadcasts them.
+func (d *dispatcher) recordCachedParts(endpoint string, parts []memory.Part) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.table.AddCached(steady.Now(), endpoint, parts)
-	for chunk := range slices.Chunk(parts, keptPerEvent) {
+	for chunk := range slices.Chunk(parts, cachedPartsPerEvent) {
 		d.broadcastLocked(peers.Event{Kind: peers.PartsCached, Endpoint: endpoint, Parts: chunk})
 	}
 }
--- a/internal/direct/gateway/stop.go
+++ b/internal/direct/gateway/stop.go
@@ -34,13 +34,13 @@
 // were open at the end.
 func (g *Gateway) Stop(s *http.Server, grace time.Duration) error {
 	began := steady.Now()
-	g.life.Stop()
+	g.lifecycle.Stop()
 	at := func(share float64) time.Time { return began.Add(time.Duration(share * float64(grace))) }
 	g.capacity.waitIdle(at(minAcceptShare), at(acceptShare))
 	g.refusing.Store(true)
 	ctx, cancel := steady.WithDeadline(context.Background(), at(shutdownShare))
 	defer cancel()
-	defer g.life.Done()
+	defer g.lifecycle.Done()
 	if err := s.Shutdown(ctx); err != nil {
 		return fmt.Errorf("gateway: stopped with requests open: %w", err)
 	}
--- a/internal/direct/peers/fetch_test.go
+++ b/internal/direct/peers/fetch_test.go
@@ -143,7 +143,7 @@
 		t.Errorf("%d bytes for a change", c.bytes())
 	}
 	if version, revision := b.ConfirmedRevision(); version != 6 || revision != 9 {
-		t.Errorf("version %d, settled at %d", version, revision)
+		t.Errorf("version %d, confirmed at %d", version, revision)
 	}
 }
 
--- a/internal/direct/spread/spread.go
+++ b/internal/direct/spread/spread.go
@@ -1,6 +1,6 @@
 // Package spread computes from the logs of many peers how long events take to reach all of them:
-// settings that become active, endpoints that are leaving, gone or limited, evacuated data centres, lost
-// peers.
+// settings that become active, endpoints that are leaving, gone or limited, evacuated data
+// centres, lost peers.
 package spread
 
 import (
@@ -162,17 +162,17 @@
 
 // writeKind writes the line of one kind.
 func writeKind(w io.Writer, rows []Row) {
-	var middles, lasts []int64
+	var medians, lasts []int64
 	var entries []int
 	for _, r := range rows {
-		middles = append(middles, r.Median.Milliseconds())
+		medians = append(medians, r.Median.Milliseconds())
 		lasts = append(lasts, r.Last.Milliseconds())
 		entries = append(entries, r.Peers)
 	}
-	slices.Sort(middles)
+	slices.Sort(medians)
 	slices.Sort(lasts)
 	slices.Sort(entries)
 	half, end := len(rows)/2, len(rows)-1
 	_, _ = fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t\n", // Flush returns the error
-		rows[0].Kind, len(rows), entries[half], middles[half], middles[end], lasts[half], lasts[end])
+		rows[0].Kind, len(rows), entries[half], medians[half], medians[end], lasts[half], lasts[end])
 }
--- a/internal/relay/claims/claims.go
+++ b/internal/relay/claims/claims.go
@@ -111,10 +111,10 @@
 	running.Wait()
 }
 
-// pendingClaim is a claim that waits for its verdict.
+// pendingClaim is a claim that waits for its outcome.
 type pendingClaim struct {
 	claim.Request
-	verdict chan claim.Outcome // buffered
+	outcome chan claim.Outcome // buffered
 	ctx     context.Context
 }
 
@@ -134,7 +134,7 @@
 func (b *Batcher) Claim(ctx context.Context, key string) (release func(), err error) {
 	q := claim.Request{Key: claim.HashKey(key), Nonce: b.nonce()}
 	p := b.partitionOf(q.Key)
-	w := &pendingClaim{Request: q, verdict: make(chan claim.Outcome, 1), ctx: ctx}
+	w := &pendingClaim{Request: q, outcome: make(chan claim.Outcome, 1), ctx: ctx}
 	releaseKey := func() { p.release(q) }
 	select {
 	case p.queue <- w:
@@ -142,7 +142,7 @@
 		return nil, result.Errorf(result.ClaimUnavailable, "too many claims are waiting")
 	}
 	select {
-	case v := <-w.verdict:
+	case v := <-w.outcome:
 		if v == claim.Conflict {
 			return nil, &result.Error{Code: result.DuplicateKey, Run: result.Unknown}
 		}
--- a/internal/relay/claims/partition.go
+++ b/internal/relay/claims/partition.go
@@ -124,13 +124,13 @@
 		requests = append(requests, w.Request)
 	}
 	requests = append(requests, releases...)
-	next, verdicts := p.head.Apply(now, p.options.Rules, requests, p.claimInSegments)
+	next, outcomes := p.head.Apply(now, p.options.Rules, requests, p.claimInSegments)
 	if err := p.swap(ctx, next); err != nil {
 		p.requeueReleases(releases)
 		return err
 	}
 	for n, w := range batch {
-		w.verdict <- verdicts[n]
+		w.outcome <- outcomes[n]
 	}
 	return nil
 }
