--- a/internal/direct/gateway/dump.go
+++ b/internal/direct/gateway/dump.go
@@ -31,7 +31,7 @@
 // SettingsLag is how far the settings are behind those of other entries. It is zero if no other
 // entry has newer ones.
 type SettingsLag struct {
-	Newest      uint64 `json:"newest_version"` // newest version in force at any entry
+	Newest      uint64 `json:"newest_version"` // newest version active at any entry
 	ForMS       int64  `json:"for_ms"`         // time since a newer version was first announced
 	Outstanding int64  `json:"outstanding_bytes"`
 }
--- a/internal/direct/gateway/harness_test.go
+++ b/internal/direct/gateway/harness_test.go
@@ -234,7 +234,7 @@
 	Expect(errors.Is(r.err, io.ErrUnexpectedEOF) || errors.Is(r.err, io.EOF)).To(BeTrue(), "%v", r.err)
 }
 
-// settingsVersion returns the version of the settings in force.
+// settingsVersion returns the version of the active settings.
 func (h *harness) settingsVersion() uint64 {
 	version, _ := h.gateway.Directory().Versions()
 	return version
--- a/internal/direct/gateway/settings_test.go
+++ b/internal/direct/gateway/settings_test.go
@@ -58,7 +58,7 @@
 		Eventually(func() int { return h.get("/new/1").status }).Should(Equal(200))
 	})
 
-	It("stay in force while the store fails, and then deny nothing that a newer version may contain", func() {
+	It("stay active while the store fails, and then deny nothing that a newer version may contain", func() {
 		for _, f := range []platformtest.Fault{platformtest.Busy, platformtest.Many, platformtest.Reset, platformtest.Silent} {
 			h := newHarness(okResponse)
 			h.store.SetFault(f)
--- a/internal/direct/peers/encoding.go
+++ b/internal/direct/peers/encoding.go
@@ -86,12 +86,12 @@
 	return b
 }
 
-// encodingCache caches the encoded responses for the settings version in force. Many clients
+// encodingCache caches the encoded responses for the active settings version. Many clients
 // then cost one encoding, and a client that timed out finds it on its next request. The zero
 // value is empty. It is safe for concurrent use.
 type encodingCache struct {
 	mu      sync.Mutex
-	version uint64          // in force
+	version uint64          // active
 	bodies  map[uint64]body // by the client's version
 }
 
--- a/internal/direct/peers/fetch.go
+++ b/internal/direct/peers/fetch.go
@@ -35,7 +35,7 @@
 var errBusy = errors.New("peers: peer is busy, it sends to others")
 
 // FetchState reads a part of the state of another peer into the directory. It requests settings
-// as changes to the version in force, and reads them whole if the changes do not apply.
+// as changes to the active version, and reads them whole if the changes do not apply.
 func FetchState(ctx context.Context, d *directory.Directory, address string, p Part) error {
 	version, revision := d.Versions()
 	err := fetch(ctx, d, address, p, version, revision)
--- a/internal/direct/peers/packet.go
+++ b/internal/direct/peers/packet.go
@@ -72,7 +72,7 @@
 // every process sends its events to them directly.
 type packet struct {
 	Owner     uint64     `cbor:"1,keyasint"`           // incarnation of the sender
-	Version   uint64     `cbor:"2,keyasint,omitempty"` // of the settings in force
+	Version   uint64     `cbor:"2,keyasint,omitempty"` // of the active settings
 	Revision  uint64     `cbor:"3,keyasint,omitempty"` // of the list of endpoints
 	Events    []Event    `cbor:"4,keyasint,omitempty"` // to and from peers of older versions
 	Heartbeat *heartbeat `cbor:"5,keyasint,omitempty"`
--- a/internal/direct/peers/state.go
+++ b/internal/direct/peers/state.go
@@ -29,7 +29,7 @@
 	Base     uint64   `cbor:"6,keyasint,omitempty"`  // version that Nodes and Removed change, 0 if Nodes are complete
 	Removed  []string `cbor:"7,keyasint,omitempty"`  // paths of nodes of Base that no longer exist
 	Digest   uint64   `cbor:"8,keyasint,omitempty"`  // of the tree of Version
-	InForce  uint64   `cbor:"9,keyasint,omitempty"`  // version in force at the sender
+	InForce  uint64   `cbor:"9,keyasint,omitempty"`  // active version of the sender
 	Revision uint64   `cbor:"10,keyasint,omitempty"` // of the store, at which InForce was the newest
 }
 
--- a/internal/relay/versions/store.go
+++ b/internal/relay/versions/store.go
@@ -35,7 +35,7 @@
 )
 
 // Store accesses the settings in the platform's key-value service: a root that names the
-// parts of the version in force, and the parts by content hash.
+// parts of the active version, and the parts by content hash.
 type Store struct {
 	KeyValue  kv.KeyValue
 	Holder    *Holder
@@ -46,10 +46,10 @@
 
 // readInterval is how often a process that does not watch reads the root. New versions
 // normally arrive sooner through other processes; the read covers the case that none of
-// them has the version. It is below the 11 s within which a change must be in force.
+// them has the version. It is below the 11 s within which a change must be active.
 const readInterval = 9 * time.Second
 
-// Load reads the newest version and puts it in force. It returns the revision of the
+// Load reads the newest version and activates it. It returns the revision of the
 // root, from which a watch can continue.
 func (s *Store) Load(ctx context.Context) (uint64, error) {
 	v, err := s.KeyValue.Get(ctx, rootKey)
@@ -62,7 +62,7 @@
 	return v.Revision, s.apply(ctx, v)
 }
 
-// apply puts the version of a root in force if it is newer, after reading the parts
+// apply activates the version of a root if it is newer, after reading the parts
 // that are not held.
 func (s *Store) apply(ctx context.Context, v kv.Value) error {
 	r, err := parseRoot(v)
@@ -100,7 +100,7 @@
 	return parts, nil
 }
 
-// Watch puts each new version in force until ctx is done. It retries after errors.
+// Watch activates each new version until ctx is done. It retries after errors.
 func (s *Store) Watch(ctx context.Context) {
 	delay := backoff.NewExponentialBackOff()
 	delay.MaxInterval = maxRetryDelay
@@ -117,7 +117,7 @@
 	}
 }
 
-// follow puts the next version in force. It waits for it with a watch or, if this process
+// follow activates the next version. It waits for it with a watch or, if this process
 // does not watch, with a read every readInterval.
 func (s *Store) follow(ctx context.Context, revision uint64) (uint64, error) {
 	if s.IsWatcher != nil && !s.IsWatcher() {
