--- a/internal/direct/spread/spread.go
+++ b/internal/direct/spread/spread.go
@@ -1,6 +1,6 @@
 // Package spread computes from the logs of many peers how long events take to reach all of them:
-// settings that become active, endpoints that are leaving, gone or limited, evacuated data centres, lost
-// peers.
+// settings that become active, endpoints that are leaving, gone or limited, evacuated data
+// centres, lost peers.
 package spread
 
 import (
