--- a/examples/soak/main.go
+++ b/examples/soak/main.go
@@ -74,7 +74,7 @@
 		if err != nil {
 			return broken, err
 		}
-		broken = broken || len(r.Breaches) > 0
+		broken = broken || len(r.Violations) > 0
 	}
 	fmt.Printf("logs of the entries: %s\n", folder)
 	return broken, nil
@@ -114,12 +114,12 @@
 	for _, n := range r.Faults {
 		faults += n
 	}
-	fmt.Printf("seed %d: %d requests, %d fetches, %d reports of usage, %d faults, %d crashes under a request, %d MB, %d promises broken;", seed, r.Requests, r.Fetches, r.Reports, faults, r.Crashed, r.MemoryMB, len(r.Breaches))
+	fmt.Printf("seed %d: %d requests, %d fetches, %d reports of usage, %d faults, %d crashes under a request, %d MB, %d promises broken;", seed, r.Requests, r.Fetches, r.Reports, faults, r.Crashed, r.MemoryMB, len(r.Violations))
 	for _, status := range slices.Sorted(maps.Keys(r.Answers)) {
 		fmt.Printf(" %d: %d", status, r.Answers[status])
 	}
 	fmt.Println()
-	for _, b := range r.Breaches {
+	for _, b := range r.Violations {
 		fmt.Printf("  %s: request %s: %s\n", b.Promise, b.ID, b.Detail)
 	}
 	return r, nil
--- a/internal/relay/admin/admin_test.go
+++ b/internal/relay/admin/admin_test.go
@@ -68,7 +68,7 @@
 			Metrics: served,
 			Tree:    tree,
 			ReleaseContent: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				_, _ = io.WriteString(w, flow.Param(r.Context(), "content")) // to the spec
+				_, _ = io.WriteString(w, flow.Param(r.Context(), "content")) // read by the spec
 			}),
 		}))
 		DeferCleanup(server.Close)
--- a/internal/relay/admin/tree.go
+++ b/internal/relay/admin/tree.go
@@ -56,7 +56,7 @@
 	return n, nil
 }
 
-// get writes the tree in force in this process, or the version given in the query.
+// get writes the active tree of this process, or that of the version given in the query.
 func (t *Tree) get(w http.ResponseWriter, r *http.Request) {
 	held := t.Store.Holder.State()
 	version := held.Root.Version
@@ -217,7 +217,7 @@
 	WriteJSON(w, settings.Diff(trees[0], trees[1]))
 }
 
-// rollback puts the tree of an older version in force as a new version.
+// rollback stores the tree of an older version as a new version.
 func (t *Tree) rollback(w http.ResponseWriter, r *http.Request) {
 	v, err := parseVersion(r.URL.Query().Get("version"))
 	if err != nil {
--- a/internal/relay/agent/contents.go
+++ b/internal/relay/agent/contents.go
@@ -53,7 +53,7 @@
 		c = crash{name: fmt.Sprintf("%s/%s@%d", a.options.Name, x.Endpoint, steady.Wall().UnixMilli()), at: now}
 		a.crashes[x.Endpoint] = c
 	case began.After(c.at):
-		return nil // the call began after the crash
+		return nil // the call began after the crash, when the endpoint was not running
 	}
 	a.contents.RecordCrash(c.name, c.at, 0, run)
 	log.With("endpoint", x.Endpoint).With("content", run.Content.String()).Info("The endpoint crashed while running a call.")
--- a/internal/relay/claims/claims.go
+++ b/internal/relay/claims/claims.go
@@ -53,8 +53,8 @@
 	Start        time.Time        // of the process; distinguishes its nonces from those of an earlier process
 }
 
-// swapInterval returns the time between two swaps of a partition. Unless SwapInterval sets it, it
-// keeps all entries together within SwapsPerSecond.
+// swapInterval returns the time between two swaps of a partition. If Options.SwapInterval is not
+// set, all entries together stay within SwapsPerSecond.
 func (o *Options) swapInterval() time.Duration {
 	if o.SwapInterval > 0 {
 		return o.SwapInterval
--- a/internal/relay/claims/claims_test.go
+++ b/internal/relay/claims/claims_test.go
@@ -124,7 +124,7 @@
 }
 
 // TestClaimsAreLinearizable checks the history of two entries that claim a few keys
-// concurrently while the key-value service loses answers, is slow or is unavailable.
+// concurrently while the key-value service loses responses, is slow or is unavailable.
 func TestClaimsAreLinearizable(t *testing.T) {
 	for seed := range uint64(10) {
 		synctest.Test(t, func(t *testing.T) { raceClaims(t, seed) })
--- a/internal/relay/endpoint/chat.go
+++ b/internal/relay/endpoint/chat.go
@@ -145,7 +145,7 @@
 }
 
 // chatChoice is one choice of an event. An answer is more than text if a choice has
-// fields other than those that plainText takes.
+// fields other than those that plainText reads.
 type chatChoice map[string]json.RawMessage
 
 func readEvents(response *http.Response, k Sink) message.End {
--- a/internal/relay/entry/announce.go
+++ b/internal/relay/entry/announce.go
@@ -29,7 +29,7 @@
 	})
 }
 
-// announceIfBehind sends the version in force here to an agent that holds an older one.
+// announceIfBehind sends the number of the active version to an agent that holds an older one.
 // The agent's last fetch may have failed.
 func (e *Entry) announceIfBehind(c *agentConn, held uint64) {
 	if own := e.options.Settings.Version(); held < own {
@@ -37,7 +37,7 @@
 	}
 }
 
-// broadcastVersion sends the number of a new version to all agents.
+// broadcastVersion sends the number of a new active version to all agents.
 func (e *Entry) broadcastVersion(v versions.State) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/relay/entry/entry.go
+++ b/internal/relay/entry/entry.go
@@ -31,7 +31,7 @@
 )
 
 const (
-	// DefaultMaxBody is the largest request body, in bytes.
+	// DefaultMaxBody is the default size limit of a request body, in bytes.
 	DefaultMaxBody = 8 << 20
 	// DefaultListInterval is the default time between reads of the member list.
 	DefaultListInterval = time.Second
--- a/internal/relay/entry/handler.go
+++ b/internal/relay/entry/handler.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// caller is the authenticated team of a request, and the settings in force when the
+// caller is the authenticated team of a request, and the settings that were active when the
 // request arrived.
 type caller struct {
 	team     settings.TeamInfo
--- a/internal/relay/link/codec.go
+++ b/internal/relay/link/codec.go
@@ -74,7 +74,7 @@
 	return data, nil
 }
 
-// decoder reads messageTypes from a stream.
+// decoder reads messages from a stream.
 type decoder struct {
 	limited *limitedReader
 	cbor    *cbor.Decoder
--- a/internal/relay/versions/holder.go
+++ b/internal/relay/versions/holder.go
@@ -1,7 +1,6 @@
-// Package versions holds the settings tree that is in force in a process. It fetches newer
-// versions from the platform's key-value service or from a peer (the process at the other
-// end of a connection), and commits operators' changes. A process never returns to a lower
-// version.
+// Package versions holds the active settings tree of a process. It fetches newer versions
+// from the platform's key-value service or from a peer (the process at the other end of a
+// connection), and commits operators' changes. A process never returns to a lower version.
 package versions
 
 import (
@@ -29,7 +28,7 @@
 	parts    settings.Parts
 }
 
-// Holder holds the version in force. The zero value holds version 0 without a tree.
+// Holder holds the active version. The zero value holds version 0 without a tree.
 //
 // Lock order: Holder.order, then Holder.mu.
 type Holder struct {
@@ -44,14 +43,14 @@
 	listeners []func(State)
 }
 
-// State returns the version in force.
+// State returns the active version.
 func (h *Holder) State() State {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.state
 }
 
-// Version returns the number of the version in force, 0 for none.
+// Version returns the number of the active version, 0 for none.
 func (h *Holder) Version() uint64 { return h.State().Root.Version }
 
 // OnChange registers a function that is called with each new version.
@@ -61,8 +60,8 @@
 	h.listeners = append(h.listeners, f)
 }
 
-// Apply puts a version in force if it is newer than the one in force, complete and
-// valid. It reports whether it did.
+// Apply activates a version if it is newer than the active one, complete and valid. It
+// reports whether it did.
 func (h *Holder) Apply(r settings.Root, parts settings.Parts) (bool, error) {
 	held := h.partsOf(r, parts)
 	if h.ForwardOnly {
@@ -96,7 +95,7 @@
 	return held
 }
 
-// setIfNewer sets the state unless a newer version is in force.
+// setIfNewer activates a version if it is newer than the active one. It reports whether it did.
 func (h *Holder) setIfNewer(s State) bool {
 	h.order.Lock()
 	defer h.order.Unlock()
@@ -121,8 +120,8 @@
 // Fetch requests a version from a peer.
 type Fetch = func(context.Context, message.SettingsRequest) (message.SettingsReply, error)
 
-// Announced starts fetching a version that a peer holds, if it is newer than the one in
-// force and than any that is being fetched.
+// Announced starts fetching a version that a peer holds, if it is newer than the active one
+// and than any that is being fetched.
 func (h *Holder) Announced(version uint64, fetch Fetch) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -168,7 +167,7 @@
 	return hashes
 }
 
-// Reply returns the version in force, without the parts that the requesting peer holds.
+// Reply returns the active version, without the parts that the requesting peer holds.
 func (h *Holder) Reply(q message.SettingsRequest) message.SettingsReply {
 	s := h.State()
 	root, err := json.Marshal(s.Root)
--- a/internal/relay/versions/store.go
+++ b/internal/relay/versions/store.go
@@ -29,13 +29,13 @@
 	maxRebases = 8
 	// maxRetryDelay is the longest delay between two attempts to follow the root.
 	maxRetryDelay = 5 * time.Second
-	// maxOutcomeReads is how often the root is read to determine the outcome of a swap whose answer was
-	// lost.
+	// maxOutcomeReads is how often the root is read to determine the outcome of a swap whose
+	// response was lost.
 	maxOutcomeReads = 6
 )
 
 // Store accesses the settings in the platform's key-value service: a root that names the
-// parts of the version in force, and the parts by content hash.
+// parts of the newest version, and the parts by content hash.
 type Store struct {
 	KeyValue  kv.KeyValue
 	Holder    *Holder
@@ -46,10 +46,10 @@
 
 // readInterval is how often a process that does not watch reads the root. New versions
 // normally arrive sooner through other processes; the read covers the case that none of
-// them has the version. It is below the 11 s within which a change must be in force.
+// them has the version. It is below the 11 s within which a change must be active.
 const readInterval = 9 * time.Second
 
-// Load reads the newest version and puts it in force. It returns the revision of the
+// Load reads the newest version and activates it. It returns the revision of the
 // root, from which a watch can continue.
 func (s *Store) Load(ctx context.Context) (uint64, error) {
 	v, err := s.KeyValue.Get(ctx, rootKey)
@@ -62,8 +62,8 @@
 	return v.Revision, s.apply(ctx, v)
 }
 
-// apply puts the version of a root in force if it is newer, after reading the parts
-// that are not held.
+// apply activates the version of a root if it is newer, after reading the parts that are
+// not held.
 func (s *Store) apply(ctx context.Context, v kv.Value) error {
 	r, err := parseRoot(v)
 	if err != nil {
@@ -100,7 +100,7 @@
 	return parts, nil
 }
 
-// Watch puts each new version in force until ctx is done. It retries after errors.
+// Watch activates each new version until ctx is done. It retries after errors.
 func (s *Store) Watch(ctx context.Context) {
 	delay := backoff.NewExponentialBackOff()
 	delay.MaxInterval = maxRetryDelay
@@ -117,7 +117,7 @@
 	}
 }
 
-// follow puts the next version in force. It waits for it with a watch or, if this process
+// follow activates the next version. It waits for it with a watch or, if this process
 // does not watch, with a read every readInterval.
 func (s *Store) follow(ctx context.Context, revision uint64) (uint64, error) {
 	if s.IsWatcher != nil && !s.IsWatcher() {
@@ -140,7 +140,7 @@
 	Note   string
 }
 
-// Commit puts a change in force. A change based on an older version is rebased onto the
+// Commit stores and activates a change. A change based on an older version is rebased onto the
 // newest one if they change different nodes; otherwise it is a conflict.
 func (s *Store) Commit(ctx context.Context, c Change) (settings.Root, error) {
 	base, err := s.TreeAt(ctx, c.Base)
@@ -177,7 +177,7 @@
 	revision uint64 // of the root's value, 0 for none
 }
 
-// readNewest reads the version in force from the key-value service.
+// readNewest reads the newest version from the key-value service.
 func (s *Store) readNewest(ctx context.Context) (storedVersion, error) {
 	v, err := s.KeyValue.Get(ctx, rootKey)
 	if errors.Is(err, storeerr.ErrNotFound) {
@@ -244,7 +244,7 @@
 	return parseRoot(v)
 }
 
-// replace puts a tree in force in place of the old version. It writes the parts, stores
+// replace stores and activates a tree in place of the old version. It writes the parts, stores
 // the old root under its version number, and swaps the root. It returns kv.ErrConflict if
 // another change was stored first.
 func (s *Store) replace(ctx context.Context, old storedVersion, t settings.Tree, r settings.Root) (settings.Root, error) {
@@ -307,7 +307,7 @@
 }
 
 // create stores an immutable value. It succeeds if the value already exists, or if a read
-// finds it after the answer to the swap was lost.
+// finds it after the response to the swap was lost.
 func (s *Store) create(ctx context.Context, key string, data []byte) error {
 	_, err := s.KeyValue.Swap(ctx, key, data, 0)
 	if err == nil || errors.Is(err, kv.ErrConflict) {
--- a/internal/relay/versions/versions_test.go
+++ b/internal/relay/versions/versions_test.go
@@ -27,7 +27,7 @@
 	value int
 }
 
-// outcome is the answer to the operator.
+// outcome is the result of a commit.
 type outcome struct {
 	version  int // 0 if not accepted
 	conflict bool
@@ -73,7 +73,7 @@
 const tree = `{"children":[{"name":"teams","children":[{"name":"a","kind":"team"},{"name":"b","kind":"team"}]}]}`
 
 // TestChangesAreLinearizable checks the history of two operators who change two nodes
-// concurrently while the key-value service loses answers or is unavailable. Every accepted
+// concurrently while the key-value service loses responses or is unavailable. Every accepted
 // change must stand in the final tree's history at the position of its version.
 func TestChangesAreLinearizable(t *testing.T) {
 	for seed := range uint64(10) {
--- a/internal/testing/fleet/fleet_test.go
+++ b/internal/testing/fleet/fleet_test.go
@@ -23,7 +23,7 @@
 	_ "foxcross.dev/foxcross/platform" // registers its driver
 )
 
-// Names of the deployment.
+// Names in the settings of the deployment.
 const (
 	host    = "studio.example"
 	service = "pool"
--- a/internal/testing/simulation/at_most_once_test.go
+++ b/internal/testing/simulation/at_most_once_test.go
@@ -54,7 +54,7 @@
 }
 
 // TestIdempotencyKeyRunsOnce sends two copies of a booking with one key through two entries while the
-// key-value service loses answers. One copy runs, the other is refused as a duplicate.
+// key-value service loses responses. One copy runs, the other is refused as a duplicate.
 func TestIdempotencyKeyRunsOnce(t *testing.T) {
 	runSimulation(t, trees.Ovenhuis, func(r *simulation.Simulation) history.Rules {
 		r.AddService("app", "bookings", &standin.Service{})
--- a/internal/testing/simulation/faults_test.go
+++ b/internal/testing/simulation/faults_test.go
@@ -193,7 +193,7 @@
 	}
 }
 
-// storeFaults makes the platform's service fail, delay or lose answers.
+// storeFaults makes the platform's key-value service fail, delay or lose responses.
 func (c *faultRun) storeFaults() {
 	random := rand.New(rand.NewPCG(c.seed, 3))
 	for c.pause(random, 4*time.Second) {
@@ -265,7 +265,7 @@
 	}
 	for _, e := range c.Entries() {
 		if v := e.Store.Holder.Version(); v < newest {
-			c.t.Errorf("%s works by version %d, %d was accepted", e.Name, v, newest)
+			c.t.Errorf("%s uses version %d, %d was accepted", e.Name, v, newest)
 		}
 		if n := e.Dump().Open; n != 0 {
 			c.t.Errorf("%s has %d open requests", e.Name, n)
@@ -273,7 +273,7 @@
 	}
 	for _, a := range c.Agents() {
 		if v := a.Versions.Version(); v < newest {
-			c.t.Errorf("%s works by version %d, %d was accepted", a.Name, v, newest)
+			c.t.Errorf("%s uses version %d, %d was accepted", a.Name, v, newest)
 		}
 	}
 	for n, e := range c.engines {
--- a/internal/testing/simulation/settings_test.go
+++ b/internal/testing/simulation/settings_test.go
@@ -14,7 +14,7 @@
 	"foxcross.dev/coord/settings"
 )
 
-// TestSettingsPropagateWithoutService stops the service right after it has accepted a change. The change
+// TestSettingsPropagateWithoutService stops the key-value service right after it has accepted a change. The change
 // reaches every process through its peers, also one that starts during the outage.
 func TestSettingsPropagateWithoutService(t *testing.T) {
 	runSimulation(t, trees.Ovenhuis, func(r *simulation.Simulation) history.Rules {
@@ -42,7 +42,7 @@
 		time.Sleep(5 * time.Second)
 		for _, e := range r.Entries() {
 			if v := e.Store.Holder.Version(); v != root.Version {
-				t.Errorf("%s works by version %d, want %d", e.Name, v, root.Version)
+				t.Errorf("%s uses version %d, want %d", e.Name, v, root.Version)
 			}
 		}
 		for _, a := range r.Agents() {
@@ -120,7 +120,7 @@
 		}
 		for _, e := range r.Entries() {
 			if v := e.Store.Holder.Version(); v != last {
-				t.Errorf("%s works by version %d, want %d", e.Name, v, last)
+				t.Errorf("%s uses version %d, want %d", e.Name, v, last)
 			}
 		}
 		return rules
--- a/internal/testing/simulation/simulation.go
+++ b/internal/testing/simulation/simulation.go
@@ -43,7 +43,7 @@
 	cancel      context.CancelFunc
 	agents      map[string]*Agent
 	entries     []*Entry
-	agentStarts int // of agents
+	agentStarts int // number of agents started, restarts included
 }
 
 // Agent is an agent under test.
@@ -67,7 +67,7 @@
 	cancel context.CancelFunc
 }
 
-// New returns a simulation with the settings tree in force. Messages take the delay.
+// New returns a simulation whose active settings are the tree. Messages take the delay.
 func New(tree []byte, delay time.Duration) (*Simulation, error) {
 	t := &Simulation{agents: map[string]*Agent{}}
 	t.Network.Delay = delay
@@ -172,8 +172,7 @@
 	}
 }
 
-// StopEntry drains and stops an entry after it has been taken off the member list and
-// gets no new requests.
+// StopEntry removes an entry from the member list and from Entries, drains it and stops it.
 func (t *Simulation) StopEntry(ctx context.Context, e *Entry) error {
 	t.mu.Lock()
 	t.entries = slices.DeleteFunc(t.entries, func(o *Entry) bool { return o == e })
--- a/internal/testing/simulation/whole_answer_test.go
+++ b/internal/testing/simulation/whole_answer_test.go
@@ -35,7 +35,7 @@
 		r.Kill(agents[0])
 		all.Wait()
 		if made := engines[0].Tokens() + engines[1].Tokens(); made > 8*100+8 {
-			t.Errorf("%d tokens were made for 800", made)
+			t.Errorf("%d tokens were generated for 800", made)
 		}
 		return history.Rules{}
 	})
--- a/internal/testing/soak/caller.go
+++ b/internal/testing/soak/caller.go
@@ -129,10 +129,10 @@
 	return ids
 }
 
-// versionPollInterval is the time between two reads of the versions in force.
+// versionPollInterval is the time between two reads of the active versions.
 const versionPollInterval = 50 * time.Millisecond
 
-// recordVersions records the settings version in force at each entry until ctx is done.
+// recordVersions records the active settings version of each entry until ctx is done.
 func (d *deployment) recordVersions(ctx context.Context) {
 	workers.Every(ctx, versionPollInterval, func(time.Time) {
 		for _, e := range d.entries {
--- a/internal/testing/soak/crashing.go
+++ b/internal/testing/soak/crashing.go
@@ -72,7 +72,7 @@
 	d.addEndpoint()
 }
 
-// checkCrashing reports a breach if more endpoints have crashed under the request than allowed.
+// checkCrashing reports a violation if more endpoints have crashed under the request than allowed.
 func (d *deployment) checkCrashing() {
 	starts := 0
 	for _, e := range d.entries {
@@ -84,6 +84,6 @@
 	crashed := d.crashed
 	d.mu.Unlock()
 	if crashed > maxCrashesPerIncarnation*starts {
-		d.history.recordBreach(CrashingRequestHeld, "", fmt.Sprintf("%d endpoints crashed under one content, in %d starts of entries", crashed, starts))
+		d.history.recordViolation(CrashingRequestHeld, "", fmt.Sprintf("%d endpoints crashed under one content, in %d starts of entries", crashed, starts))
 	}
 }
--- a/internal/testing/soak/crashing_test.go
+++ b/internal/testing/soak/crashing_test.go
@@ -4,11 +4,11 @@
 
 // TestTooManyCrashesAreReported checks the largest allowed number of crashes, and one more.
 func TestTooManyCrashesAreReported(t *testing.T) {
-	for crashed, breaches := range map[int]int{2 * maxCrashesPerIncarnation: 0, 2*maxCrashesPerIncarnation + 1: 1} {
+	for crashed, violations := range map[int]int{2 * maxCrashesPerIncarnation: 0, 2*maxCrashesPerIncarnation + 1: 1} {
 		d := &deployment{entries: []*entry{{starts: 1}, {starts: 1}}, crashed: crashed}
 		d.checkCrashing()
-		if n := len(d.history.breaches); n != breaches {
-			t.Errorf("%d crashes: %d breaches", crashed, n)
+		if n := len(d.history.violations); n != violations {
+			t.Errorf("%d crashes: %d violations", crashed, n)
 		}
 	}
 }
--- a/internal/testing/soak/entry.go
+++ b/internal/testing/soak/entry.go
@@ -259,8 +259,8 @@
 	BodyBytes int64 `json:"body_bytes"`
 }
 
-// settingsVersion returns the settings version in force at the entry. It returns false if the
-// entry does not answer.
+// settingsVersion returns the active settings version of the entry. It returns false if the entry
+// does not answer.
 func (e *entry) settingsVersion(ctx context.Context) (int, bool) {
 	s, ok := e.fetchState(ctx)
 	return s.Version, ok
--- a/internal/testing/soak/history.go
+++ b/internal/testing/soak/history.go
@@ -36,8 +36,8 @@
 	inFlightSlack                  = 1500 * time.Millisecond // for a request in flight
 )
 
-// Breach is a broken promise.
-type Breach struct {
+// Violation is a broken promise.
+type Violation struct {
 	Promise Promise
 	ID      string // of the request, empty for none
 	Detail  string
@@ -60,12 +60,12 @@
 	addresses    map[string]*endpoint
 	fetches      int
 	disturbances []time.Time    // begin and end of faults that delay updates to entries
-	versions     map[string]int // in force, by incarnation of an entry
+	versions     map[string]int // active version, by incarnation of an entry
 
 	evacuations []interval
 	namedLimits []namedLimit
 	refusals    int // with a Retry-After
-	breaches    []Breach
+	violations  []Violation
 }
 
 func (h *history) add(s observation) {
@@ -80,13 +80,14 @@
 	h.disturbances = append(h.disturbances, at)
 }
 
-func (h *history) recordBreach(p Promise, id, detail string) {
+func (h *history) recordViolation(p Promise, id, detail string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.breaches = append(h.breaches, Breach{p, id, detail})
+	h.violations = append(h.violations, Violation{p, id, detail})
 }
 
-// recordVersion records a version in force at an entry, and a breach if an older one follows.
+// recordVersion records the active version of an entry, and a violation if it is older than the
+// previous one.
 func (h *history) recordVersion(name string, starts, version int) {
 	key := name + "/" + strconv.Itoa(starts)
 	h.mu.Lock()
@@ -95,7 +96,7 @@
 		h.versions = map[string]int{}
 	}
 	if previous := h.versions[key]; version < previous {
-		h.breaches = append(h.breaches, Breach{SettingsMonotonic, "", fmt.Sprintf("%s had version %d, then %d", key, previous, version)})
+		h.violations = append(h.violations, Violation{SettingsMonotonic, "", fmt.Sprintf("%s had version %d, then %d", key, previous, version)})
 	}
 	h.versions[key] = version
 }
@@ -131,16 +132,16 @@
 		}
 	}
 	h.checkUsage(reports)
-	r.Breaches = h.breaches
+	r.Violations = h.violations
 	r.Reports = len(reports)
 	r.Fetches = h.fetches
 	r.Refusals = h.refusals
 	return r
 }
 
-// addBreach records a breach. The history is locked.
-func (h *history) addBreach(p Promise, id, format string, values ...any) {
-	h.breaches = append(h.breaches, Breach{p, id, fmt.Sprintf(format, values...)})
+// addViolation records a violation. history.mu must be held.
+func (h *history) addViolation(p Promise, id, format string, values ...any) {
+	h.violations = append(h.violations, Violation{p, id, fmt.Sprintf(format, values...)})
 }
 
 // checkAnswer checks the answer that a caller received.
@@ -149,23 +150,23 @@
 		return
 	}
 	if s.seal != "seal-"+s.id {
-		h.addBreach(OwnCompleteAnswer, s.id, "the answer carries %q", s.seal)
+		h.addViolation(OwnCompleteAnswer, s.id, "the answer carries %q", s.seal)
 	}
 	if !s.kind.stream {
 		if s.complete && s.body != responseBody {
-			h.addBreach(OwnCompleteAnswer, s.id, "the answer is %q", s.body)
+			h.addViolation(OwnCompleteAnswer, s.id, "the answer is %q", s.body)
 		}
 		return
 	}
 	ids := eventIDs(s.body)
 	for n, id := range ids {
 		if id != strconv.Itoa(n+1) {
-			h.addBreach(InOrder, s.id, "event %d has id %s", n+1, id)
+			h.addViolation(InOrder, s.id, "event %d has id %s", n+1, id)
 			return
 		}
 	}
 	if s.complete && len(ids) != eventsPerStream {
-		h.addBreach(OwnCompleteAnswer, s.id, "a stream of %d events ended as if complete", len(ids))
+		h.addViolation(OwnCompleteAnswer, s.id, "a stream of %d events ended as if complete", len(ids))
 	}
 }
 
@@ -173,27 +174,27 @@
 // answer.
 func (h *history) checkLost(s observation, runs []run) {
 	if len(runs) > 0 && !s.complete && !s.gaveUp {
-		h.addBreach(NoRequestLost, s.id, "it ran at %s, and the connection ended with status %d and %d bytes", runs[0].endpoint, s.status, len(s.body))
+		h.addViolation(NoRequestLost, s.id, "it ran at %s, and the connection ended with status %d and %d bytes", runs[0].endpoint, s.status, len(s.body))
 	}
 }
 
 // checkRuns checks the runs of a request at endpoints.
 func (h *history) checkRuns(s observation, runs []run) {
 	if s.kind.nonIdempotent && len(runs) > 1 {
-		h.addBreach(AtMostOnce, s.id, "%d runs", len(runs))
+		h.addViolation(AtMostOnce, s.id, "%d runs", len(runs))
 	}
 	switch s.status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		if len(runs) > 0 {
-			h.addBreach(NotRun, s.id, "status %d, but it ran at %s", s.status, runs[0].endpoint)
+			h.addViolation(NotRun, s.id, "status %d, but it ran at %s", s.status, runs[0].endpoint)
 		}
 	}
 	for _, r := range runs {
 		if r.Target != s.target || r.Method != s.kind.method || r.Header.Get(platformtest.TeamField) != "team-1" || r.Header.Get(platformtest.KeyField) != "" {
-			h.addBreach(RequestUnmodified, s.id, "%s %s ran for team %q", r.Method, r.Target, r.Header.Get(platformtest.TeamField))
+			h.addViolation(RequestUnmodified, s.id, "%s %s ran for team %q", r.Method, r.Target, r.Header.Get(platformtest.TeamField))
 		}
 		if late := h.timePastLeaving(r.At, r.leavingSince); late > 0 {
-			h.addBreach(NoRequestsAfterLeaving, s.id, "it ran at %s %v after entries could know that it leaves", r.endpoint, late)
+			h.addViolation(NoRequestsAfterLeaving, s.id, "it ran at %s %v after entries could know that it leaves", r.endpoint, late)
 		}
 		h.checkSource(s, r)
 		h.checkDataCentre(s, r)
@@ -210,11 +211,11 @@
 	source := h.addresses[address]
 	switch {
 	case source == nil:
-		h.addBreach(ValidFetchSource, s.id, "%s was told to fetch from %s, which is no endpoint", r.endpoint, address)
+		h.addViolation(ValidFetchSource, s.id, "%s was told to fetch from %s, which is no endpoint", r.endpoint, address)
 	case source.runner.ID == r.endpoint:
-		h.addBreach(ValidFetchSource, s.id, "%s was told to fetch from itself", r.endpoint)
+		h.addViolation(ValidFetchSource, s.id, "%s was told to fetch from itself", r.endpoint)
 	case h.timePastLeaving(r.At, source.leavingSince) > 0:
-		h.addBreach(ValidFetchSource, s.id, "%s was told to fetch from %s after entries could know that it leaves", r.endpoint, source.runner.ID)
+		h.addViolation(ValidFetchSource, s.id, "%s was told to fetch from %s after entries could know that it leaves", r.endpoint, source.runner.ID)
 	}
 }
 
--- a/internal/testing/soak/limits.go
+++ b/internal/testing/soak/limits.go
@@ -48,7 +48,7 @@
 	h.namedLimits = append(h.namedLimits, l)
 }
 
-// checkLimit reports a breach if an endpoint received more requests than its named limit allows.
+// checkLimit reports a violation if an endpoint received more requests than its named limit allows.
 func (h *history) checkLimit(l namedLimit, runs []platformtest.Run) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -60,6 +60,6 @@
 	}
 	allowed := platformtest.MaxRequestsInWindow(l.perSecond)
 	if got := platformtest.MostWithin(times, platformtest.LimitWindow); float64(got) > allowed {
-		h.addBreach(RateLimitHonoured, "", "%s named a limit of %.2f a second and got %d requests in %v; allowed are %.0f", l.runner.ID, l.perSecond, got, platformtest.LimitWindow, allowed)
+		h.addViolation(RateLimitHonoured, "", "%s named a limit of %.2f a second and got %d requests in %v; allowed are %.0f", l.runner.ID, l.perSecond, got, platformtest.LimitWindow, allowed)
 	}
 }
--- a/internal/testing/soak/places.go
+++ b/internal/testing/soak/places.go
@@ -41,8 +41,8 @@
 	d.store.EndEvacuation(evacuatedDataCentre)
 }
 
-// dataCentreWithFewerEndpoints returns the data centre with fewer serving endpoints. The deployment
-// is locked.
+// dataCentreWithFewerEndpoints returns the data centre with fewer serving endpoints.
+// deployment.mu must be held.
 func (d *deployment) dataCentreWithFewerEndpoints() string {
 	serving := map[string]int{}
 	for _, e := range d.endpoints {
@@ -82,7 +82,7 @@
 // checkDataCentre checks the region and the evacuations of the data centre in which a request ran.
 func (h *history) checkDataCentre(s observation, r run) {
 	if s.kind.path == regionalPath && regions[r.dataCentre] != allowedRegion {
-		h.addBreach(InRegion, s.id, "it ran at %s in %s", r.endpoint, r.dataCentre)
+		h.addViolation(InRegion, s.id, "it ran at %s in %s", r.endpoint, r.dataCentre)
 	}
 	if r.dataCentre != evacuatedDataCentre {
 		return
@@ -90,12 +90,12 @@
 	for _, e := range h.evacuations {
 		over := !e.to.IsZero() && !r.At.Before(e.to)
 		if late := h.timeToLearn(r.At, e.from); late > evacuationGracePeriod && !over {
-			h.addBreach(EvacuationHonoured, s.id, "it ran at %s %v after entries could know that its data centre is evacuated", r.endpoint, late)
+			h.addViolation(EvacuationHonoured, s.id, "it ran at %s %v after entries could know that its data centre is evacuated", r.endpoint, late)
 		}
 	}
 }
 
-// checkWarmup reports a breach if an endpoint received more requests during its warm-up than allowed.
+// checkWarmup reports a violation if an endpoint received more requests during its warm-up than allowed.
 func (h *history) checkWarmup(e *endpoint, runs []platformtest.Run) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -113,7 +113,7 @@
 			}
 		}
 		if allowed := warmupPerS*warmupOverrun + warmupSlack; float64(within) > allowed {
-			h.addBreach(WarmupLimitHonoured, "", "%s got %d requests within a second, %v after its start; allowed are %v", e.runner.ID, within, first.Sub(e.startedAt), allowed)
+			h.addViolation(WarmupLimitHonoured, "", "%s got %d requests within a second, %v after its start; allowed are %v", e.runner.ID, within, first.Sub(e.startedAt), allowed)
 			return
 		}
 	}
--- a/internal/testing/soak/platform.go
+++ b/internal/testing/soak/platform.go
@@ -10,7 +10,7 @@
 	"foxcross.dev/foxcross/internal/testing/standin/platformtest"
 )
 
-// Names of the deployment.
+// Names in the settings of the deployment.
 const (
 	service = "pool"
 	host    = "soak.example"
@@ -21,13 +21,13 @@
 // requests.
 const drainGraceMS = 2000
 
-// eventsPerStream a stream.
+// eventsPerStream is the number of events in a complete stream.
 const eventsPerStream = 12
 
 // requestKind is a kind of request.
 type requestKind struct {
 	path          string
-	routeType     string // of the route
+	routeType     string
 	method        string
 	resumable     bool // a stream that may be resumed at another endpoint
 	stream        bool
@@ -79,7 +79,7 @@
 	}
 }
 
-// endpoint is an endpoint and its state as seen by the store.
+// endpoint is an endpoint and its state in the store.
 type endpoint struct {
 	runner       *platformtest.Runner
 	leavingSince time.Time // when the store accepted that it leaves, zero if it does not
--- a/internal/testing/soak/signals.go
+++ b/internal/testing/soak/signals.go
@@ -49,7 +49,7 @@
 }
 
 // checkResponseSignals checks that each incarnation of an entry follows the signals in the responses
-// that it received from endpoints. The deployment is locked.
+// that it received from endpoints. deployment.mu must be held.
 func (d *deployment) checkResponseSignals() {
 	h := &d.history
 	h.mu.Lock()
@@ -68,7 +68,8 @@
 	}
 }
 
-// checkBackoff counts the requests that an entry sent an endpoint during the backoff after a refusal.
+// checkBackoff reports a violation if an entry sent an endpoint more than platformtest.MaxInBackoff
+// requests during the backoff after a refusal.
 func (d *deployment) checkBackoff(e *endpoint, r platformtest.Refusal, arrivals []platformtest.Arrival, byID map[string]observation) {
 	sender := byID[r.ID].servedBy
 	if sender == (incarnation{}) {
@@ -81,7 +82,7 @@
 		}
 	}
 	if got > platformtest.MaxInBackoff {
-		d.history.addBreach(BackoffHonoured, r.ID, "%s asked %s for %v and got %d requests", e.runner.ID, sender.entry, r.Delay, got)
+		d.history.addViolation(BackoffHonoured, r.ID, "%s asked %s for %v and got %d requests", e.runner.ID, sender.entry, r.Delay, got)
 	}
 }
 
@@ -100,7 +101,7 @@
 		s := byID[a.ID]
 		at, known := passedOn[s.servedBy]
 		if known && s.sentAt.Sub(at) > drainGraceMS*time.Millisecond && !d.wasFrozen(s.servedBy, at, a.At) {
-			d.history.addBreach(DrainingHonoured, a.ID, "%s had passed on, %v before, a response by which %s drains", s.servedBy.entry, s.sentAt.Sub(at), e.runner.ID)
+			d.history.addViolation(DrainingHonoured, a.ID, "%s had passed on, %v before, a response by which %s drains", s.servedBy.entry, s.sentAt.Sub(at), e.runner.ID)
 		}
 	}
 }
--- a/internal/testing/soak/soak.go
+++ b/internal/testing/soak/soak.go
@@ -43,8 +43,8 @@
 	Refusals int // by endpoints, with a Retry-After
 	MemoryMB int // of the entry that had the most
 	// BodyBytes is the most bytes of request bodies that one entry held.
-	BodyBytes int64
-	Breaches  []Breach
+	BodyBytes  int64
+	Violations []Violation
 }
 
 // deployment is the system under test and its stand-ins.
@@ -119,7 +119,7 @@
 	stop()
 	callers.Wait()
 	if err != nil {
-		d.history.recordBreach(Recovers, "", err.Error())
+		d.history.recordViolation(Recovers, "", err.Error())
 	}
 	d.checkCrashing()
 	return d.report(), nil
--- a/internal/testing/soak/soak_test.go
+++ b/internal/testing/soak/soak_test.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, b := range r.Breaches {
+	for _, b := range r.Violations {
 		t.Errorf("seed %d: %s: request %s: %s", seed, b.Promise, b.ID, b.Detail)
 	}
 	if r.Answers[http.StatusOK] == 0 {
@@ -50,7 +50,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, b := range r.Breaches {
+	for _, b := range r.Violations {
 		t.Errorf("%s: request %s: %s", b.Promise, b.ID, b.Detail)
 	}
 	if r.Crashed == 0 {
@@ -82,7 +82,7 @@
 // TestSlowCallers adds callers that do not read their answers or do not finish their bodies, during
 // evacuations.
 func TestSlowCallers(t *testing.T) {
-	const mostBodies = entryMemoryLimitMB << 20 / 4 // a quarter of an entry's memory may hold bodies
+	const maxBodyBytes = entryMemoryLimitMB << 20 / 4 // a quarter of an entry's memory may hold bodies
 	r, err := Run(context.Background(), Options{
 		Seed: 4, Duration: 6 * time.Second, Entries: 3, Endpoints: 4, Callers: 6, Dir: t.TempDir(), SlowCallers: 60,
 		Only: []string{"data centre evacuated"}, Command: entryprogram.Command,
@@ -90,10 +90,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, b := range r.Breaches {
+	for _, b := range r.Violations {
 		t.Errorf("%s: request %s: %s", b.Promise, b.ID, b.Detail)
 	}
-	if r.BodyBytes == 0 || r.BodyBytes > mostBodies {
+	if r.BodyBytes == 0 || r.BodyBytes > maxBodyBytes {
 		t.Errorf("an entry held %d bytes of bodies", r.BodyBytes)
 	}
 	if r.MemoryMB > entryMemoryLimitMB && !entryprogram.Race {
@@ -110,7 +110,7 @@
 	}
 	for _, p := range []Promise{OwnCompleteAnswer, InOrder, AtMostOnce, NotRun, RequestUnmodified, NoRequestsAfterLeaving, ValidFetchSource, SettingsMonotonic, NoRequestLost, Recovers, UsageReportedOnce, EvacuationHonoured, InRegion, WarmupLimitHonoured, RateLimitHonoured, BackoffHonoured, DrainingHonoured} {
 		if !covered[p] {
-			t.Errorf("no fault attacks %q", p)
+			t.Errorf("no fault can break %q", p)
 		}
 	}
 }
@@ -130,8 +130,8 @@
 	return b.String()
 }
 
-// TestBreachesAreReported checks histories that each break one promise.
-func TestBreachesAreReported(t *testing.T) {
+// TestViolationsAreReported checks histories that each break one promise.
+func TestViolationsAreReported(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	page, book, chat, home := requestKinds[0], requestKinds[1], requestKinds[2], requestKinds[4]
 	of := func(k requestKind, s observation) observation {
@@ -148,8 +148,8 @@
 	withKey.Header.Set(platformtest.TeamField, "team-1")
 	withKey.Header.Set(platformtest.KeyField, teamKey)
 	late.leavingSince = now.Add(-time.Minute)
-	elsewhere, emptied := ran(home), ran(page)
-	elsewhere.dataCentre, emptied.dataCentre = "zone-2", "zone-2"
+	elsewhere, evacuated := ran(home), ran(page)
+	elsewhere.dataCentre, evacuated.dataCentre = "zone-2", "zone-2"
 	fetching := func(address string) run {
 		r := ran(page)
 		r.Header.Set(platformtest.FetchField, address)
@@ -181,7 +181,7 @@
 		"a fetch from itself":              {ValidFetchSource, of(page, observation{}), []run{fetching("own")}},
 		"a fetch from an unknown endpoint": {ValidFetchSource, of(page, observation{}), []run{fetching("nowhere")}},
 		"in another region":                {InRegion, of(home, observation{}), []run{elsewhere}},
-		"in an evacuated data centre":      {EvacuationHonoured, of(page, observation{}), []run{emptied}},
+		"in an evacuated data centre":      {EvacuationHonoured, of(page, observation{}), []run{evacuated}},
 		"a fetch from a drained endpoint":  {ValidFetchSource, of(page, observation{}), []run{fetching("left")}},
 	} {
 		h := history{observations: []observation{c.seen}, runs: map[string][]run{"a": c.runs}, addresses: addresses}
@@ -189,42 +189,42 @@
 			h.beginEvacuation(now.Add(-time.Minute))
 		}
 		r := h.check(false, nil)
-		if len(r.Breaches) != 1 || r.Breaches[0].Promise != c.want {
-			t.Errorf("%s: found %v", name, r.Breaches)
+		if len(r.Violations) != 1 || r.Violations[0].Promise != c.want {
+			t.Errorf("%s: found %v", name, r.Violations)
 		}
 	}
 	sound := history{observations: []observation{of(page, observation{})}, runs: map[string][]run{"a": {fetching("serving")}}, addresses: addresses}
-	if r := sound.check(false, nil); len(r.Breaches) != 0 || r.Fetches != 1 {
-		t.Errorf("a valid fetch: found %v, counted %d", r.Breaches, r.Fetches)
+	if r := sound.check(false, nil); len(r.Violations) != 0 || r.Fetches != 1 {
+		t.Errorf("a valid fetch: found %v, counted %d", r.Violations, r.Fetches)
 	}
 	disturbed := history{observations: []observation{of(page, observation{})}, runs: map[string][]run{"a": {late}}}
 	disturbed.recordDisturbance(now.Add(-time.Second))
-	if r := disturbed.check(false, nil); len(r.Breaches) != 0 {
-		t.Errorf("found %v where a disturbance excuses the entries", r.Breaches)
+	if r := disturbed.check(false, nil); len(r.Violations) != 0 {
+		t.Errorf("found %v where a disturbance excuses the entries", r.Violations)
 	}
 	var overrun history
 	started := &endpoint{runner: &platformtest.Runner{ID: "i-1"}, startedAt: now}
 	overrun.checkWarmup(started, slices.Repeat([]platformtest.Run{{At: now.Add(100 * time.Millisecond)}}, 18))
-	if r := overrun.check(false, nil); len(r.Breaches) != 1 || r.Breaches[0].Promise != WarmupLimitHonoured {
-		t.Errorf("an endpoint overloaded during its warm-up: found %v", r.Breaches)
+	if r := overrun.check(false, nil); len(r.Violations) != 1 || r.Violations[0].Promise != WarmupLimitHonoured {
+		t.Errorf("an endpoint overloaded during its warm-up: found %v", r.Violations)
 	}
 	var overLimit history
 	limit := namedLimit{runner: started.runner, perSecond: 2, active: interval{from: now, to: now.Add(time.Minute)}}
 	overLimit.checkLimit(limit, slices.Repeat([]platformtest.Run{{At: now.Add(limitGracePeriod + time.Millisecond)}}, 18))
 	overLimit.checkLimit(limit, slices.Repeat([]platformtest.Run{{At: now.Add(limitGracePeriod - time.Millisecond)}}, 100))
-	if r := overLimit.check(false, nil); len(r.Breaches) != 1 || r.Breaches[0].Promise != RateLimitHonoured {
-		t.Errorf("an endpoint over its limit: found %v", r.Breaches)
+	if r := overLimit.check(false, nil); len(r.Violations) != 1 || r.Violations[0].Promise != RateLimitHonoured {
+		t.Errorf("an endpoint over its limit: found %v", r.Violations)
 	}
 	lost := history{observations: []observation{of(page, observation{})}, runs: map[string][]run{"a": {ran(page)}}}
-	if r := lost.check(true, nil); len(r.Breaches) != 1 || r.Breaches[0].Promise != NoRequestLost {
-		t.Errorf("a lost answer: found %v", r.Breaches)
+	if r := lost.check(true, nil); len(r.Violations) != 1 || r.Violations[0].Promise != NoRequestLost {
+		t.Errorf("a lost answer: found %v", r.Violations)
 	}
 	var h history
 	h.recordVersion("entry-1", 1, 5)
 	h.recordVersion("entry-1", 2, 4)
 	h.recordVersion("entry-1", 1, 4)
-	if r := h.check(false, nil); len(r.Breaches) != 1 || r.Breaches[0].Promise != SettingsMonotonic {
-		t.Errorf("found %v", r.Breaches)
+	if r := h.check(false, nil); len(r.Violations) != 1 || r.Violations[0].Promise != SettingsMonotonic {
+		t.Errorf("found %v", r.Violations)
 	}
 }
 
@@ -248,8 +248,8 @@
 		"more requests than ran":    {[]platformtest.Report{report("entry-1", 1, 7, 3)}, 1},
 	} {
 		h := history{runs: map[string][]run{"a": nil, "b": nil}}
-		if r := h.check(false, c.reports); len(r.Breaches) != c.found {
-			t.Errorf("%s: found %v", name, r.Breaches)
+		if r := h.check(false, c.reports); len(r.Violations) != c.found {
+			t.Errorf("%s: found %v", name, r.Violations)
 		}
 	}
 }
--- a/internal/testing/soak/usage.go
+++ b/internal/testing/soak/usage.go
@@ -25,7 +25,7 @@
 const reportTimeout = 1500 * time.Millisecond
 
 // checkUsage checks the reports of usage: one count for a window, one holder for a fence, no
-// decreasing fence, and no more requests than ran. The history is locked.
+// decreasing fence, and no more requests than ran. history.mu must be held.
 func (h *history) checkUsage(reports []platformtest.Report) {
 	accepted := map[int64]map[string]int64{}
 	holders := map[uint64]string{}
@@ -33,11 +33,11 @@
 	reported := int64(0)
 	for _, r := range reports {
 		if holder, known := holders[r.Fence]; known && holder != r.Holder {
-			h.addBreach(UsageReportedOnce, "", "fence %d is held by %s and by %s", r.Fence, holder, r.Holder)
+			h.addViolation(UsageReportedOnce, "", "fence %d is held by %s and by %s", r.Fence, holder, r.Holder)
 		}
 		holders[r.Fence] = r.Holder
 		if r.Fence < highest && !r.Refused && !h.disturbedBefore(r.At, staleReportSlack) {
-			h.addBreach(UsageReportedOnce, "", "%s reports with fence %d after %d", r.Holder, r.Fence, highest)
+			h.addViolation(UsageReportedOnce, "", "%s reports with fence %d after %d", r.Holder, r.Fence, highest)
 		}
 		highest = max(highest, r.Fence)
 		if r.Refused {
@@ -45,7 +45,7 @@
 		}
 		previous, known := accepted[r.Window]
 		if known && !maps.Equal(previous, r.Counts) {
-			h.addBreach(UsageReportedOnce, "", "window %d is reported as %v, then as %v", r.Window, previous, r.Counts)
+			h.addViolation(UsageReportedOnce, "", "window %d is reported as %v, then as %v", r.Window, previous, r.Counts)
 		}
 		if !known {
 			accepted[r.Window] = r.Counts
@@ -55,12 +55,12 @@
 		}
 	}
 	if ran := int64(len(h.runs)); reported > ran {
-		h.addBreach(UsageReportedOnce, "", "%d requests are reported, and %d ran", reported, ran)
+		h.addViolation(UsageReportedOnce, "", "%d requests are reported, and %d ran", reported, ran)
 	}
 }
 
-// disturbedBefore reports whether a disturbance precedes a time by less than within. The history is
-// locked.
+// disturbedBefore reports whether a disturbance precedes a time by less than within. history.mu
+// must be held.
 func (h *history) disturbedBefore(at time.Time, within time.Duration) bool {
 	for _, disturbed := range h.disturbances {
 		if disturbed.Before(at) && at.Sub(disturbed) < within {
