--- a/examples/growth/main.go
+++ b/examples/growth/main.go
@@ -1,4 +1,4 @@
-// Command growth prints the time until settings are in force at all entries, by the size of the
+// Command growth prints the time until settings are active at all entries, by the size of the
 // settings and the links, processors and number of the entries, as the table of docs/CAPACITY.md:
 //
 //	go run ./examples/growth
--- a/internal/decisions_test.go
+++ b/internal/decisions_test.go
@@ -17,10 +17,10 @@
 
 const decisionsHead = `# Decisions
 
-Made from the code by internal/decisions_test.go (UPDATE_GOLDEN=1 go test ./internal
--run TestDecisionsPage writes it); do not edit. Each rule stands in the file named,
-which opens with what is shown here: first the direct way in the order of a request's
-path, then the own interface. What was compared, and with which figures, stands in
+Generated from the code by internal/decisions_test.go (UPDATE_GOLDEN=1 go test ./internal
+-run TestDecisionsPage writes it); do not edit. Each section shows the head comment and
+the constants of one file, first of direct mode in the order of a request's path, then of
+relay mode. The alternatives that were compared, and their figures, are in
 docs/EXPERIMENTS.md and docs/CAPACITY.md.
 `
 
--- a/internal/imports_test.go
+++ b/internal/imports_test.go
@@ -30,19 +30,19 @@
 	case imported == "platform" && !isBelow(folder, "cmd"):
 		return "only a program selects its platform"
 	case isBelow(folder, "internal/direct") && isBelow(imported, "internal/relay"):
-		return "the two ways of serving must not depend on each other"
+		return "direct mode and relay mode must not depend on each other"
 	case isBelow(folder, "internal/relay") && isBelow(imported, "internal/direct"):
-		return "the two ways of serving must not depend on each other"
-	case usedByBothWays(folder) && (isBelow(imported, "internal/direct") || isBelow(imported, "internal/relay")):
-		return "packages used by both ways of serving must not depend on either"
+		return "direct mode and relay mode must not depend on each other"
+	case usedByBothModes(folder) && (isBelow(imported, "internal/direct") || isBelow(imported, "internal/relay")):
+		return "packages used by both modes must not depend on either"
 	default:
 		return ""
 	}
 }
 
-// usedByBothWays reports whether a folder is used by both ways of serving. Wiring is
+// usedByBothModes reports whether a folder is used by direct mode and relay mode. Wiring is
 // excluded, since it combines the packages of both.
-func usedByBothWays(folder string) bool {
+func usedByBothModes(folder string) bool {
 	wiring := folder == "internal/command" || folder == "internal/process"
 	return path.Dir(folder) == "internal" && !wiring
 }
--- a/internal/testing/bench/decision_test.go
+++ b/internal/testing/bench/decision_test.go
@@ -47,9 +47,9 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				id, actions := c.Accept(now, q)
-				peer := actions[0].(binding.Send).Agent
-				c.Ready(now, peer, message.Ready{Request: id, Attempt: 1})
-				c.End(now, peer, message.End{Request: id, Attempt: 1, Code: result.OK, Run: result.Ran})
+				agent := actions[0].(binding.Send).Agent
+				c.Ready(now, agent, message.Ready{Request: id, Attempt: 1})
+				c.End(now, agent, message.End{Request: id, Attempt: 1, Code: result.OK, Run: result.Ran})
 			}
 		})
 	}
@@ -78,11 +78,11 @@
 			for range length {
 				push()
 			}
-			room := queue.Capacity{Slots: 64, NextFree: time.Millisecond, Running: func(string) int { return 1 }}
+			capacity := queue.Capacity{Slots: 64, NextFree: time.Millisecond, Running: func(string) int { return 1 }}
 			b.ReportAllocs()
 			for b.Loop() {
 				push()
-				q.Take(q.Peek(now, room))
+				q.Take(q.Peek(now, capacity))
 			}
 		})
 	}
--- a/internal/testing/bench/settings_test.go
+++ b/internal/testing/bench/settings_test.go
@@ -29,8 +29,8 @@
 	return t.Apply(all)
 }
 
-// BenchmarkAdopt measures the work of a process to put a new version in force, and the
-// memory of a version.
+// BenchmarkAdopt measures the work of a process to activate a new version, and the memory
+// of a version.
 func BenchmarkAdopt(b *testing.B) {
 	for _, teams := range []int{100, 4_000, 40_000} {
 		b.Run(fmt.Sprint("teams=", teams), func(b *testing.B) {
--- a/internal/testing/caller/caller.go
+++ b/internal/testing/caller/caller.go
@@ -19,7 +19,8 @@
 	"github.com/tmaxmax/go-sse"
 )
 
-const maxEvent = 1 << 20
+// maxEventBytes bounds an event of a stream and the body of an error response.
+const maxEventBytes = 1 << 20
 
 // Caller sends requests to one entry. A nil Client means a shared default client.
 type Caller struct {
@@ -101,7 +102,7 @@
 
 func readFailure(response *http.Response) Answer {
 	a := Answer{Code: result.BadRequest, RetryAfter: response.Header.Get("Retry-After")}
-	data, err := io.ReadAll(io.LimitReader(response.Body, maxEvent))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxEventBytes))
 	if err != nil {
 		return Answer{Err: err}
 	}
@@ -153,7 +154,7 @@
 	var a Answer
 	var text strings.Builder
 	last := began
-	for event, err := range sse.Read(body, &sse.ReadConfig{MaxEventSize: maxEvent}) {
+	for event, err := range sse.Read(body, &sse.ReadConfig{MaxEventSize: maxEventBytes}) {
 		if err != nil {
 			a.Err = err
 			break
@@ -225,8 +226,8 @@
 	return c.Terms.BetweenTokens == 0 || Quantile(a.Gaps, 0.95) <= c.Terms.BetweenTokens
 }
 
-// Quantile returns the given quantile of the durations, a share from 0 to 1. It returns 0
-// if there are none.
+// Quantile returns the element at a share, from 0 to 1, of the sorted durations: the smallest for 0,
+// the largest for 1. It returns 0 if there are none.
 func Quantile(all []time.Duration, share float64) time.Duration {
 	if len(all) == 0 {
 		return 0
--- a/internal/testing/deployment/deployment.go
+++ b/internal/testing/deployment/deployment.go
@@ -126,17 +126,17 @@
 // AddAgent starts an agent with its endpoints.
 func (d *Deployment) AddAgent(name, dataCentre string, backends ...Backend) (*Agent, error) {
 	o := agent.Options{Name: name, DataCentre: dataCentre}
-	for n, l := range backends {
-		url, err := d.ServeHTTP(l.Handler)
+	for n, b := range backends {
+		url, err := d.ServeHTTP(b.Handler)
 		if err != nil {
 			return nil, err
 		}
-		driver, err := newDriver(l.Target, url)
+		driver, err := newDriver(b.Target, url)
 		if err != nil {
 			return nil, err
 		}
 		o.Endpoints = append(o.Endpoints, agent.LocalEndpoint{
-			Description: dispatch.Endpoint{Name: fmt.Sprintf("%s-%d", name, n), Target: l.Target, MaxWork: l.MaxConcurrent},
+			Description: dispatch.Endpoint{Name: fmt.Sprintf("%s-%d", name, n), Target: b.Target, MaxWork: b.MaxConcurrent},
 			Driver:      driver,
 		})
 	}
--- a/internal/testing/growth/cost.go
+++ b/internal/testing/growth/cost.go
@@ -133,7 +133,7 @@
 	return directory.New(func(directory.ActiveSettings) {}, func([]placement.Endpoint) {}, func([]string) {})
 }
 
-// readFromStore reads the settings from the store and puts them in force as an entry does.
+// readFromStore reads the settings from the store and activates them as an entry does.
 func readFromStore(d *directory.Directory, store *platformtest.Store) error {
 	factory, err := driver.Drivers.Get(platform.Name)
 	if err != nil {
--- a/internal/testing/growth/spread.go
+++ b/internal/testing/growth/spread.go
@@ -1,6 +1,6 @@
-// Package growth computes the time until settings are in force at all entries, by the
-// size of the settings and the links, processors and number of the entries. The work of
-// an entry is measured (cost.go: the real encoders, decoders and compilers); links are
+// Package growth computes the time until settings are active at all entries, by the size
+// of the settings and the links, processors and number of the entries. The work of an
+// entry is measured (cost.go: the real encoders, decoders and compilers); links are
 // simulated in virtual time (spread.go).
 package growth
 
@@ -30,8 +30,8 @@
 	entriesPerReaderFormerly = 16
 )
 
-// Spread returns the time from the acknowledgement of a version until it is in force at
-// the last entry. Each reader gets it from the store, and the others from entries that
+// Spread returns the time from the acknowledgement of a version until it is active at the
+// last entry. Each reader gets it from the store, and the others from entries that
 // have it, four at once from each. Simultaneous transfers share a link evenly.
 func Spread(c Cost, f Fleet) time.Duration {
 	sources := &queue{}
--- a/internal/testing/history/check.go
+++ b/internal/testing/history/check.go
@@ -15,7 +15,7 @@
 		rules:     r,
 		requests:  map[string]*request{},
 		leaving:   map[string][]span{},
-		processes: map[string][]InForce{},
+		processes: map[string][]Activated{},
 	}
 	for _, e := range events {
 		c.addEvent(e)
@@ -45,7 +45,7 @@
 	rules      Rules
 	requests   map[string]*request
 	leaving    map[string][]span
-	processes  map[string][]InForce
+	processes  map[string][]Activated
 	accepted   []Accepted
 	violations []Violation
 }
@@ -81,7 +81,7 @@
 		c.endLeaving(e)
 	case Accepted:
 		c.accepted = append(c.accepted, e)
-	case InForce:
+	case Activated:
 		c.processes[e.Process] = append(c.processes[e.Process], e)
 	}
 }
@@ -162,12 +162,12 @@
 	}
 	for _, p := range c.rules.Processes {
 		for _, a := range c.accepted {
-			c.checkInForce(p, a)
+			c.checkActivation(p, a)
 		}
 	}
 }
 
-func (c *checker) checkOrder(process string, seen []InForce) {
+func (c *checker) checkOrder(process string, seen []Activated) {
 	for n := 1; n < len(seen); n++ {
 		if seen[n].Version < seen[n-1].Version {
 			c.addViolation(NeverReverts, "%s went from version %d to %d", process, seen[n-1].Version, seen[n].Version)
@@ -175,7 +175,7 @@
 	}
 }
 
-func (c *checker) checkInForce(process string, a Accepted) {
+func (c *checker) checkActivation(process string, a Accepted) {
 	due := a.At.Add(c.rules.ActivationTimeout)
 	if c.rules.End.Before(due) {
 		return
--- a/internal/testing/history/history.go
+++ b/internal/testing/history/history.go
@@ -67,8 +67,8 @@
 	At      time.Time
 }
 
-// InForce records that a process uses a settings version from now on.
-type InForce struct {
+// Activated records that a process has activated a settings version.
+type Activated struct {
 	Process string
 	Version uint64
 	At      time.Time
@@ -81,7 +81,7 @@
 func (Left) event()      {}
 func (Joined) event()    {}
 func (Accepted) event()  {}
-func (InForce) event()   {}
+func (Activated) event() {}
 
 // Rules are the bounds that a history is checked against.
 type Rules struct {
--- a/internal/testing/history/history_test.go
+++ b/internal/testing/history/history_test.go
@@ -37,7 +37,7 @@
 		history.Executed{ID: "3", Endpoint: "a", At: at(41)},
 		history.Answered{ID: "3", Code: result.OK, Run: result.Ran, Body: "x", At: at(42)},
 		history.Accepted{Version: 2, At: at(50)},
-		history.InForce{Process: "e", Version: 2, At: at(51)},
+		history.Activated{Process: "e", Version: 2, At: at(51)},
 	}
 }
 
@@ -69,10 +69,10 @@
 			history.Submitted{ID: "6", Repeatable: true, WantBody: "x", At: at(60)},
 			history.Executed{ID: "6", Endpoint: "c", At: at(64)},
 			history.Answered{ID: "6", Code: result.OK, Run: result.Ran, Body: "x", At: at(65)}),
-		Entry("a reverted setting", history.NeverReverts, history.InForce{Process: "e", Version: 1, At: at(55)}),
+		Entry("a reverted setting", history.NeverReverts, history.Activated{Process: "e", Version: 1, At: at(55)}),
 		Entry("a late setting", history.ActiveInTime,
 			history.Accepted{Version: 3, At: at(60)},
-			history.InForce{Process: "e", Version: 3, At: at(75)}),
+			history.Activated{Process: "e", Version: 3, At: at(75)}),
 		Entry("a starved class", history.NoStarvation,
 			history.Submitted{ID: "7", Class: "tag", WantBody: "x", At: at(60)},
 			history.Executed{ID: "7", Endpoint: "b", At: at(85)},
--- a/internal/testing/simulation/settings_test.go
+++ b/internal/testing/simulation/settings_test.go
@@ -14,8 +14,8 @@
 	"foxcross.dev/coord/settings"
 )
 
-// TestSettingsPropagateWithoutService stops the key-value service right after it has accepted a change. The change
-// reaches every process through its peers, also one that starts during the outage.
+// TestSettingsPropagateWithoutService stops the key-value service right after it has accepted a
+// change. The change reaches every process through its peers, also one that starts during the outage.
 func TestSettingsPropagateWithoutService(t *testing.T) {
 	runSimulation(t, trees.Ovenhuis, func(r *simulation.Simulation) history.Rules {
 		for n := range 3 {
--- a/internal/testing/simulation/simulation.go
+++ b/internal/testing/simulation/simulation.go
@@ -135,7 +135,7 @@
 // recordVersions records the settings versions that a process uses.
 func (t *Simulation) recordVersions(process string, h *versions.Holder) {
 	h.OnChange(func(s versions.State) {
-		t.Recorder.Add(history.InForce{Process: process, Version: s.Root.Version, At: time.Now()})
+		t.Recorder.Add(history.Activated{Process: process, Version: s.Root.Version, At: time.Now()})
 	})
 }
 
--- a/internal/testing/standin/card.go
+++ b/internal/testing/standin/card.go
@@ -149,8 +149,8 @@
 	c.admitNext()
 }
 
-// admitNext passes the place of a request to the first queued one, if any. The lock
-// is held.
+// admitNext passes the place of a request to the first queued one, if any. Card.mu
+// must be held.
 func (c *Card) admitNext() {
 	if len(c.waiting) == 0 {
 		c.changeRunning(-1)
@@ -163,7 +163,7 @@
 // maxLoadSamples bounds the samples for a delayed load report.
 const maxLoadSamples = 1024
 
-// changeRunning changes the number of running requests. The lock is held.
+// changeRunning changes the number of running requests. Card.mu must be held.
 func (c *Card) changeRunning(by int) {
 	c.running += by
 	if c.LoadLag <= 0 {
--- a/internal/testing/standin/engine.go
+++ b/internal/testing/standin/engine.go
@@ -42,23 +42,23 @@
 }
 
 const (
-	minAnswer   = 8
-	answerRange = 32
+	minAnswer   = 8    // tokens
+	answerRange = 32   // number of possible lengths, in tokens
 	wordStep    = 7919 // a prime, so that neighbouring words differ
 )
 
-// Answer returns the tokens of the whole answer to a list of messages: most tokens, or
+// Answer returns the tokens of the whole answer to a list of messages: length tokens, or
 // for 0 a number derived from the messages. It depends on nothing else, so every
 // engine gives the same answer.
-func Answer(messages []string, most int) []string {
+func Answer(messages []string, length int) []string {
 	h := fnv.New64a()
 	for _, m := range messages {
 		_, _ = h.Write([]byte(m + "\x00")) // a hash never fails
 	}
 	seed := h.Sum64()
 	count := minAnswer + int(seed%answerRange)
-	if most > 0 {
-		count = most
+	if length > 0 {
+		count = length
 	}
 	tokens := make([]string, count)
 	for n := range tokens {
@@ -79,16 +79,16 @@
 		prompt = append(prompt, m.Content)
 	}
 	sentTokens = strings.Count(sentText, " ")
-	most := q.MaxTokens
-	if most > 0 {
-		most += sentTokens
+	length := q.MaxTokens
+	if length > 0 {
+		length += sentTokens
 	}
-	return prompt, Answer(prompt, most), sentTokens
+	return prompt, Answer(prompt, length), sentTokens
 }
 
 // AnswerText returns the whole answer as one text.
-func AnswerText(messages []string, most int) string {
-	return strings.Join(Answer(messages, most), "")
+func AnswerText(messages []string, length int) string {
+	return strings.Join(Answer(messages, length), "")
 }
 
 // Prompt returns a prompt of about size bytes that begins with the text.
@@ -103,7 +103,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	prompt, tokens, done := q.splitPrompt()
+	prompt, tokens, sentTokens := q.splitPrompt()
 	if !e.begin(r.Context(), prompt, q.Priority) {
 		http.Error(w, "engine is broken", http.StatusInternalServerError)
 		return
@@ -111,7 +111,7 @@
 	defer e.finish()
 	control := http.NewResponseController(w)
 	w.Header().Set("Content-Type", "text/event-stream")
-	ended := e.generate(r.Context(), prompt, tokens, done, func(token string) error {
+	ended := e.generate(r.Context(), prompt, tokens, sentTokens, func(token string) error {
 		writeEvent(w, fmt.Sprintf(`{"choices":[{"index":0,"delta":{"content":%q},"finish_reason":null}]}`, token))
 		return control.Flush()
 	})
@@ -124,7 +124,7 @@
 	}
 	writeEvent(w, `{"choices":[{"index":0,"delta":{},"finish_reason":"stop"}]}`)
 	writeEvent(w, fmt.Sprintf(`{"choices":[],"usage":{"prompt_tokens":%d,"completion_tokens":%d}}`,
-		totalLength(prompt)/4, len(tokens)-done))
+		totalLength(prompt)/4, len(tokens)-sentTokens))
 	writeEvent(w, "[DONE]")
 }
 
@@ -155,13 +155,13 @@
 			q.MaxTokens -= c.Start.SentTokens
 		}
 	}
-	prompt, tokens, done := q.splitPrompt()
+	prompt, tokens, sentTokens := q.splitPrompt()
 	if !e.begin(ctx, prompt, c.Terms.Tier) {
 		return message.End{Code: result.EndpointFailed, Run: result.Ran, Reason: "engine is broken"}
 	}
 	defer e.finish()
-	if e.generate(ctx, prompt, tokens, done, func(token string) error { return k.Text(token, 1) }) != completed {
+	if e.generate(ctx, prompt, tokens, sentTokens, func(token string) error { return k.Text(token, 1) }) != completed {
 		return message.End{Code: result.EndpointFailed, Run: result.Ran, Reason: "the answer broke off"}
 	}
-	return message.End{Code: result.OK, Run: result.Ran, FinishReason: "stop", AnswerTokens: len(tokens) - done}
+	return message.End{Code: result.OK, Run: result.Ran, FinishReason: "stop", AnswerTokens: len(tokens) - sentTokens}
 }
--- a/internal/testing/standin/platformtest/reports.go
+++ b/internal/testing/standin/platformtest/reports.go
@@ -92,7 +92,7 @@
 	x := p.record(Report{Holder: r.Header.Get("X-Duty-Holder"), Fence: fence, Window: body.Window, Counts: body.Counts})
 	switch {
 	case fault == Reset:
-		abort(w) // the report is recorded and its answer is lost
+		abort(w) // the report is recorded and the response is lost
 	case x.Refused:
 		w.WriteHeader(http.StatusConflict)
 	}
--- a/internal/testing/standin/platformtest/store.go
+++ b/internal/testing/standin/platformtest/store.go
@@ -32,13 +32,13 @@
 	lastLease      int // id of the last lease
 }
 
-// Item is an entry of the store, or the event of its removal.
+// Item is a key of the store with its value, or the event of its removal.
 type Item struct {
 	Key      string `json:"privateKey"`
 	Value    []byte `json:"value,omitempty"`
 	Revision uint64 `json:"revision"`
 	Removed  bool   `json:"gone,omitempty"`
-	Lease    int    `json:"lease,omitempty"` // whose end removes the entry
+	Lease    int    `json:"lease,omitempty"` // whose end removes the key
 }
 
 // Fault is the way in which a server answers calls.
@@ -80,7 +80,7 @@
 	s.server.Close()
 }
 
-// Put writes an entry.
+// Put sets the value of a key.
 func (s *Store) Put(key string, value any) {
 	data, err := json.Marshal(value)
 	if err != nil {
@@ -89,7 +89,7 @@
 	s.change(Item{Key: key, Value: data})
 }
 
-// Remove removes an entry.
+// Remove removes a key.
 func (s *Store) Remove(key string) { s.change(Item{Key: key, Removed: true}) }
 
 func (s *Store) change(i Item) {
@@ -99,7 +99,7 @@
 	s.changeAt(s.revision, i)
 }
 
-// changeAt applies a change at a revision. The store is locked.
+// changeAt applies a change at a revision. Store.mu must be held.
 func (s *Store) changeAt(revision uint64, i Item) {
 	i.Revision = revision
 	if i.Removed {
@@ -198,8 +198,8 @@
 }
 
 func (s *Store) serveWatch(w http.ResponseWriter, r *http.Request) {
-	after, _ := strconv.ParseUint(r.FormValue("sinceRev"), 10, 64) // 0 where it is missing
-	wait, _ := strconv.Atoi(r.FormValue("waitMs"))                 // 0 where it is missing
+	after, _ := strconv.ParseUint(r.FormValue("sinceRev"), 10, 64) // 0 if it is missing
+	wait, _ := strconv.Atoi(r.FormValue("waitMs"))                 // 0 if it is missing
 	timer := time.NewTimer(time.Duration(wait) * time.Millisecond)
 	defer timer.Stop()
 	expired := false
@@ -231,7 +231,7 @@
 	}
 }
 
-// since returns the changes after a revision. The store is locked.
+// since returns the changes after a revision. Store.mu must be held.
 func (s *Store) since(after uint64, prefix string) []Item {
 	events := []Item{}
 	for _, i := range s.history {
--- a/internal/testing/standin/platformtest/txn.go
+++ b/internal/testing/standin/platformtest/txn.go
@@ -42,7 +42,7 @@
 	}{s.revision})
 }
 
-// refusalStatus returns the status of a transaction that is refused, or 0. The store is locked.
+// refusalStatus returns the status of a transaction that is refused, or 0. Store.mu must be held.
 func (s *Store) refusalStatus(t txn) int {
 	for _, c := range t.Conditions {
 		if s.items[c.Key].Revision != c.Revision {
@@ -71,45 +71,45 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lastLease++
-	name := s.lastLease
-	s.ttls[name] = time.Duration(request.MS) * time.Millisecond
-	s.leases[name] = time.AfterFunc(s.ttls[name], func() { s.endLease(name) })
+	id := s.lastLease
+	s.ttls[id] = time.Duration(request.MS) * time.Millisecond
+	s.leases[id] = time.AfterFunc(s.ttls[id], func() { s.endLease(id) })
 	reply(w, struct {
 		Lease int   `json:"lease"`
 		MS    int64 `json:"ttl_ms"`
-	}{name, request.MS})
+	}{id, request.MS})
 }
 
 func (s *Store) serveRenewal(w http.ResponseWriter, r *http.Request) {
-	name, _ := strconv.Atoi(r.PathValue("lease")) // 0 is no lease
+	id, _ := strconv.Atoi(r.PathValue("lease")) // 0 is no lease
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	timer := s.leases[name]
+	timer := s.leases[id]
 	if timer == nil || !timer.Stop() {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	timer.Reset(s.ttls[name])
+	timer.Reset(s.ttls[id])
 	reply(w, struct{}{})
 }
 
 func (s *Store) serveLeaseEnd(w http.ResponseWriter, r *http.Request) {
-	name, _ := strconv.Atoi(r.PathValue("lease")) // 0 is no lease
-	s.endLease(name)
+	id, _ := strconv.Atoi(r.PathValue("lease")) // 0 is no lease
+	s.endLease(id)
 	reply(w, struct{}{})
 }
 
-// endLease ends a lease and removes the entries attached to it.
-func (s *Store) endLease(name int) {
+// endLease ends a lease and removes the keys attached to it.
+func (s *Store) endLease(id int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.leases[name] == nil || name == 0 {
+	if s.leases[id] == nil || id == 0 {
 		return
 	}
-	s.leases[name].Stop()
-	delete(s.leases, name)
+	s.leases[id].Stop()
+	delete(s.leases, id)
 	for key, i := range s.items {
-		if i.Lease == name {
+		if i.Lease == id {
 			s.revision++
 			s.changeAt(s.revision, Item{Key: key, Removed: true})
 		}
--- a/internal/testing/standin/standin_test.go
+++ b/internal/testing/standin/standin_test.go
@@ -32,7 +32,7 @@
 }
 
 func chatCall(content string, tokens, tier int) endpoint.Call {
-	body, _ := json.Marshal(map[string]any{ // a plain map always has a JSON form
+	body, _ := json.Marshal(map[string]any{ // a plain map can always be marshalled
 		"max_tokens": tokens,
 		"messages":   []map[string]string{{"role": "user", "content": content}},
 	})
@@ -110,11 +110,11 @@
 	}
 	store.SetFaults(standin.Faults{LoseSwaps: 1})
 	if _, err := p.Swap(ctx, "a/b", []byte("2"), revision); err == nil || err == kv.ErrConflict || err == storeerr.ErrUnavailable {
-		t.Errorf("a lost answer must leave the outcome open: %v", err)
+		t.Errorf("a lost response must leave the outcome unknown: %v", err)
 	}
 	v, err := p.Get(ctx, "a/b")
 	if err != nil || string(v.Data) != "2" {
-		t.Errorf("after a lost answer: %q, %v", v.Data, err)
+		t.Errorf("after a lost response: %q, %v", v.Data, err)
 	}
 	store.SetFaults(standin.Faults{Down: true})
 	if _, err := p.Swap(ctx, "a/b", []byte("3"), v.Revision); err != storeerr.ErrUnavailable {
--- a/internal/testing/standin/store.go
+++ b/internal/testing/standin/store.go
@@ -85,13 +85,13 @@
 	s.scheduleList(s.without(name))
 }
 
-// without returns a copy of the newest list without a member. The store is locked.
+// without returns a copy of the newest list without a member. Store.mu must be held.
 func (s *Store) without(name string) []kv.Member {
 	return slices.DeleteFunc(slices.Clone(s.newest), func(m kv.Member) bool { return m.Name == name })
 }
 
-// scheduleList sets the newest list and makes it visible after ListLag. The store is
-// locked.
+// scheduleList sets the newest list and makes it visible after ListLag. Store.mu
+// must be held.
 func (s *Store) scheduleList(next []kv.Member) {
 	s.listCount++
 	number := s.listCount
--- a/internal/testing/standin/storehttp.go
+++ b/internal/testing/standin/storehttp.go
@@ -17,7 +17,7 @@
 )
 
 var (
-	errLost     = errors.New("standin: the answer was lost")
+	errLost     = errors.New("standin: the response was lost")
 	errTooLarge = errors.New("standin: the value is too large")
 )
 
@@ -93,7 +93,7 @@
 	_ = json.NewEncoder(w).Encode(v) // the caller may have disconnected
 }
 
-// writeStoreError writes the response for an error. A lost answer breaks the connection.
+// writeStoreError writes the response for an error. A lost response breaks the connection.
 func writeStoreError(w http.ResponseWriter, err error) {
 	switch {
 	case errors.Is(err, errLost):
--- a/internal/testing/thinlink/thinlink.go
+++ b/internal/testing/thinlink/thinlink.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// chunk is the number of bytes that are forwarded at once. It is about one Ethernet frame,
+// chunkBytes is the number of bytes that are forwarded at once. It is about one Ethernet frame,
 // so that small messages pass between large ones.
-const chunk = 1500
+const chunkBytes = 1500
 
 // Link is the relay. Create it with New.
 type Link struct {
@@ -94,7 +94,7 @@
 func (l *Link) forward(to, from net.Conn) {
 	defer func() { _ = to.Close() }()   // ends the other direction
 	defer func() { _ = from.Close() }() // ends the other direction
-	buffer := make([]byte, chunk)
+	buffer := make([]byte, chunkBytes)
 	for {
 		n, err := from.Read(buffer)
 		time.Sleep(time.Until(l.schedule(n)))
