--- a/internal/relay/agent/contents.go
+++ b/internal/relay/agent/contents.go
@@ -6,7 +6,7 @@
 // reports of an entry to the others if they are new, so that entries without a common agent receive
 // each other's reports.
 // Units: one message to each entry for each call that a crash ended, each trial and each success.
-// Never: the agent does not refuse calls on account of crashes; its entries do (internal/relay/entry).
+// Never: the agent does not refuse calls because of crashes; its entries do (internal/relay/entry).
 
 package agent
 
--- a/internal/testing/fleet/hearing_test.go
+++ b/internal/testing/fleet/hearing_test.go
@@ -115,8 +115,8 @@
 
 // TestConcurrentSuccessClearsTrialRecord clears a content by an event of another entry while a trial of
 // it runs here. It guards against a stale record in the store: of two entries that run a trial at the
-// same time the second writes its record after the first has deleted its own. If nobody deletes that
-// record, entries that start later hold a cleared content. The same fault makes
+// same time the second writes its record after the first has deleted its own. If that record is
+// not deleted, entries that start later hold a cleared content. The same fault makes
 // TestTrialThatSucceeds fail under load.
 func TestConcurrentSuccessClearsTrialRecord(t *testing.T) {
 	f := newFleet(t, 1, 1)
--- a/internal/testing/soak/history.go
+++ b/internal/testing/soak/history.go
@@ -232,8 +232,8 @@
 	return late
 }
 
-// timeToLearn returns how long before at entries could have learned of something that happened,
-// counted from the last disturbance after it.
+// timeToLearn returns the time that entries had until at to learn of an event, counted from the event
+// or from the last disturbance after it.
 func (h *history) timeToLearn(at, happened time.Time) time.Duration {
 	known := happened
 	for _, disturbed := range h.disturbances {
