--- a/internal/relay/agent/contents.go
+++ b/internal/relay/agent/contents.go
@@ -6,7 +6,7 @@
 // reports of an entry to the others if they are new, so that entries without a common agent receive
 // each other's reports.
 // Units: one message to each entry for each call that a crash ended, each trial and each success.
-// Never: the agent does not refuse calls on account of crashes; its entries do (internal/relay/entry).
+// Never: the agent does not refuse calls because of crashes; its entries do (internal/relay/entry).
 
 package agent
 
@@ -53,7 +53,7 @@
 		c = crash{name: fmt.Sprintf("%s/%s@%d", a.options.Name, x.Endpoint, steady.Wall().UnixMilli()), at: now}
 		a.crashes[x.Endpoint] = c
 	case began.After(c.at):
-		return nil // the call began after the crash
+		return nil // the call began after the crash, when the endpoint was not running
 	}
 	a.contents.RecordCrash(c.name, c.at, 0, run)
 	log.With("endpoint", x.Endpoint).With("content", run.Content.String()).Info("The endpoint crashed while running a call.")
--- a/internal/relay/versions/holder.go
+++ b/internal/relay/versions/holder.go
@@ -1,7 +1,6 @@
-// Package versions holds the active settings tree of a process. It fetches newer
-// versions from the platform's key-value service or from a peer (the process at the other
-// end of a connection), and commits operators' changes. A process never returns to a lower
-// version.
+// Package versions holds the active settings tree of a process. It fetches newer versions
+// from the platform's key-value service or from a peer (the process at the other end of a
+// connection), and commits operators' changes. A process never returns to a lower version.
 package versions
 
 import (
@@ -61,8 +60,8 @@
 	h.listeners = append(h.listeners, f)
 }
 
-// Apply activates a version if it is newer than the active one, complete and
-// valid. It reports whether it did.
+// Apply activates a version if it is newer than the active one, complete and valid. It
+// reports whether it did.
 func (h *Holder) Apply(r settings.Root, parts settings.Parts) (bool, error) {
 	held := h.partsOf(r, parts)
 	if h.ForwardOnly {
@@ -96,7 +95,7 @@
 	return held
 }
 
-// setIfNewer sets the state unless a newer version is active.
+// setIfNewer activates a version if it is newer than the active one. It reports whether it did.
 func (h *Holder) setIfNewer(s State) bool {
 	h.order.Lock()
 	defer h.order.Unlock()
@@ -121,8 +120,8 @@
 // Fetch requests a version from a peer.
 type Fetch = func(context.Context, message.SettingsRequest) (message.SettingsReply, error)
 
-// Announced starts fetching a version that a peer holds, if it is newer than the one in
-// force and than any that is being fetched.
+// Announced starts fetching a version that a peer holds, if it is newer than the active one
+// and than any that is being fetched.
 func (h *Holder) Announced(version uint64, fetch Fetch) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
