--- a/coord/memory/doc.go
+++ b/coord/memory/doc.go
@@ -3,7 +3,7 @@
 //
 //   - prompt.go: prompts and their parts, which requests may share;
 //   - cache.go: the parts that an engine is estimated to cache;
-//   - move.go: the duration of transfers between engines, with other transfers in progress;
+//   - transfer.go: the duration of transfers between engines, with other transfers in progress;
 //   - fetch.go: whether an engine fetches missing parts, and from which engine;
 //   - missrate.go: how often a source had evicted the parts that it was estimated to cache.
 //
--- a/internal/direct/directory/bench_test.go
+++ b/internal/direct/directory/bench_test.go
@@ -8,12 +8,12 @@
 	"foxcross.dev/coord/settings"
 )
 
-// BenchmarkRequestBesideNewSettings reads the active settings, as each request does, on one
+// BenchmarkRequestDuringSettingsUpdate reads the active settings, as each request does, on one
 // processor while versions of 10,000 routes that differ in one route are activated. It
 // reports the longest wait in ms of a whole core: 120 to 222 in three runs if a version is
 // compiled under a lock that requests acquire, 18 to 30 in three runs otherwise. The cause of
 // the remaining wait is not traced; garbage collection is suspected.
-func BenchmarkRequestBesideNewSettings(b *testing.B) {
+func BenchmarkRequestDuringSettingsUpdate(b *testing.B) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	const count = 10_000
 	numbers := make([]int, count)
--- a/internal/direct/directory/evacuations.go
+++ b/internal/direct/directory/evacuations.go
@@ -1,4 +1,4 @@
-// Which data centres operators have evacuated.
+// Tracks the data centres that operators have evacuated.
 //
 // Rule: the state with the highest store revision applies, whether it comes from the store's
 // list, its changes, or a peer. It stays while the store is unavailable.
--- a/internal/direct/directory/follow.go
+++ b/internal/direct/directory/follow.go
@@ -1,4 +1,4 @@
-// How a process follows the platform's store.
+// Follows the platform's store.
 //
 // Rule: a reader or standby reads the endpoints, and separately the settings with the
 // evacuated data centres. It then watches each for changes after the last known revision. It
--- a/internal/direct/driver/changes.go
+++ b/internal/direct/driver/changes.go
@@ -15,7 +15,7 @@
 	for _, name := range slices.Sorted(maps.Keys(after)) {
 		if before[name] != after[name] {
 			_, bound := newer.Bounds.fields()[name]
-			differences = append(differences, Difference{Field: name, Before: before[name], After: after[name], InForce: bound})
+			differences = append(differences, Difference{Field: name, Before: before[name], After: after[name], Active: bound})
 		}
 	}
 	return differences
@@ -23,10 +23,10 @@
 
 // Difference is one changed field.
 type Difference struct {
-	Field   string `json:"field"`
-	Before  string `json:"before"`
-	After   string `json:"after"`
-	InForce bool   `json:"in_force"` // already in effect, without a restart
+	Field  string `json:"field"`
+	Before string `json:"before"`
+	After  string `json:"after"`
+	Active bool   `json:"in_force"` // already in effect, without a restart
 }
 
 // fields returns the JSON values of all settings by field name.
--- a/internal/direct/driver/changes_test.go
+++ b/internal/direct/driver/changes_test.go
@@ -17,7 +17,7 @@
 	after.Seeds = []string{"a", "b"}
 	after.Bounds.RetrySlack = 7
 	want := []driver.Difference{
-		{Field: "RetrySlack", Before: "5", After: "7", InForce: true},
+		{Field: "RetrySlack", Before: "5", After: "7", Active: true},
 		{Field: "Seeds", Before: `["a"]`, After: `["a","b"]`},
 	}
 	if got := before.Changes(after); !reflect.DeepEqual(got, want) {
--- a/internal/direct/duties/duties.go
+++ b/internal/direct/duties/duties.go
@@ -2,7 +2,7 @@
 // of the usage of teams. Package coord/duty has the rules; this package runs the loops.
 //
 // counting.go counts requests at every entry and sends the counts to the entries that may hold the
-// duties, campaign.go acquires and renews the lease, keeping.go writes the records in the store,
+// duties, campaign.go acquires and renews the lease, recordwriter.go writes the records in the store,
 // reporting.go sends the reports of written windows, record.go encodes the records.
 //
 // Locks: Duties.mu is not held during calls or while messages are sent. Group's lock may be
--- a/internal/direct/gateway/bodies.go
+++ b/internal/direct/gateway/bodies.go
@@ -1,4 +1,4 @@
-// How much memory bodies may use: those of callers' requests, and responses that are buffered whole
+// Limits the memory of bodies: those of callers' requests, and responses that are buffered whole
 // before they are relayed.
 //
 // Rule: all bodies together may use a fraction of the process's memory, and those of one caller a
--- a/internal/direct/gateway/capacity.go
+++ b/internal/direct/gateway/capacity.go
@@ -1,5 +1,5 @@
-// How many requests an entry may have open at once. The memory of their bodies is limited in
-// bodies.go.
+// Limits the number of requests that an entry has open at once. The memory of their bodies is
+// limited in bodies.go.
 //
 // Rule: a request is refused, as not run and with a Retry-After, when the entry has more open
 // requests than its file descriptors allow.
@@ -64,7 +64,7 @@
 	workers.Signal(c.idle)
 }
 
-// openRequests returns the number of requests without a complete answer.
+// openRequests returns the number of requests without a complete response.
 func (c *capacity) openRequests() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/direct/gateway/content.go
+++ b/internal/direct/gateway/content.go
@@ -1,5 +1,5 @@
-// Which requests are not sent to endpoints, because endpoints have crashed while running the same
-// content. Such a content is held in quarantine.
+// Refuses requests with a content on which endpoints have crashed. Such a content is held in
+// quarantine, and its requests are not sent to endpoints.
 //
 // Rule: coord/quarantine decides, based on the crashes that this entry observed and those that
 // other entries reported. An attempt whose connection broke counts if its endpoint has crashed, was
--- a/internal/direct/gateway/deny.go
+++ b/internal/direct/gateway/deny.go
@@ -2,7 +2,7 @@
 //
 // Rule: a request whose route or key is missing from the settings is denied (404, 401) only within
 // maxConfirmationAge of the last confirmation that the settings are the newest. After that, a newer
-// version may contain the route or key, so the answer is "not ready" with a Retry-After.
+// version may contain the route or key, so the response is "not ready" with a Retry-After.
 // Inputs: the time at which the store or another entry last confirmed the settings.
 // Never: a request whose route and key are in the settings is refused because of the settings' age.
 
@@ -35,10 +35,10 @@
 // request.
 func mayDeny(age time.Duration) bool { return age <= maxConfirmationAge }
 
-// notReady returns the answer to a request that arrives while this entry has no settings or no
+// notReady returns the error for a request that arrives while this entry has no settings or no
 // endpoints, or may not have the newest ones. A state that has lasted for some time is expected to
 // last as long again, so that time is the Retry-After, within bounds. An entry that has just
-// started has both after some 0.1 s, and a caller told to return after 3 s then misses its target
+// started has both after some 0.1 s, and a caller that retries only after 3 s then misses its target
 // (839 of 1,782 requests of two seconds after a power loss of all entries).
 func notReady(reason string, elapsed time.Duration) *result.Error {
 	after := min(max(elapsed, minNotReadyRetryAfter), maxNotReadyRetryAfter)
--- a/internal/direct/gateway/dump.go
+++ b/internal/direct/gateway/dump.go
@@ -15,7 +15,7 @@
 	Revision        uint64                    `json:"endpoints_revision"`
 	StoreResponds   bool                      `json:"following_store"`
 	ConfirmedMS     int64                     `json:"confirmed_ms_ago"` // time since the settings were last confirmed as the newest
-	Behind          SettingsLag               `json:"settings_behind"`
+	SettingsLag     SettingsLag               `json:"settings_behind"`
 	LiveEntries     int                       `json:"live_entries"`
 	OpenRequests    int                       `json:"open_requests"`
 	BodyBytes       int64                     `json:"body_bytes"` // reserved for bodies of requests and responses
@@ -31,9 +31,9 @@
 // SettingsLag is how far the settings are behind those of other entries. It is zero if no other
 // entry has newer ones.
 type SettingsLag struct {
-	Newest      uint64 `json:"newest_version"` // newest version that is active at any entry
-	ForMS       int64  `json:"for_ms"`         // time since a newer version was first announced
-	Outstanding int64  `json:"outstanding_bytes"`
+	NewestVersion    uint64 `json:"newest_version"` // newest version that is active at any entry
+	DurationMS       int64  `json:"for_ms"`         // time since a newer version was first announced
+	OutstandingBytes int64  `json:"outstanding_bytes"`
 }
 
 // Dump returns the current state.
@@ -50,7 +50,7 @@
 	evacuations := g.directory.Evacuations()
 	d.Evacuated, d.EvacuationsRevision = append([]string{}, evacuations.DataCentres...), evacuations.Revision
 	behind := g.directory.SettingsLag()
-	d.Behind = SettingsLag{Newest: behind.Newest, ForMS: behind.Duration.Milliseconds(), Outstanding: behind.OutstandingBytes}
+	d.SettingsLag = SettingsLag{NewestVersion: behind.Newest, DurationMS: behind.Duration.Milliseconds(), OutstandingBytes: behind.OutstandingBytes}
 	d.OpenRequests = g.capacity.openRequests()
 	d.BodyBytes = g.bodyMemory.reserved()
 	d.LiveEntries, d.Endpoints = g.dispatcher.endpointStates()
--- a/internal/direct/gateway/export_test.go
+++ b/internal/direct/gateway/export_test.go
@@ -15,7 +15,7 @@
 	g.refusing.Store(true)
 }
 
-// WriteFailure writes the answer to a request that failed.
+// WriteFailure writes the response to a request that failed.
 func WriteFailure(w http.ResponseWriter, f *result.Error) { writeFailure(w, f) }
 
 // ReservedBodyBytes returns the number of bytes reserved for bodies.
--- a/internal/direct/gateway/forward.go
+++ b/internal/direct/gateway/forward.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// finalFailure returns the answer to a request whose last attempt failed. If every endpoint is in
+// finalFailure returns the response to a request whose last attempt failed. If every endpoint is in
 // backoff, its Retry-After is the time until the first backoff ends.
 func (f *forwarding) finalFailure(last *attempt, failed *result.Error) *result.Error {
 	if !last.backoffRequested || failed.Run != result.NotRun {
--- a/internal/direct/gateway/gateway.go
+++ b/internal/direct/gateway/gateway.go
@@ -21,7 +21,7 @@
 //	content.go    refuses requests whose content has crashed endpoints
 //	suspects.go   state of such contents
 //	held.go       their records in the store
-//	whole.go      relays a response
+//	response.go   relays a response
 //	stream.go     relays a stream, and resumes it after a break
 //	report.go     writes the log line and the metrics of the request
 //
--- a/internal/direct/gateway/golden_test.go
+++ b/internal/direct/gateway/golden_test.go
@@ -130,9 +130,9 @@
 			} {
 				w := httptest.NewRecorder()
 				gateway.WriteFailure(w, f)
-				answer, err := httputil.DumpResponse(w.Result(), true)
+				response, err := httputil.DumpResponse(w.Result(), true)
 				Expect(err).NotTo(HaveOccurred())
-				fmt.Fprintf(&got, "%s\n----\n", answer)
+				fmt.Fprintf(&got, "%s\n----\n", response)
 			}
 		}
 		golden.Compare(GinkgoT(), "answers.golden", got.String())
--- a/internal/direct/gateway/held.go
+++ b/internal/direct/gateway/held.go
@@ -1,4 +1,4 @@
-// Which contents are held, in the store's records.
+// Writes the held contents to the store's records, and reads them.
 //
 // Rule: the entry that observes the crash by which a content becomes held, or by which its trial
 // failed, writes the record. Records are read by an entry that starts and finds no other entry to
@@ -8,7 +8,7 @@
 // succeeds.
 // Inputs: the store's records, true time.
 // Units: calls to the store: one for a content that becomes held, three for a trial, one for a data
-// centre that starts anew. None for a content that is not held.
+// centre in which all entries have restarted. None for a content that is not held.
 // Never: a trial is sent while the store does not respond; the content stays held. Only if it is
 // doubtful whether the content caused the crashes does each entry try it on its own.
 
--- a/internal/direct/gateway/limits_test.go
+++ b/internal/direct/gateway/limits_test.go
@@ -33,7 +33,7 @@
 
 	DescribeTable("is not limited by an invalid value", func(values ...string) {
 		h := newHarness(okResponse)
-		h.runners[0].NameLimit(values...)
+		h.runners[0].AdvertiseLimit(values...)
 		h.get("/page/1").expectWhole(http.StatusOK)
 		Expect(h.limitOf(h.runners[0])).To(BeZero())
 		h.get("/page/2").expectWhole(http.StatusOK)
@@ -49,7 +49,7 @@
 
 	DescribeTable("is limited by a valid value, adjusted to the bounds", func(value string, want float64) {
 		h := newHarness(okResponse)
-		h.runners[0].NameLimit(value)
+		h.runners[0].AdvertiseLimit(value)
 		h.get("/page/1").expectWhole(http.StatusOK)
 		Expect(h.limitOf(h.runners[0])).To(Equal(want))
 	},
@@ -60,7 +60,7 @@
 
 	It("is limited by a response that reports the request as not run", func() {
 		h := newHarness(okResponse)
-		h.runners[0].NameLimit("3")
+		h.runners[0].AdvertiseLimit("3")
 		h.runners[0].Enqueue(platformtest.Refuse{Status: http.StatusServiceUnavailable})
 		h.get("/once/1")
 		Expect(h.limitOf(h.runners[0])).To(Equal(3.0))
@@ -68,9 +68,9 @@
 
 	It("is limited until a response has no limit", func() {
 		h := newHarness(okResponse)
-		h.runners[0].NameLimit("500")
+		h.runners[0].AdvertiseLimit("500")
 		h.get("/page/1").expectWhole(http.StatusOK)
-		h.runners[0].NameLimit()
+		h.runners[0].AdvertiseLimit()
 		Eventually(func() float64 {
 			h.get("/page/2")
 			return h.limitOf(h.runners[0])
@@ -79,9 +79,9 @@
 
 	It("stays limited after an error response without a limit", func() {
 		h := newHarness(okResponse)
-		h.runners[0].NameLimit("500")
+		h.runners[0].AdvertiseLimit("500")
 		h.get("/page/1").expectWhole(http.StatusOK)
-		h.runners[0].NameLimit()
+		h.runners[0].AdvertiseLimit()
 		time.Sleep(100 * time.Millisecond) // requests sent from now on are sent after the limit was received
 		h.runners[0].Enqueue(platformtest.Fail{Status: http.StatusInternalServerError})
 		h.get("/once/1")
@@ -90,7 +90,7 @@
 
 	It("is named in the refusal with a Retry-After if no other endpoint is left", func() {
 		h := newHarness(okResponse)
-		h.runners[0].NameLimit(lowLimit)
+		h.runners[0].AdvertiseLimit(lowLimit)
 		h.get("/page/1").expectWhole(http.StatusOK)
 		refused := h.get("/page/2")
 		refused.expectWhole(http.StatusServiceUnavailable)
@@ -103,7 +103,7 @@
 
 	It("gets no retry", func() {
 		h := newHarness(okResponse)
-		h.runners[0].NameLimit(lowLimit)
+		h.runners[0].AdvertiseLimit(lowLimit)
 		h.get("/page/1").expectWhole(http.StatusOK)
 		h.addRunner(platformtest.NewRunner("i-2", service, platformtest.Fail{Status: http.StatusInternalServerError}))
 		Expect(h.get("/page/2").status).To(BeNumerically(">=", http.StatusInternalServerError))
@@ -113,7 +113,7 @@
 
 	It("gets no resumed stream", func() {
 		h := newHarness(okResponse)
-		h.runners[0].NameLimit(lowLimit)
+		h.runners[0].AdvertiseLimit(lowLimit)
 		h.get("/page/1").expectWhole(http.StatusOK)
 		h.addRunner(platformtest.NewRunner("i-2", service, platformtest.Events{To: 2, Broken: true}))
 		h.do(h.request(http.MethodPost, "/chat/1", "a question")).expectTruncated()
@@ -123,7 +123,7 @@
 	It("is not limited after it restarts under the same ID", func() {
 		h := newHarness(okResponse)
 		first := h.runners[0]
-		first.NameLimit(lowLimit)
+		first.AdvertiseLimit(lowLimit)
 		h.get("/page/1").expectWhole(http.StatusOK)
 		first.Close()
 		again := platformtest.NewRunner(first.ID, service, okResponse)
--- a/internal/direct/gateway/outcome.go
+++ b/internal/direct/gateway/outcome.go
@@ -1,5 +1,5 @@
-// Whether a request is retried, resumed, answered or given up, and what the caller is told about
-// whether it was run.
+// Decides whether a request is retried, resumed, answered or given up, and which state of execution
+// (run, not run, unknown) the caller receives.
 //
 // Rules:
 //   - a request that was certainly not run (no connection, or the endpoint reported it) is sent to
@@ -148,7 +148,7 @@
 	return &result.Error{Code: result.Unresumable, Run: result.Ran, Reason: res.text()}
 }
 
-// newFailure returns the gateway's answer to a request that was given up. If no attempt may have
+// newFailure returns the gateway's response to a request that was given up. If no attempt may have
 // run, it says "not run" and has a Retry-After. Otherwise it has a code whose status does not imply
 // that the request was not run.
 func newFailure(code result.Code, reason string, mayHaveRun bool) *result.Error {
@@ -164,7 +164,7 @@
 	return &result.Error{Code: code, Run: result.NotRun, Reason: reason, RetryAfter: noEndpointRetryAfter}
 }
 
-// noEndpoint returns the answer to a request for which there is no endpoint to try.
+// noEndpoint returns the response to a request for which there is no endpoint to try.
 func noEndpoint(unavailability placement.Unavailability, mayHaveRun bool) *result.Error {
 	var code result.Code
 	reason := unavailability.Reason.String()
@@ -197,7 +197,7 @@
 	return failure
 }
 
-// deadlineFailure returns the answer to a request whose deadline has passed.
+// deadlineFailure returns the response to a request whose deadline has passed.
 func deadlineFailure(mayHaveRun bool) *result.Error {
 	if !mayHaveRun {
 		return &result.Error{Code: result.GaveUp, Run: result.NotRun, RetryAfter: noEndpointRetryAfter}
--- a/internal/direct/gateway/runs.go
+++ b/internal/direct/gateway/runs.go
@@ -1,4 +1,4 @@
-// Which requests count as run, for the usage of teams.
+// Counts the requests that were run, for the usage of teams.
 //
 // Rule: a request counts once, at the first evidence that an endpoint began to run it: the first
 // event of a stream, or a response that does not report that the request was not run.
--- a/internal/direct/gateway/server_test.go
+++ b/internal/direct/gateway/server_test.go
@@ -97,12 +97,12 @@
 		write("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\nab")
 		time.Sleep(2 * testIdleLimit)
 		write("cd")
-		answers := bufio.NewReader(caller)
-		answer, err := http.ReadResponse(answers, nil)
+		responses := bufio.NewReader(caller)
+		response, err := http.ReadResponse(responses, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if body, err := io.ReadAll(answer.Body); string(body) != "abcd" || err != nil {
+		if body, err := io.ReadAll(response.Body); string(body) != "abcd" || err != nil {
 			t.Fatalf("got %q, %v", body, err)
 		}
 		time.Sleep(2 * testIdleLimit) // idle between requests
--- a/internal/direct/gateway/stop.go
+++ b/internal/direct/gateway/stop.go
@@ -1,4 +1,4 @@
-// How a graceful shutdown uses its grace period.
+// Divides the grace period of a graceful shutdown.
 //
 // Rule: from the signal on, the process is not ready. Requests are still accepted for acceptShare
 // of the grace period, because the load balancer needs a moment to notice, but only for
--- a/internal/direct/gateway/upload.go
+++ b/internal/direct/gateway/upload.go
@@ -120,7 +120,7 @@
 	return nil
 }
 
-// failure returns the answer to a request whose body could not be read.
+// failure returns the response to a request whose body could not be read.
 func (u *upload) failure(err error, maxBytes int) *result.Error {
 	var tooLarge *http.MaxBytesError
 	switch {
@@ -151,7 +151,7 @@
 	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(timeout)) // fails only without a connection
 }
 
-// entryFull returns the answer to a request for which this entry has no capacity.
+// entryFull returns the response to a request for which this entry has no capacity.
 func entryFull(reason string) *result.Error {
 	return &result.Error{Code: result.EntryFull, Run: result.NotRun, RetryAfter: fullRetryAfter, Reason: reason}
 }
--- a/internal/direct/peers/golden_test.go
+++ b/internal/direct/peers/golden_test.go
@@ -61,7 +61,7 @@
 			Heartbeat: heartbeat{Name: "entry-2", ConfirmedAgeMS: 1, StoreResponseAgeMS: 2, Relayed: true, DataCentre: "z", Reply: true, Informed: true}}}}},
 		{"holder", packet{Owner: 7, Heartbeat: &heartbeat{Name: "entry-1", ConfirmedAgeMS: -1, StoreResponseAgeMS: -1, ClockMS: 1_700_000_000_000, Fence: 12}}},
 		{"usage", packet{Owner: 7, Usage: &usage{ThroughMS: 1_700_000_000_000, Windows: []usageCount{{Window: 340_000_000, Total: 5, Counts: map[string]int64{"a": 5}}}}}},
-		{"evacuations", packet{Owner: 7, Heartbeat: &heartbeat{Name: "entry-1", ConfirmedAgeMS: -1, StoreResponseAgeMS: -1, Evacuated: []string{"z"}, EvacuatedAt: 12, Presence: true}}},
+		{"evacuations", packet{Owner: 7, Heartbeat: &heartbeat{Name: "entry-1", ConfirmedAgeMS: -1, StoreResponseAgeMS: -1, Evacuated: []string{"z"}, EvacuationsRevision: 12, Presence: true}}},
 		{"presence", packet{Owner: 7, Hop: hopRemote, Presence: &presence{DataCentre: "z", Members: []byte{0, 0, 0, 8, 30}}}},
 		{"first heartbeat", packet{Owner: 7, Heartbeat: &heartbeat{Name: "entry-1", ConfirmedAgeMS: -1, StoreResponseAgeMS: -1}}},
 	} {
--- a/internal/direct/peers/heartbeat.go
+++ b/internal/direct/peers/heartbeat.go
@@ -70,7 +70,7 @@
 	}
 	h.StoreCallFailed = h.Reading && !d.StoreResponds()
 	evacuations := d.Evacuations()
-	h.Evacuated, h.EvacuatedAt = evacuations.DataCentres, evacuations.Revision
+	h.Evacuated, h.EvacuationsRevision = evacuations.DataCentres, evacuations.Revision
 	return h
 }
 
@@ -97,7 +97,7 @@
 	return to
 }
 
-// replyWithHeartbeat answers a heartbeat that asks for a reply.
+// replyWithHeartbeat replies to a heartbeat that asks for a reply.
 func (g *Group) replyWithHeartbeat(m *net.UDPAddr, dataCentre string, now time.Time) {
 	p := g.newPacket()
 	p.Heartbeat = g.newHeartbeat()
--- a/internal/direct/peers/packet.go
+++ b/internal/direct/peers/packet.go
@@ -145,14 +145,14 @@
 	ClockMS    int64  `cbor:"13,keyasint,omitempty"` // the sender's wall clock, in ms since 1970
 	Fence      uint64 `cbor:"14,keyasint,omitempty"` // with which the sender holds the duties, 0 if it does not
 
-	Evacuated   []string `cbor:"15,keyasint,omitempty"` // data centres, at EvacuatedAt
-	EvacuatedAt uint64   `cbor:"16,keyasint,omitempty"` // revision of the store, 0 if unknown
-	Presence    bool     `cbor:"17,keyasint,omitempty"` // the sender supports packets with a presence
+	Evacuated           []string `cbor:"15,keyasint,omitempty"` // data centres, at EvacuationsRevision
+	EvacuationsRevision uint64   `cbor:"16,keyasint,omitempty"` // revision of the store, 0 if unknown
+	Presence            bool     `cbor:"17,keyasint,omitempty"` // the sender supports packets with a presence
 }
 
 // evacuations returns the evacuated data centres known to the sender.
 func (h *heartbeat) evacuations() driver.Evacuations {
-	return driver.Evacuations{Revision: h.EvacuatedAt, DataCentres: h.Evacuated}
+	return driver.Evacuations{Revision: h.EvacuationsRevision, DataCentres: h.Evacuated}
 }
 
 const (
--- a/internal/direct/peers/presence_test.go
+++ b/internal/direct/peers/presence_test.go
@@ -34,7 +34,7 @@
 		m, _ := g.findOrAddMember(packet{Owner: uint64(n+1) * 0x9e3779b97f4a7c15}, address, now)
 		g.applyHeartbeat(m, &heartbeat{
 			Name: fmt.Sprintf("edge-data-centre-%d-%d", n%6, n/6), DataCentre: fmt.Sprint("dc-", n%6), Relayed: true, Presence: true,
-			ReadCost: 100 + n, Informed: true, ConfirmedAgeMS: 120, StoreResponseAgeMS: 90, ClockMS: 1_760_000_000_000, EvacuatedAt: 12_345,
+			ReadCost: 100 + n, Informed: true, ConfirmedAgeMS: 120, StoreResponseAgeMS: 90, ClockMS: 1_760_000_000_000, EvacuationsRevision: 12_345,
 		}, now)
 		m.initialRecordsSent = true
 		g.mu.Unlock()
--- a/internal/direct/peers/relay.go
+++ b/internal/direct/peers/relay.go
@@ -2,8 +2,8 @@
 //
 // Rule: package fanout chooses relays among the live members. Each relay that this process uses,
 // or would use next, is probed every probeInterval, or every liveProbeInterval if a packet from
-// it arrived within probeInterval. A relay that has not answered for probeTimeout is passed over
-// until it answers.
+// it arrived within probeInterval. A relay that has not responded for probeTimeout is passed over
+// until it responds.
 // Inputs: the members, their probe replies, the time.
 // Units: milliseconds.
 // Never: a peer of an older version is a relay.
@@ -26,7 +26,7 @@
 	liveProbeInterval = time.Second
 	// probeTimeout is how long a relay may leave probes unanswered. When a relay crashes, half
 	// of the events that its data centre sends within 0.3 to 0.4 s are lost. A peer whose
-	// processor quota is used up does not answer for 0.1 s.
+	// processor quota is used up does not respond for 0.1 s.
 	probeTimeout = 300 * time.Millisecond
 	// planMaxAge is how long a plan is kept if no member changes.
 	planMaxAge = probeInterval
--- a/internal/direct/upstream/crashed.go
+++ b/internal/direct/upstream/crashed.go
@@ -1,4 +1,4 @@
-// Tells a crashed endpoint from a single broken connection to it.
+// Distinguishes a crashed endpoint from a single broken connection to it.
 //
 // Rule: after a connection with a request in flight breaks, one new connection is dialed. If it
 // is refused, no process listens at the address: the endpoint has crashed. If it is accepted, the
--- a/internal/process/entry.go
+++ b/internal/process/entry.go
@@ -122,7 +122,7 @@
 		Owner:      c.Name,
 		Partitions: c.ClaimPartitions,
 		Entries:    entries,
-		Rules: claim.Settings{
+		Settings: claim.Settings{
 			Period:        config.Milliseconds(c.ClaimPeriodMS, claims.DefaultPeriod),
 			RetainPeriods: int64(c.ClaimRetain),
 		},
--- a/internal/process/gauges.go
+++ b/internal/process/gauges.go
@@ -31,8 +31,8 @@
 		scope.Gauge("live_entries").Update(float64(d.LiveEntries))
 		scope.Gauge("settings_version").Update(float64(d.Version))
 		scope.Gauge("following_store").Update(followingStore)
-		scope.Gauge("settings_behind_seconds").Update(float64(d.Behind.ForMS) / 1000)
-		scope.Gauge("settings_outstanding_bytes").Update(float64(d.Behind.Outstanding))
+		scope.Gauge("settings_behind_seconds").Update(float64(d.SettingsLag.DurationMS) / 1000)
+		scope.Gauge("settings_outstanding_bytes").Update(float64(d.SettingsLag.OutstandingBytes))
 	})
 }
 
--- a/internal/relay/claims/claims.go
+++ b/internal/relay/claims/claims.go
@@ -41,12 +41,12 @@
 
 var log = logs.For("claims")
 
-// Options configures a Batcher. Partitions and Rules must be the same at all entries.
+// Options configures a Batcher. Partitions and Settings must be the same at all entries.
 type Options struct {
 	KeyValue     kv.KeyValue
 	Owner        string           // name of the process, unique among the live ones
 	Partitions   int              // 0 for DefaultPartitions
-	Rules        claim.Settings   // zero fields for the defaults
+	Settings     claim.Settings   // zero fields for the defaults
 	Entries      func() int       // live entries that share the service, nil for one
 	SwapInterval time.Duration    // least time between swaps of a partition, 0 to derive it from Entries
 	Now          func() time.Time // nil for the wall clock
@@ -75,11 +75,11 @@
 	if o.Partitions <= 0 {
 		o.Partitions = DefaultPartitions
 	}
-	if o.Rules.Period <= 0 {
-		o.Rules.Period = DefaultPeriod
+	if o.Settings.Period <= 0 {
+		o.Settings.Period = DefaultPeriod
 	}
-	if o.Rules.RetainPeriods <= 0 {
-		o.Rules.RetainPeriods = DefaultRetain
+	if o.Settings.RetainPeriods <= 0 {
+		o.Settings.RetainPeriods = DefaultRetain
 	}
 	if o.Entries == nil {
 		o.Entries = func() int { return 1 }
--- a/internal/relay/claims/partition.go
+++ b/internal/relay/claims/partition.go
@@ -113,7 +113,7 @@
 		return err
 	}
 	now := p.options.Now()
-	if p.head.NeedsRoll(now, p.options.Rules) {
+	if p.head.NeedsRoll(now, p.options.Settings) {
 		if err := p.roll(ctx, now); err != nil {
 			return err
 		}
@@ -124,7 +124,7 @@
 		requests = append(requests, w.Request)
 	}
 	requests = append(requests, releases...)
-	next, outcomes := p.head.Apply(now, p.options.Rules, requests, p.claimInSegments)
+	next, outcomes := p.head.Apply(now, p.options.Settings, requests, p.claimInSegments)
 	if err := p.swap(ctx, next); err != nil {
 		p.requeueReleases(releases)
 		return err
@@ -220,7 +220,7 @@
 		return err
 	}
 	claims := p.head.Claims
-	next := p.head.Roll(now, p.options.Rules, name)
+	next := p.head.Roll(now, p.options.Settings, name)
 	if err := p.swap(ctx, next); err != nil {
 		return err
 	}
