--- a/examples/local/measure.go
+++ b/examples/local/measure.go
@@ -87,7 +87,7 @@
 	pending.Wait()
 }
 
-// sendRequest sends a request and records its answer.
+// sendRequest sends a request and records its response.
 func (d *user) sendRequest(ctx context.Context, k requestKind, class settings.ClassInfo, url, id, prompt string, t *classStats, mu *sync.Mutex) {
 	c := caller.Caller{URL: url, Key: k.team + trees.KeySuffix, Class: k.class}
 	s := history.Submitted{ID: id, Class: k.class, Tier: class.Terms.Tier, Repeatable: class.Terms.Repeatable, At: time.Now()}
--- a/internal/relay/agent/run.go
+++ b/internal/relay/agent/run.go
@@ -18,7 +18,7 @@
 
 var errEnded = errors.New("agent: the attempt is over")
 
-// run is an attempt whose start was received, with the stream for its answer.
+// run is an attempt whose start was received, with the stream for its response.
 type run struct {
 	agent   *Agent
 	key     queue.Key
--- a/internal/relay/config/config.go
+++ b/internal/relay/config/config.go
@@ -53,7 +53,7 @@
 	Fanout       int `json:"fanout"`          // agents that a request is offered to at once; binding.DefaultFanout
 
 	StopGraceMS   int `json:"stop_grace_ms"`   // from failing the readiness check to refusing requests; DefaultStopGrace
-	StopTimeoutMS int `json:"stop_timeout_ms"` // for running answers; DefaultStopTimeout
+	StopTimeoutMS int `json:"stop_timeout_ms"` // for running responses; DefaultStopTimeout
 	MemberListMS  int `json:"member_list_ms"`  // between reads of the member list; entry.DefaultListInterval
 
 	ClaimIntervalMS int `json:"claim_pace_ms"`    // shortest time between swaps of a partition; default derived from the number of entries
@@ -102,7 +102,7 @@
 	// DefaultStopGrace is the default time from failing the readiness check to refusing
 	// requests, in which the load balancer notices.
 	DefaultStopGrace = 2 * time.Second
-	// DefaultStopTimeout is the default time that a graceful stop waits for running answers.
+	// DefaultStopTimeout is the default time that a graceful stop waits for running responses.
 	DefaultStopTimeout = 10 * time.Minute
 )
 
--- a/internal/relay/endpoint/chat.go
+++ b/internal/relay/endpoint/chat.go
@@ -38,8 +38,8 @@
 	return &chat{url: base.JoinPath(chatPath).String(), host: hostOf(base), client: newClient(true)}, nil
 }
 
-// Run streams an answer. The request holds the tier as the engine's priority and the
-// text that the caller already has as the beginning of the answer.
+// Run streams a response. The request holds the tier as the engine's priority and the
+// text that the caller already has as the beginning of the response.
 func (e *chat) Run(ctx context.Context, c Call, k Sink) message.End {
 	body, err := chatBody(c)
 	if errors.Is(err, errAnswerComplete) {
@@ -65,10 +65,10 @@
 }
 
 // errAnswerComplete means that the caller already has as many tokens as it requested: only
-// the end of the answer was lost.
+// the end of the response was lost.
 var errAnswerComplete = errors.New("endpoint: the answer has reached its token limit")
 
-// finishLength is the finish reason of an answer that reached its limit.
+// finishLength is the finish reason of a response that reached its limit.
 const finishLength = "length"
 
 type chatMessage struct {
@@ -144,7 +144,7 @@
 	} `json:"error"`
 }
 
-// chatChoice is one choice of an event. An answer is more than text if a choice has
+// chatChoice is one choice of an event. A response is more than text if a choice has
 // fields other than those that plainText reads.
 type chatChoice map[string]json.RawMessage
 
--- a/internal/relay/endpoint/endpoint.go
+++ b/internal/relay/endpoint/endpoint.go
@@ -17,7 +17,7 @@
 	Start  message.Start
 }
 
-// Sink receives an answer. If a method returns an error, the driver stops: no more of the
+// Sink receives a response. If a method returns an error, the driver stops: no more of the
 // answer is wanted.
 type Sink interface {
 	// Head receives the status and the header of a service's response.
--- a/internal/relay/endpoint/endpoint_test.go
+++ b/internal/relay/endpoint/endpoint_test.go
@@ -18,7 +18,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// sink records an answer.
+// sink records a response.
 type sink struct {
 	mu     sync.Mutex
 	text   strings.Builder
--- a/internal/relay/endpoint/http.go
+++ b/internal/relay/endpoint/http.go
@@ -20,7 +20,7 @@
 const (
 	// dialTimeout bounds setting up a connection to an endpoint.
 	dialTimeout = 2 * time.Second
-	// readBufferBytes is the size of the buffer for reading an answer.
+	// readBufferBytes is the size of the buffer for reading a response.
 	readBufferBytes = 16 << 10
 	// maxIdle is the maximum number of idle connections to one endpoint.
 	maxIdle = 1024
--- a/internal/relay/entry/attempt.go
+++ b/internal/relay/entry/attempt.go
@@ -82,7 +82,7 @@
 	e.wake()
 }
 
-// run sends the start and forwards the answer.
+// run sends the start and forwards the response.
 func (a *attempt) run() {
 	ctx, cancel := context.WithTimeout(context.Background(), openTimeout)
 	st, err := a.session.Open(ctx)
@@ -126,7 +126,7 @@
 	}
 }
 
-// forwardAnswer forwards the answer until its end.
+// forwardAnswer forwards the response until its end.
 func (a *attempt) forwardAnswer(st link.Stream) message.End {
 	for {
 		m, err := st.Receive()
@@ -149,7 +149,7 @@
 }
 
 // deliver calls put if the message belongs to this attempt and the attempt is the current
-// one of its request. An answer is unresumable once it holds more than text: it can't be
+// one of its request. A response is unresumable once it holds more than text: it can't be
 // continued by another attempt.
 func (a *attempt) deliver(id message.RequestID, n message.Attempt, unresumable bool, put func()) {
 	if id != a.key.request || n != a.key.attempt {
--- a/internal/relay/entry/call.go
+++ b/internal/relay/entry/call.go
@@ -13,7 +13,7 @@
 	"foxcross.dev/foxcross/internal/workers"
 )
 
-// maxPendingBytes is how many bytes of an answer may wait for a slow caller before the entry stops
+// maxPendingBytes is how many bytes of a response may wait for a slow caller before the entry stops
 // reading the agent's stream.
 const maxPendingBytes = 1 << 20
 
@@ -37,7 +37,7 @@
 func (head) fragment()     {}
 func (finished) fragment() {}
 
-// call is an accepted request and the answer that is buffered for its caller.
+// call is an accepted request and the response that is buffered for its caller.
 type call struct {
 	id      message.RequestID
 	request binding.Request
--- a/internal/relay/entry/chat.go
+++ b/internal/relay/entry/chat.go
@@ -151,7 +151,7 @@
 	return chatCompletion{ID: cw.id, Object: object, Created: cw.created, Model: cw.model, Choices: raw}
 }
 
-// writeAll collects the answer and writes it as one response.
+// writeAll collects the response and writes it in one piece.
 func (cw chatWriter) writeAll(w http.ResponseWriter, r *http.Request, c *call) {
 	var content strings.Builder
 	var choices json.RawMessage
@@ -207,7 +207,7 @@
 	return &chatUsage{Prompt: f.End.PromptTokens, Completion: c.sentTokens, Total: f.End.PromptTokens + c.sentTokens}
 }
 
-// stream writes the answer as server-sent events while it is received.
+// stream writes the response as server-sent events while it is received.
 func (cw chatWriter) stream(w http.ResponseWriter, r *http.Request, c *call) {
 	s := eventStream{writer: w, controller: http.NewResponseController(w)}
 	for {
--- a/internal/relay/entry/entry.go
+++ b/internal/relay/entry/entry.go
@@ -1,5 +1,5 @@
 // Package entry implements the entry process, which accepts requests from callers. It owns
-// each accepted request until the answer is written, leaves decisions to package binding,
+// each accepted request until the response is written, leaves decisions to package binding,
 // and exchanges messages with agents.
 //
 // Lock order: Entry.mu, then call.mu. Nothing blocks while Entry.mu is held.
@@ -237,7 +237,7 @@
 	return c, nil
 }
 
-// release removes a call after its answer is written or its caller has disconnected.
+// release removes a call after its response is written or its caller has disconnected.
 func (e *Entry) release(c *call) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/relay/entry/golden_test.go
+++ b/internal/relay/entry/golden_test.go
@@ -19,11 +19,11 @@
 	for _, e := range result.Table {
 		w := httptest.NewRecorder()
 		writeFailure(w, &result.Error{Code: e.Code, Run: result.NotRun, Reason: "why", RetryAfter: 1234 * time.Millisecond})
-		answer, err := httputil.DumpResponse(w.Result(), true)
+		response, err := httputil.DumpResponse(w.Result(), true)
 		if err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintf(&got, "%s\n----\n", answer)
+		fmt.Fprintf(&got, "%s\n----\n", response)
 	}
 	golden.Compare(t, "answers.golden", got.String())
 }
