--- a/internal/testing/bench/settings_test.go
+++ b/internal/testing/bench/settings_test.go
@@ -29,9 +29,9 @@
 	return t.Apply(all)
 }
 
-// BenchmarkAdopt measures the work of a process to activate a new version, and the memory
+// BenchmarkApplyVersion measures the work of a process to activate a new version, and the memory
 // of a version.
-func BenchmarkAdopt(b *testing.B) {
+func BenchmarkApplyVersion(b *testing.B) {
 	for _, teams := range []int{100, 4_000, 40_000} {
 		b.Run(fmt.Sprint("teams=", teams), func(b *testing.B) {
 			r, parts, err := settings.Split(newTree(b, teams), settings.Root{Version: 1})
--- a/internal/testing/caller/caller.go
+++ b/internal/testing/caller/caller.go
@@ -45,7 +45,7 @@
 	Err        error
 }
 
-// errorBody is the body of an answer with an error.
+// errorBody is the body of a response with an error.
 type errorBody struct {
 	Error struct {
 		Code result.Code `json:"code"`
@@ -77,7 +77,7 @@
 
 var defaultClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConnections}}
 
-// Chat sends a prompt and reads the streamed answer.
+// Chat sends a prompt and reads the streamed response.
 func (c Caller) Chat(ctx context.Context, model, prompt string) Answer {
 	body, err := json.Marshal(chatBody{
 		Model:     model,
@@ -218,7 +218,7 @@
 	return Answer{Code: result.OK, Run: result.Ran, Body: string(data), First: took, Total: took}
 }
 
-// Meets reports whether the answer met the targets of its class.
+// Meets reports whether the response met the targets of its class.
 func (a Answer) Meets(c settings.ClassInfo) bool {
 	if a.Code != result.OK || a.First > c.Terms.FirstToken || a.Total > c.Complete {
 		return false
--- a/internal/testing/caller/direct.go
+++ b/internal/testing/caller/direct.go
@@ -16,7 +16,7 @@
 	handler http.Handler
 }
 
-// RoundTrip runs the handler and returns its answer when the header is written.
+// RoundTrip runs the handler and returns its response when the header is written.
 func (d directTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	ctx, cancel := context.WithCancel(r.Context())
 	reader, writer := io.Pipe()
--- a/internal/testing/fleet/innocent_test.go
+++ b/internal/testing/fleet/attribution_test.go
@@ -41,7 +41,7 @@
 }
 
 // TestOtherFailuresAreNotCrashes checks failures that are no crash of an endpoint: a broken connection,
-// a truncated answer, bytes that are no answer, and a failure status.
+// a truncated response, bytes that are no response, and a failure status.
 func TestOtherFailuresAreNotCrashes(t *testing.T) {
 	f := newFleet(t, 2, 3)
 	for _, behavior := range []platformtest.Behavior{
--- a/internal/testing/fleet/crashing_test.go
+++ b/internal/testing/fleet/crashing_test.go
@@ -6,13 +6,13 @@
 //
 // The failure comes about as follows. An entry sends the request to an engine, which crashes
 // within a tenth of a second, and all connections to it break. The entry retries at another
-// engine, which crashes as well, and answers with 502. The caller repeats the request on a new
+// engine, which crashes as well, and responds with 502. The caller repeats the request on a new
 // connection, at another entry, under a new id. If an entry keeps no record of a request's
-// content after the answer, it decides on retries only from the attempts of one request, and
+// content after the response, it decides on retries only from the attempts of one request, and
 // each repetition crashes as many endpoints as the route allows attempts.
 //
 // The signs of such a crash, seen at 31 engines in ten seconds: all connections break within
-// 3 ms, and exactly one request at each engine has not begun its answer. Its id differs each
+// 3 ms, and exactly one request at each engine has not begun its response. Its id differs each
 // time, and none has more attempts than its route allows.
 
 import (
--- a/internal/testing/fleet/evidence_test.go
+++ b/internal/testing/fleet/evidence_test.go
@@ -7,7 +7,7 @@
 	"foxcross.dev/foxcross/internal/testing/standin/platformtest"
 )
 
-// disconnectAt sends a request to an endpoint that does not answer, and disconnects.
+// disconnectAt sends a request to an endpoint that does not respond, and disconnects.
 func (f *fleet) disconnectAt(r *platformtest.Runner) {
 	f.t.Helper()
 	ctx, disconnect := context.WithCancel(context.Background())
@@ -22,7 +22,7 @@
 	}
 }
 
-// addHangingEndpoint starts an endpoint that does not answer and is not replaced if it crashes.
+// addHangingEndpoint starts an endpoint that does not respond and is not replaced if it crashes.
 func (f *fleet) addHangingEndpoint() *platformtest.Runner {
 	f.t.Helper()
 	r := platformtest.NewRunner("i-1", service, platformtest.Hang{})
@@ -43,7 +43,7 @@
 }
 
 // TestLaterStartCountsAsCrash checks that an endpoint listed with a later start counts as crashed
-// under the runs that it did not answer, even if it refuses no connection.
+// under the runs to which it did not respond, even if it refuses no connection.
 func TestLaterStartCountsAsCrash(t *testing.T) {
 	f := newFleet(t, 1, 0)
 	r := f.addHangingEndpoint()
@@ -54,7 +54,7 @@
 }
 
 // TestRefusedConnectionCountsAsCrash checks that an endpoint that refuses connections counts as
-// crashed under the runs that it did not answer, even if its record has not changed.
+// crashed under the runs to which it did not respond, even if its record has not changed.
 func TestRefusedConnectionCountsAsCrash(t *testing.T) {
 	f := newFleet(t, 1, 0)
 	r := f.addHangingEndpoint()
--- a/internal/testing/fleet/fleet_test.go
+++ b/internal/testing/fleet/fleet_test.go
@@ -244,7 +244,7 @@
 	}
 }
 
-// response is the answer that a caller received.
+// response is an HTTP response that a caller received.
 type response struct {
 	status int // 0 if the connection broke
 	header http.Header
--- a/internal/testing/fleet/limits_test.go
+++ b/internal/testing/fleet/limits_test.go
@@ -11,13 +11,13 @@
 	"foxcross.dev/foxcross/internal/testing/standin/platformtest"
 )
 
-// limitGracePeriod is the time after an entry has passed on an answer that names a limit until its
+// limitGracePeriod is the time after an entry has passed on a response that advertises a limit until its
 // requests count.
 const limitGracePeriod = 500 * time.Millisecond
 
-// TestNamedLimitIsKept guards against entries that ignore the limit that an endpoint names in its
-// answers.
-func TestNamedLimitIsKept(t *testing.T) {
+// TestAdvertisedLimitIsRespected guards against entries that ignore the limit that an endpoint
+// advertises in its responses.
+func TestAdvertisedLimitIsRespected(t *testing.T) {
 	const (
 		limit     = 2.0
 		perSecond = 60
@@ -25,9 +25,9 @@
 	)
 	f := newFleet(t, 5, 4)
 	limited := f.endpoints()[0]
-	limited.NameLimit(strconv.FormatFloat(limit, 'f', -1, 64))
+	limited.AdvertiseLimit(strconv.FormatFloat(limit, 'f', -1, 64))
 	for _, e := range f.entries {
-		f.eventually("the entry has passed on an answer that names a limit", func() bool {
+		f.eventually("the entry has passed on a response that advertises a limit", func() bool {
 			return f.request(e, "/page/first", "").header.Get(platformtest.LimitField) != ""
 		})
 	}
@@ -36,7 +36,7 @@
 	most := platformtest.MostWithin(arrivalTimes(limited, from), platformtest.LimitWindow)
 	t.Logf("at most %d requests in %v", most, platformtest.LimitWindow)
 	if allowed := platformtest.MaxRequestsInWindow(limit); float64(most) > allowed {
-		t.Errorf("an endpoint that names a limit of %g a second got %d requests in %v, allowed are %.0f", limit, most, platformtest.LimitWindow, allowed)
+		t.Errorf("an endpoint that advertises a limit of %g a second got %d requests in %v, allowed are %.0f", limit, most, platformtest.LimitWindow, allowed)
 	}
 }
 
--- a/internal/testing/golden/golden.go
+++ b/internal/testing/golden/golden.go
@@ -1,6 +1,6 @@
 // Package golden compares output of the code with files below testdata. Only tests
 // import it. The files record what other programs read or send, so a difference
-// means that a wire format, an answer or a page has changed.
+// means that a wire format, a response or a page has changed.
 package golden
 
 import (
--- a/internal/testing/growth/cost.go
+++ b/internal/testing/growth/cost.go
@@ -34,9 +34,9 @@
 	StoreBytes int           // of the version in the store's encoding
 	PlainBytes int           // of the version as sent between entries, uncompressed
 	PeerBytes  int           // of the version, or its changes, as sent between entries
-	Read       time.Duration // to read the store's answer and activate it
-	Encode     time.Duration // to encode the answer to another entry
-	Apply      time.Duration // to read another entry's answer and activate it
+	Read       time.Duration // to read the store's response and activate it
+	Encode     time.Duration // to encode the response to another entry
+	Apply      time.Duration // to read another entry's response and activate it
 	Heap       int           // bytes of memory in use by the version
 }
 
@@ -96,7 +96,7 @@
 	server := httptest.NewServer(peers.StateHandler(source))
 	defer server.Close()
 	address := strings.TrimPrefix(server.URL, "http://")
-	if err := peers.FetchState(context.Background(), newDirectory(), address, peers.SettingsPart); err != nil { // the answer is cached from now on
+	if err := peers.FetchState(context.Background(), newDirectory(), address, peers.SettingsPart); err != nil { // the response is cached from now on
 		return Cost{}, err
 	}
 	c.Apply, err = measureTime(func() error {
@@ -105,7 +105,7 @@
 	return c, err
 }
 
-// encode returns the size of an answer with all settings, and the size and time of one to
+// encode returns the size of a response with all settings, and the size and time of one to
 // an entry that has the previous version.
 func encode(d *directory.Directory, before int) (plain, compressed int, took time.Duration, err error) {
 	since := 0
@@ -120,7 +120,7 @@
 	return plain, compressed, took, err
 }
 
-// respond returns the answer of a new handler, whose cache is empty.
+// respond returns the response of a new handler, whose cache is empty.
 func respond(d *directory.Directory, query, encoding string) interface{ Len() int } {
 	recorder := httptest.NewRecorder()
 	request := httptest.NewRequest(http.MethodGet, query, http.NoBody)
--- a/internal/testing/growth/spread.go
+++ b/internal/testing/growth/spread.go
@@ -62,7 +62,7 @@
 // fullFetchTimeout bounds a fetch of the whole state by the former rule.
 const fullFetchTimeout = 600 * time.Millisecond
 
-// FormerSpread is Spread by the former rule: the whole state in one answer within 0.6 s,
+// FormerSpread is Spread by the former rule: the whole state in one response within 0.6 s,
 // which a reader sends to all entries that fetch from it at once. ok is false if it never
 // arrives.
 func FormerSpread(c Cost, f Fleet) (last time.Duration, ok bool) {
--- a/internal/testing/history/check.go
+++ b/internal/testing/history/check.go
@@ -109,7 +109,7 @@
 	}
 }
 
-// allReportedNotRun reports whether the answers to all copies say that the request was not run.
+// allReportedNotRun reports whether the responses to all copies say that the request was not run.
 func (q *request) allReportedNotRun() bool {
 	for _, a := range q.answers {
 		if a.Run != result.NotRun {
--- a/internal/testing/history/history.go
+++ b/internal/testing/history/history.go
@@ -20,7 +20,7 @@
 	Class      string
 	Tier       int
 	Repeatable bool
-	WantBody   string // the whole answer
+	WantBody   string // the whole response
 	Copies     int    // number of requests with one idempotency key, 0 for one
 	At         time.Time
 }
@@ -32,8 +32,8 @@
 	At       time.Time
 }
 
-// Answered records the final answer that a caller received. Run is the state of
-// execution according to the answer.
+// Answered records the final response that a caller received. Run is the state of
+// execution according to the response.
 type Answered struct {
 	ID   string
 	Code result.Code
--- a/internal/testing/simulation/at_most_once_test.go
+++ b/internal/testing/simulation/at_most_once_test.go
@@ -15,7 +15,7 @@
 	"foxcross.dev/coord/result"
 )
 
-// TestBookingRunsAtMostOnce checks that a booking runs at most once, and that its answer is true,
+// TestBookingRunsAtMostOnce checks that a booking runs at most once, and that its response is true,
 // if its agent is paused around the start or killed after it.
 func TestBookingRunsAtMostOnce(t *testing.T) {
 	runSimulation(t, trees.Ovenhuis, func(r *simulation.Simulation) history.Rules {
--- a/internal/testing/simulation/clean_stop_test.go
+++ b/internal/testing/simulation/clean_stop_test.go
@@ -12,7 +12,7 @@
 	"foxcross.dev/foxcross/internal/testing/standin"
 )
 
-// TestRollingRestart stops and restarts every agent and entry under load. No answer is truncated and
+// TestRollingRestart stops and restarts every agent and entry under load. No response is truncated and
 // no leaving agent gets new work.
 func TestRollingRestart(t *testing.T) {
 	runSimulation(t, trees.Ovenhuis, func(r *simulation.Simulation) history.Rules {
@@ -52,7 +52,7 @@
 	})
 }
 
-// TestLeavingAgentGetsNoNewWork checks that an agent that leaves during long answers gets no new
+// TestLeavingAgentGetsNoNewWork checks that an agent that leaves during long responses gets no new
 // requests, whether it announces that itself or only the member list does.
 func TestLeavingAgentGetsNoNewWork(t *testing.T) {
 	leave := map[string]func(r *simulation.Simulation, a *simulation.Agent){
--- a/internal/testing/simulation/faults_test.go
+++ b/internal/testing/simulation/faults_test.go
@@ -30,7 +30,7 @@
 var fixedSeeds = []uint64{
 	1,    // no known failure
 	1083, // an agent whose fetch fails keeps old settings until their next change
-	5020, // an answer that lost only its end is continued beyond its token limit
+	5020, // a response that lost only its end is continued beyond its token limit
 	5047, // a process announces two versions in the wrong order
 }
 
--- a/internal/testing/simulation/harness_test.go
+++ b/internal/testing/simulation/harness_test.go
@@ -42,7 +42,7 @@
 	return &standin.Engine{Card: standin.Card{Step: 10 * time.Millisecond}}
 }
 
-// meanAnswerTokens is the mean length of the answers of a load.
+// meanAnswerTokens is the mean length of the responses of a load.
 const meanAnswerTokens = 60
 
 // ovenhuisLoad returns a mix of three classes, each as a fraction of the capacity of the engines at
--- a/internal/testing/simulation/load.go
+++ b/internal/testing/simulation/load.go
@@ -19,7 +19,7 @@
 	Teams  []string
 	Rate   float64 // requests a second
 	Prompt int     // bytes
-	Tokens int     // mean length of an answer
+	Tokens int     // mean length of a response
 }
 
 // ClassResult holds the results of the requests of a class.
@@ -31,7 +31,7 @@
 }
 
 // Load sends requests of the classes for a time, through all entries, and waits for
-// the answers.
+// the responses.
 func (t *Simulation) Load(ctx context.Context, seed uint64, length time.Duration, classes []ClassLoad) []ClassResult {
 	results := make([]ClassResult, len(classes))
 	var senders sync.WaitGroup
--- a/internal/testing/simulation/outage_test.go
+++ b/internal/testing/simulation/outage_test.go
@@ -70,7 +70,7 @@
 }
 
 // TestDataCentreLost kills the entry, the engines and the services of a data centre at once. Callers of
-// other entries get complete answers, nothing runs twice, and only callers of the lost entry get no
+// other entries get complete responses, nothing runs twice, and only callers of the lost entry get no
 // answer.
 func TestDataCentreLost(t *testing.T) {
 	runSimulation(t, trees.Ovenhuis, func(r *simulation.Simulation) history.Rules {
--- a/internal/testing/simulation/simulation.go
+++ b/internal/testing/simulation/simulation.go
@@ -261,7 +261,7 @@
 // MarkRequestID returns the text by which executions of a request are attributed to it.
 func MarkRequestID(id string) string { return requestIDMark + id + requestIDMark }
 
-// Chat sends a chat request and records it and its answer.
+// Chat sends a chat request and records it and its response.
 func (t *Simulation) Chat(ctx context.Context, e *Entry, q Request) caller.Answer {
 	class, found := t.Snapshot.Class(q.Class)
 	if !found {
@@ -283,7 +283,7 @@
 	return a
 }
 
-// Call calls a plain service and records the call and its answer.
+// Call calls a plain service and records the call and its response.
 func (t *Simulation) Call(ctx context.Context, e *Entry, q Request, method, path string) caller.Answer {
 	class, found := t.Snapshot.Class(q.Class)
 	if !found {
@@ -320,7 +320,7 @@
 	Key         string // idempotency key
 	Copies      int    // number of requests with the same key, 0 for one
 	PromptBytes int
-	Tokens      int // of the answer
+	Tokens      int // of the response
 }
 
 // text returns the prompt.
--- a/internal/testing/simulation/whole_answer_test.go
+++ b/internal/testing/simulation/whole_answer_test.go
@@ -15,7 +15,7 @@
 	"foxcross.dev/coord/result"
 )
 
-// TestWholeAnswerAfterACrash kills an agent during its answers. The callers get complete answers, and
+// TestWholeAnswerAfterACrash kills an agent during its responses. The callers get complete responses, and
 // no token is generated twice.
 func TestWholeAnswerAfterACrash(t *testing.T) {
 	runSimulation(t, trees.Ovenhuis, func(r *simulation.Simulation) history.Rules {
@@ -41,7 +41,7 @@
 	})
 }
 
-// TestWholeAnswerAfterAStall freezes an engine during its answer. The answer continues at another
+// TestWholeAnswerAfterAStall freezes an engine during its response. The response continues at another
 // engine.
 func TestWholeAnswerAfterAStall(t *testing.T) {
 	runSimulation(t, trees.Ovenhuis, func(r *simulation.Simulation) history.Rules {
--- a/internal/testing/soak/caller.go
+++ b/internal/testing/soak/caller.go
@@ -15,7 +15,7 @@
 	"foxcross.dev/foxcross/internal/workers"
 )
 
-// requestTimeout is the longest time that a caller waits for an answer.
+// requestTimeout is the longest time that a caller waits for a response.
 const requestTimeout = 5 * time.Second
 
 // observation is what a caller observed of one request.
@@ -23,15 +23,15 @@
 	id               string
 	target           string
 	kind             requestKind
-	status           int // 0 for no answer
+	status           int // 0 for no response
 	seal             string
 	body             string
-	complete         bool        // the answer ended as its framing announces
+	complete         bool        // the response ended as its framing announces
 	gaveUp           bool        // the caller gave up at its timeout or the end of the run
 	servedBy         incarnation // of the entry that received the request, zero if unknown
 	sentAt           time.Time
-	answeredAt       time.Time // when the answer had been read
-	drainingEndpoint string    // id of the endpoint that announced in its answer that it drains, empty for none
+	answeredAt       time.Time // when the response had been read
+	drainingEndpoint string    // id of the endpoint that announced in its response that it drains, empty for none
 }
 
 // requestCount counts the requests of this process.
--- a/internal/testing/soak/connection.go
+++ b/internal/testing/soak/connection.go
@@ -16,8 +16,8 @@
 	responses *bufio.Reader
 }
 
-// exchange sends a request and reads its answer. The answer is nil if none began. The connection
-// is closed if either failed, or if the answer asks for it.
+// exchange sends a request and reads its response. The response is nil if none began. The connection
+// is closed if either failed, or if the response asks for it.
 func (c *connection) exchange(ctx context.Context, q *http.Request) (*http.Response, []byte, error) {
 	if err := c.open(ctx); err != nil {
 		return nil, nil, err
@@ -29,17 +29,17 @@
 		c.close()
 		return nil, nil, err
 	}
-	answer, err := http.ReadResponse(c.responses, q)
+	response, err := http.ReadResponse(c.responses, q)
 	if err != nil {
 		c.close()
 		return nil, nil, err
 	}
-	body, err := io.ReadAll(answer.Body)
-	_ = answer.Body.Close() // it has been read or was truncated
-	if err != nil || answer.Close {
+	body, err := io.ReadAll(response.Body)
+	_ = response.Body.Close() // it has been read or was truncated
+	if err != nil || response.Close {
 		c.close()
 	}
-	return answer, body, err
+	return response, body, err
 }
 
 func (c *connection) open(ctx context.Context) error {
--- a/internal/testing/soak/crashing.go
+++ b/internal/testing/soak/crashing.go
@@ -51,7 +51,7 @@
 	q.Header.Set(platformtest.KeyField, teamKey)
 	c := &connection{entry: e}
 	defer c.close()
-	_, _, _ = c.exchange(ctx, q) // the answer is not checked
+	_, _, _ = c.exchange(ctx, q) // the response is not checked
 }
 
 // awaitCrash waits for the end of an endpoint and replaces it if it has crashed under a request.
--- a/internal/testing/soak/entry.go
+++ b/internal/testing/soak/entry.go
@@ -260,7 +260,7 @@
 }
 
 // settingsVersion returns the active settings version of the entry. It returns false if the entry
-// does not answer.
+// does not respond.
 func (e *entry) settingsVersion(ctx context.Context) (int, bool) {
 	s, ok := e.fetchState(ctx)
 	return s.Version, ok
--- a/internal/testing/soak/faults.go
+++ b/internal/testing/soak/faults.go
@@ -45,7 +45,7 @@
 	{"settings grow", []Promise{NoRequestsAfterLeaving, SettingsMonotonic, NoRequestLost, Recovers}, true, growSettings},
 	{"reports fail", []Promise{UsageReportedOnce, Recovers}, false, failReports},
 	{"data centre evacuated", []Promise{EvacuationHonoured, InRegion, WarmupLimitHonoured, OwnCompleteAnswer}, true, evacuate},
-	{"endpoint names a limit", []Promise{RateLimitHonoured, OwnCompleteAnswer}, true, nameLimits},
+	{"endpoint names a limit", []Promise{RateLimitHonoured, OwnCompleteAnswer}, true, advertiseLimits},
 	{"endpoint asks for a backoff", []Promise{BackoffHonoured, NotRun, AtMostOnce, OwnCompleteAnswer}, true, askForBackoff},
 	{"endpoint drains in its responses", []Promise{DrainingHonoured, OwnCompleteAnswer, InOrder}, true, drainInResponses},
 }
@@ -190,7 +190,7 @@
 	d.addEndpoint()
 }
 
-// faultyBehaviors are the ways in which an endpoint may fail to answer a request.
+// faultyBehaviors are the ways in which an endpoint may fail to respond to a request.
 var faultyBehaviors = []platformtest.Behavior{
 	platformtest.Refuse{Status: http.StatusServiceUnavailable},
 	platformtest.Refuse{Status: http.StatusTooManyRequests},
--- a/internal/testing/soak/history.go
+++ b/internal/testing/soak/history.go
@@ -144,7 +144,7 @@
 	h.violations = append(h.violations, Violation{p, id, fmt.Sprintf(format, values...)})
 }
 
-// checkAnswer checks the answer that a caller received.
+// checkAnswer checks the response that a caller received.
 func (h *history) checkAnswer(s observation) {
 	if s.status != http.StatusOK {
 		return
--- a/internal/testing/soak/limits.go
+++ b/internal/testing/soak/limits.go
@@ -8,7 +8,8 @@
 )
 
 const (
-	// limitGracePeriod is the time after an endpoint first names a limit until entries have to keep it.
+	// limitGracePeriod is the time after an endpoint first advertises a limit until entries have to comply
+	// with it.
 	limitGracePeriod = 3 * time.Second
 
 	minLimitPerSecond   = 0.3 // in requests a second
@@ -25,8 +26,8 @@
 	active    interval
 }
 
-// nameLimits makes an endpoint name a limit for a time, then a lower one, then none.
-func nameLimits(d *deployment, amount float64) {
+// advertiseLimits makes an endpoint advertise a limit for a time, then a lower one, then none.
+func advertiseLimits(d *deployment, amount float64) {
 	e := d.pickEndpoint(2)
 	if e == nil || !e.limitMu.TryLock() {
 		return
@@ -35,11 +36,11 @@
 	higher := minLimitPerSecond + amount*extraLimitPerSecond
 	for _, perSecond := range []float64{higher, limitReduction * higher} {
 		begun := time.Now()
-		e.runner.NameLimit(strconv.FormatFloat(perSecond, 'f', -1, 64))
+		e.runner.AdvertiseLimit(strconv.FormatFloat(perSecond, 'f', -1, 64))
 		time.Sleep(limitGracePeriod + platformtest.LimitWindow + faultDuration(amount, extraLimitDuration))
 		d.history.addNamedLimit(namedLimit{e.runner, perSecond, interval{from: begun, to: time.Now()}})
 	}
-	e.runner.NameLimit()
+	e.runner.AdvertiseLimit()
 }
 
 func (h *history) addNamedLimit(l namedLimit) {
@@ -48,7 +49,7 @@
 	h.namedLimits = append(h.namedLimits, l)
 }
 
-// checkLimit reports a violation if an endpoint received more requests than its named limit allows.
+// checkLimit reports a violation if an endpoint received more requests than its advertised limit allows.
 func (h *history) checkLimit(l namedLimit, runs []platformtest.Run) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/testing/soak/platform.go
+++ b/internal/testing/soak/platform.go
@@ -115,10 +115,10 @@
 	go d.finishWarmup(e)
 }
 
-// largeResponseBody is the answer that slow callers do not read.
+// largeResponseBody is the response that slow callers do not read.
 var largeResponseBody = strings.Repeat("x", largeResponseBytes)
 
-// responseBody is the complete answer to a request that is no stream.
+// responseBody is the complete response to a request that is no stream.
 const responseBody = "the whole answer"
 
 // pickEndpoint returns a random serving endpoint, or nil if fewer than minServing serve.
--- a/internal/testing/soak/soak.go
+++ b/internal/testing/soak/soak.go
@@ -24,7 +24,7 @@
 	Callers     int
 	Only        []string // names of the faults to inject, empty for all
 	Crashing    bool     // a caller repeats a request that crashes each endpoint that runs it
-	SlowCallers int      // callers that do not read their answers or do not finish their bodies
+	SlowCallers int      // callers that do not read their responses or do not finish their bodies
 	// Command returns a command that runs an entry with the settings file. Run ends its
 	// process.
 	Command func(settings string) *exec.Cmd
--- a/internal/testing/soak/soak_test.go
+++ b/internal/testing/soak/soak_test.go
@@ -79,7 +79,7 @@
 
 func TestPlannedWork(t *testing.T) { runSoak(t, 2, Planned()) }
 
-// TestSlowCallers adds callers that do not read their answers or do not finish their bodies, during
+// TestSlowCallers adds callers that do not read their responses or do not finish their bodies, during
 // evacuations.
 func TestSlowCallers(t *testing.T) {
 	const maxBodyBytes = entryMemoryLimitMB << 20 / 4 // a quarter of an entry's memory may hold bodies
--- a/internal/testing/soak/usage.go
+++ b/internal/testing/soak/usage.go
@@ -21,7 +21,7 @@
 // if the platform does not check fences: the process may have been frozen before it sent the call.
 const staleReportSlack = thawMS*time.Millisecond + reportTimeout
 
-// reportTimeout is the longest time that an entry waits for the answer to a report.
+// reportTimeout is the longest time that an entry waits for the response to a report.
 const reportTimeout = 1500 * time.Millisecond
 
 // checkUsage checks the reports of usage: one count for a window, one holder for a fence, no
--- a/internal/testing/standin/card.go
+++ b/internal/testing/standin/card.go
@@ -26,7 +26,7 @@
 	mu       sync.Mutex
 	running  int
 	slowdown float64 // factor, 0 for none
-	broken   bool    // running answers are truncated and new requests fail
+	broken   bool    // running responses are truncated and new requests fail
 	frozen   chan struct{}
 	cached   affinity.Table
 	started  int
@@ -269,7 +269,7 @@
 	}
 }
 
-// outcome is the result of generating an answer.
+// outcome is the result of generating a response.
 type outcome uint8
 
 const (
--- a/internal/testing/standin/engine.go
+++ b/internal/testing/standin/engine.go
@@ -47,9 +47,9 @@
 	wordStep    = 7919 // a prime, so that neighbouring words differ
 )
 
-// Answer returns the tokens of the whole answer to a list of messages: length tokens, or
+// Answer returns the tokens of the whole response to a list of messages: length tokens, or
 // for 0 a number derived from the messages. It depends on nothing else, so every
-// engine gives the same answer.
+// engine gives the same response.
 func Answer(messages []string, length int) []string {
 	h := fnv.New64a()
 	for _, m := range messages {
@@ -67,7 +67,7 @@
 	return tokens
 }
 
-// splitPrompt returns the prompt, the whole answer, and the number of its tokens that
+// splitPrompt returns the prompt, the whole response, and the number of its tokens that
 // were sent before.
 func (q engineRequest) splitPrompt() (prompt, tokens []string, sentTokens int) {
 	sentText := ""
@@ -86,7 +86,7 @@
 	return prompt, Answer(prompt, length), sentTokens
 }
 
-// AnswerText returns the whole answer as one text.
+// AnswerText returns the whole response as one text.
 func AnswerText(messages []string, length int) string {
 	return strings.Join(Answer(messages, length), "")
 }
--- a/internal/testing/standin/platformtest/act.go
+++ b/internal/testing/standin/platformtest/behavior.go
@@ -10,18 +10,18 @@
 
 // The behaviors of a runner.
 type (
-	// Answer sends a complete answer with a length.
+	// Answer sends a complete response with a length.
 	Answer struct {
 		Status int
 		Body   string
 	}
-	// Refuse answers that the request is not run, with one Retry-After field for each value of
+	// Refuse responds that the request is not run, with one Retry-After field for each value of
 	// RetryAfter.
 	Refuse struct {
 		Status     int
 		RetryAfter []string
 	}
-	// Fail answers with a failure that does not say that the request has not run.
+	// Fail responds with a failure that does not say that the request has not run.
 	Fail struct {
 		Status     int
 		RetryAfter []string
@@ -31,33 +31,33 @@
 		By   time.Duration
 		Then Behavior
 	}
-	// ResetConnection runs the request and resets the connection without an answer.
+	// ResetConnection runs the request and resets the connection without a response.
 	ResetConnection struct{}
 	// Crash runs the request and ends the runner with all its connections when After is
-	// closed, or at once if After is nil. Partial is the part of an answer without a length that it
+	// closed, or at once if After is nil. Partial is the part of a response without a length that it
 	// sends before, empty for none. The close of the connection looks like the end of that answer.
 	Crash struct {
 		After   chan struct{}
 		Partial string
 	}
-	// Truncate truncates the answer within its body.
+	// Truncate truncates the response within its body.
 	Truncate struct{}
-	// Unframed sends an answer that ends when its connection is closed, by a reset if Broken.
+	// Unframed sends a response that ends when its connection is closed, by a reset if Broken.
 	Unframed struct {
 		Body   string
 		Broken bool
 	}
-	// WrongResponseFirst sends an answer to another request before the right one.
+	// WrongResponseFirst sends a response to another request before the right one.
 	WrongResponseFirst struct{}
-	// ExtraResponse sends the right answer and a second one after it.
+	// ExtraResponse sends the right response and a second one after it.
 	ExtraResponse struct{}
-	// Garbage sends bytes that are no answer.
+	// Garbage sends bytes that are no response.
 	Garbage struct{}
-	// Unsealed answers without the runner's seal.
+	// Unsealed responds without the runner's seal.
 	Unsealed struct{}
-	// Hang runs the request and never answers.
+	// Hang runs the request and never responds.
 	Hang struct{}
-	// Early answers before it reads the body, and then reads the body.
+	// Early responds before it reads the body, and then reads the body.
 	Early struct{ Status int }
 	// Events streams events up to the id To, from the one after the caller's last event. If
 	// Broken, it stops within the event after To.
--- a/internal/testing/standin/platformtest/limits.go
+++ b/internal/testing/standin/platformtest/limits.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	// LimitWindow is the time over which requests to a runner that names a limit are counted.
+	// LimitWindow is the time over which requests to a runner that advertises a limit are counted.
 	LimitWindow  = 4 * time.Second
 	limitOverrun = 1.5
 	limitSlack   = 5
--- a/internal/testing/standin/platformtest/runner.go
+++ b/internal/testing/standin/platformtest/runner.go
@@ -63,8 +63,8 @@
 	nextBehaviors   []Behavior // for the next requests, before defaultBehavior
 	sharedScript    *Script    // before nextBehaviors, nil for none
 	defaultBehavior Behavior
-	limitValues     []string // in its answers, each in a field of its own
-	drainingValues  []string // in its answers, each in a field of its own
+	limitValues     []string // in its responses, each in a field of its own
+	drainingValues  []string // in its responses, each in a field of its own
 	backoffs        backoffs
 	runs            []Run
 	arrivals        []Arrival
@@ -94,9 +94,9 @@
 	r.nextBehaviors = append(r.nextBehaviors, behaviors...)
 }
 
-// NameLimit sets the limit that the next answers name, each value in a field of its own. Without
+// AdvertiseLimit sets the limit that the next responses advertise, each value in a field of its own. Without
 // a value they name none.
-func (r *Runner) NameLimit(values ...string) {
+func (r *Runner) AdvertiseLimit(values ...string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.limitValues = values
@@ -109,7 +109,7 @@
 	r.defaultBehavior = a
 }
 
-// Drain sets the values by which the next answers announce that the runner drains, each in a field
+// Drain sets the values by which the next responses announce that the runner drains, each in a field
 // of its own. Without a value they do not announce it.
 func (r *Runner) Drain(values ...string) {
 	r.mu.Lock()
--- a/internal/testing/standin/platformtest/store.go
+++ b/internal/testing/standin/platformtest/store.go
@@ -41,16 +41,16 @@
 	Lease    int    `json:"lease,omitempty"` // whose end removes the key
 }
 
-// Fault is the way in which a server answers calls.
+// Fault is the way in which a server responds to calls.
 type Fault int
 
 // The faults of a store.
 const (
 	NoFault         Fault = iota // works
-	Busy                         // answers 503
-	TooManyRequests              // answers 429
+	Busy                         // responds with 503
+	TooManyRequests              // responds with 429
 	Reset                        // closes the connection
-	Silent                       // does not answer
+	Silent                       // does not respond
 )
 
 // NewStore starts a store on a free port of the loopback address.
--- a/internal/testing/standin/service.go
+++ b/internal/testing/standin/service.go
@@ -36,7 +36,7 @@
 	_, _ = io.WriteString(w, answer) // the caller may have disconnected
 }
 
-// execute records a call, waits for the time it takes and returns the answer.
+// execute records a call, waits for the time it takes and returns the response.
 func (s *Service) execute(method, uri, path string, body []byte) string {
 	call := fmt.Sprintf("%s %s %s", method, uri, body)
 	s.mu.Lock()
--- a/internal/testing/standin/standin_test.go
+++ b/internal/testing/standin/standin_test.go
@@ -19,7 +19,7 @@
 	"foxcross.dev/foxcross/internal/testing/standin"
 )
 
-// firstTextSink discards an answer and records when its first text arrived.
+// firstTextSink discards a response and records when its first text arrived.
 type firstTextSink struct{ first time.Time }
 
 func (s *firstTextSink) Head(int, []message.Field) error { return nil }
--- a/internal/testing/standin/store.go
+++ b/internal/testing/standin/store.go
@@ -22,7 +22,7 @@
 	Down      bool
 	Delay     time.Duration
 	LoseSwaps int  // number of swaps that take effect but are not answered
-	ListDown  bool // the member list does not answer
+	ListDown  bool // the member list does not respond
 	ListEmpty bool // the member list is wrongly empty
 }
 
