--- a/coord/binding/example_test.go
+++ b/coord/binding/example_test.go
@@ -10,7 +10,7 @@
 )
 
 // An agent reports a free slot, gets the offer of a request, and gets the start after it
-// answers ready.
+// sends ready.
 func ExampleCore() {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	c := binding.Core{Rand: rand.New(rand.NewPCG(1, 2))}
--- a/internal/testing/soak/limits.go
+++ b/internal/testing/soak/limits.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// limitGracePeriod is the time after an endpoint first advertises a limit until entries have to comply
-	// with it.
+	// limitGracePeriod is the time after an endpoint first advertises a limit until entries have to
+	// comply with it.
 	limitGracePeriod = 3 * time.Second
 
 	minLimitPerSecond   = 0.3 // in requests a second
--- a/internal/testing/standin/platformtest/behavior.go
+++ b/internal/testing/standin/platformtest/behavior.go
@@ -35,7 +35,7 @@
 	ResetConnection struct{}
 	// Crash runs the request and ends the runner with all its connections when After is
 	// closed, or at once if After is nil. Partial is the part of a response without a length that it
-	// sends before, empty for none. The close of the connection looks like the end of that answer.
+	// sends before, empty for none. The close of the connection looks like the end of that response.
 	Crash struct {
 		After   chan struct{}
 		Partial string
