--- a/internal/direct/peers/encoding.go
+++ b/internal/direct/peers/encoding.go
@@ -49,13 +49,13 @@
 	var gzipped bytes.Buffer
 	w, err := gzip.NewWriterLevel(&gzipped, gzip.BestSpeed)
 	if err != nil {
-		return body{}, fmt.Errorf("peers: compress a response: %w", err)
+		return body{}, fmt.Errorf("peers: compress an answer: %w", err)
 	}
 	if _, err := w.Write(data); err != nil {
-		return body{}, fmt.Errorf("peers: compress a response: %w", err)
+		return body{}, fmt.Errorf("peers: compress an answer: %w", err)
 	}
 	if err := w.Close(); err != nil {
-		return body{}, fmt.Errorf("peers: compress a response: %w", err)
+		return body{}, fmt.Errorf("peers: compress an answer: %w", err)
 	}
 	b.gzipped = gzipped.Bytes()
 	return b, nil
